--- a/src/agatepick/config/__init__.py
+++ b/src/agatepick/config/__init__.py
@@ -1,1 +1,1 @@
-"""One cluster configuration, in force everywhere at an instant."""
+"""The cluster configuration and the protocol that changes it."""
--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -1,19 +1,22 @@
-"""Which peers' clocks agree with ours, and whether ours can be trusted."""
+"""Comparison of the local clock with the clocks of connected peers."""
 
 from agatepick.net import clocks
 from agatepick.net import links
 from agatepick.net import messages
 
 FRESH_SECONDS = 3 * links.SAMPLE_SECONDS
-"""A peer without a sample for so long has gone; its clock has no vote.
+"""Age at which a clock sample expires and its peer is ignored.
 
-Its lease grants don't count from then on, so this must be longer than the
-links take to renew a sample, whatever is lost.
+The peer's lease grants are ignored from then on, so the expiry must exceed the
+time in which the links renew a sample, even if messages are lost.
 """
 
 
 class ClockWatch:
-    """Offsets of all connected peers, from their answers to our pings."""
+    """Clock offsets of connected peers, derived from their pongs.
+
+    :param margin: largest accepted clock difference, in seconds.
+    """
 
     def __init__(self, margin: float):
         self._margin = margin
@@ -22,7 +25,10 @@
         self._trusted = True
 
     def add(self, peer: str, pong: messages.Pong, now: float) -> None:
-        """Take one sample; ``now`` is when the answer arrived."""
+        """Add a clock sample of a peer.
+
+        :param now: when the pong arrived, by the local clock.
+        """
         sample = clocks.offset(pong.sent, pong.received, pong.replied, now)
         estimate = self._peers.setdefault(peer, clocks.OffsetEstimate())
         estimate.add(sample)
@@ -33,25 +39,30 @@
         self._judge()
 
     def forget(self, peer: str) -> None:
-        """A peer disconnected; the next process of its name is measured."""
+        """Discard the samples of a peer.
+
+        The next process with the same name may have another clock.
+        """
         self._peers.pop(peer, None)
         self._heard.pop(peer, None)
         self._judge()
 
     def agrees(self, peer: str) -> bool:
-        """Whether a peer's offset is known and within the margin."""
+        """Return whether a peer's offset is known and within the margin."""
         estimate = self._peers.get(peer)
         return estimate is not None and estimate.best.within(self._margin)
 
     @property
     def trusted(self) -> bool:
-        """Whether our clock is right as far as its peers can tell.
+        """Return whether the local clock agrees with enough of its peers.
 
-        A clock that is ahead would stamp the head ahead, and every change
-        after it would be in force late by as much: a zone taken out would
-        get tasks for an hour.  More than half of the peers surely off by
-        more than the margin say that it's ours that is wrong.  Between two
-        processes alone nobody can tell, and neither is trusted.
+        An entry whose clock is ahead writes a head stamp that is ahead, and
+        every later change comes into force late by the same amount: a clock
+        that is an hour ahead lets a removed zone receive tasks for an hour.
+        The local clock is distrusted once more than half of the peers differ
+        from it by more than the margin, measurement error deducted.  With a
+        single peer it can't be decided which clock is wrong, so both
+        processes distrust their own.
         """
         return self._trusted
 
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -1,11 +1,12 @@
-"""The cluster configuration: one versioned document, and its changes.
+"""The cluster configuration: a versioned document and its changes.
 
-The document says which availability zones are out, which preset is in use,
-the quotas of teams, the upstreams that are leaving and the listed entries.
-Each version differs from the one before by one :class:`ChangeRow`.  The
-store's head row, :class:`Head`, names the last version.
+The document holds the availability zones that are out of service, the preset
+in use, the quotas of teams, the upstreams that are leaving and the listed
+entries.  Each version differs from the previous one by one
+:class:`ChangeRow`.  The store's head row, :class:`Head`, holds the number of
+the last version.
 
-All values are immutable; :func:`apply` makes the next document.
+All values are immutable; :func:`apply` returns the next document.
 """
 
 import dataclasses
@@ -18,12 +19,15 @@
 
 PRESETS = ('ordinary', 'peak', 'maintenance')
 REMOVED_KEPT_SECONDS = 600.0
-"""How long a removed entry stays in the document: the owner of a job key as
-old as that is still found by counting the removed entry in."""
+"""How long a removed entry stays in the document.
+
+The owner of a job key of that age is still computed with the removed entry
+included.
+"""
 
 
 class _Change(msgspec.Struct, frozen=True, tag_field='kind'):
-    """Base of the changes; the tag tells them apart in JSON."""
+    """Base class of the changes; ``kind`` selects the class in JSON."""
 
 
 class ZoneOut(_Change, frozen=True, tag='zone_out'):
@@ -64,7 +68,7 @@
 
 
 class EntryListed(_Change, frozen=True, tag='entry_listed'):
-    """List an entry; an older incarnation of its name is removed by it."""
+    """Addition of an entry, which removes an older incarnation of it."""
 
     name: str
     incarnation: int
@@ -149,42 +153,42 @@
     settings: tuple[Setting, ...] = ()
 
     def listed(self) -> tuple[messages.Member, ...]:
-        """The entries that are listed now."""
+        """Return the entries that are listed in this version."""
         return tuple(one for one in self.entries if not one.removed_at)
 
     def member(self, name: str) -> messages.Member | None:
-        """The listed entry of that name."""
+        """Return the listed entry of that name, or ``None``."""
         for one in self.entries:
             if one.name == name and not one.removed_at:
                 return one
         return None
 
     def lists(self, me: messages.Member) -> bool:
-        """Whether this incarnation of an entry is listed."""
+        """Return whether this incarnation of an entry is listed."""
         member = self.member(me.name)
         return member is not None and member.incarnation == me.incarnation
 
     def zone(self, name: str) -> Zone | None:
-        """What is known of a zone; ``None`` if it never was out."""
+        """Return the state of a zone, or ``None`` if it was never out."""
         for one in self.zones:
             if one.name == name:
                 return one
         return None
 
     def zone_out(self, name: str) -> bool:
-        """Whether a zone is out of service."""
+        """Return whether a zone is out of service."""
         zone = self.zone(name)
         return zone is not None and zone.out
 
     def quota(self, team: str) -> int | None:
-        """Slots a team may fill; ``None`` if it has no quota."""
+        """Return the quota of a team in slots, or ``None`` without one."""
         for one in self.quotas:
             if one.team == team:
                 return one.slots
         return None
 
     def setting(self, key: str) -> str | None:
-        """Value of a free setting."""
+        """Return the value of a free setting, or ``None`` if it is not set."""
         for one in self.settings:
             if one.key == key:
                 return one.value
@@ -193,12 +197,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRow:
-    """One accepted change, as the store keeps it.
+    """An accepted change, as the store holds it.
 
-    :param version: the version it makes.
-    :param in_force_at: when processes switch to that version.
-    :param attempt: with the writer's name and incarnation, names the
-        transaction that wrote the row; a lost answer is settled by it.
+    :param version: number of the version that the change creates.
+    :param in_force_at: instant at which processes switch to that version.
+    :param attempt: number that, with the writer's name and incarnation,
+        identifies the transaction that wrote the row.  After a lost answer
+        it shows whether the transaction took effect.
     """
 
     version: int
@@ -213,8 +218,8 @@
 class Head:
     """The store's head row.
 
-    :param stamp: when an entry last wrote the row, by that entry's clock
-        and before its request was sent.
+    :param stamp: instant at which an entry last wrote the row, read from
+        that entry's clock before it sent the request.
     """
 
     version: int
@@ -223,10 +228,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Uncertain:
-    """A change whose transaction may yet take effect.
+    """A change whose transaction may still take effect.
 
-    :param stamp: the transaction takes effect only while the head carries
-        this stamp and the version before ``row.version``.
+    :param stamp: stamp of the head that the transaction is conditional on;
+        it takes effect only while the head has this stamp and the version
+        before ``row.version``.
     """
 
     row: ChangeRow
@@ -235,13 +241,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposed:
-    """Effect: how a proposed change ended, for whoever asked for it.
-
-    :param verdict: ``accepted``, ``conflict`` (another change won, nothing
-        was written), ``unknown`` (the store's answer was lost: it may yet
-        turn out either way), ``unavailable`` (nothing was written) or
-        ``invalid`` (``reason`` names the field).
-    :param version: the version that carries the change, or that won.
+    """Effect that reports the outcome of a proposed change to its requester.
+
+    :param verdict: ``accepted``, ``conflict`` (a concurrent change was
+        written instead of this one), ``unknown`` (the store's answer was
+        lost, so the change may or may not take effect), ``unavailable``
+        (nothing was written) or ``invalid`` (``reason`` names the field).
+    :param version: the version that contains the change, or for a conflict
+        the last known version.
     """
 
     request_id: int
@@ -257,14 +264,15 @@
 
 
 def encode(value: _Document) -> bytes:
-    """JSON of a document, row or head; equal values give equal bytes."""
+    """Return the JSON of a value; equal values give equal bytes."""
     return _encoder.encode(value)
 
 
 def decode(data: bytes, kind: type[_Kind]) -> _Kind:
-    """The value in ``data``.
+    """Return the value that ``data`` holds as JSON.
 
-    :raises agatepick.exceptions.BadMessage: naming the field at fault.
+    :raises agatepick.exceptions.BadMessage: if ``data`` is invalid; the
+        message names the field.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -275,9 +283,10 @@
 
 
 def change_from_json(data: bytes) -> Change:
-    """A change as an operator sends it.
+    """Return the change that an operator sent as JSON.
 
-    :raises agatepick.exceptions.BadChange: naming the field at fault.
+    :raises agatepick.exceptions.BadChange: if ``data`` is invalid; the
+        message names the field.
     """
     try:
         return msgspec.json.decode(data, type=Change)
@@ -286,12 +295,15 @@
 
 
 def change_to_json(change: Change) -> bytes:
-    """The form that :func:`change_from_json` takes."""
+    """Return the JSON that :func:`change_from_json` accepts."""
     return _encoder.encode(change)
 
 
 def subject(change: Change) -> str:
-    """What a change is about; two changes of one subject exclude another."""
+    """Return the subject of a change.
+
+    Concurrent changes of the same subject conflict.
+    """
     match change:
         case ZoneOut(zone) | ZoneIn(zone):
             return f'zone {zone}'
@@ -308,17 +320,18 @@
 
 
 def alters(config: ClusterConfig, change: Change) -> bool:
-    """Whether a valid change would make a difference to a document."""
+    """Return whether a valid change would modify a document."""
     row = ChangeRow(config.version + 1, config.in_force_at, change, '', 0, 0)
     after = apply(config, row)
     return dataclasses.replace(after, version=config.version) != config
 
 
 def apply(config: ClusterConfig, row: ChangeRow) -> ClusterConfig:
-    """The document that ``row`` makes of ``config``.
+    """Return the document that results from applying ``row`` to ``config``.
 
     :raises agatepick.exceptions.BadChange: if the row isn't for the next
-        version, would be in force before this one, or has a bad field.
+        version, would come into force before the current one, or has an
+        invalid field.
     """
     if row.version != config.version + 1:
         raise _bad('version', f'{row.version} after {config.version}')
--- a/src/agatepick/config/configstatus.py
+++ b/src/agatepick/config/configstatus.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the cluster configuration."""
+"""Status of the cluster configuration, as shown to operators."""
 
 import dataclasses
 
@@ -8,16 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationStatus:
-    """What an operator is shown.
+    """Status of the cluster configuration at one entry.
 
-    :param version: the last version known; ``version_in_force`` is in
-        force.
+    :param version: the last known version; ``version_in_force`` is the one
+        in force.
     :param lease_source: ``store``, ``peers`` or ``none``.
-    :param lease_seconds: seconds that the read lease has left.
-    :param uncertain: changes whose fate isn't settled.
-    :param lost: listed entries whose processes are gone or silent.
-    :param in_force: the whole document in force.
-    :param accepted: the last one known, which may be in force later.
+    :param lease_seconds: seconds until the read lease expires.
+    :param uncertain: changes whose transactions may still take effect.
+    :param lost: listed entries that this entry would now remove because their
+        processes are dead or silent.
+    :param in_force: the document in force.
+    :param accepted: the last known document, which may come into force later.
     """
 
     version: int
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -1,8 +1,8 @@
-"""The entry's part that keeps the one cluster configuration in force.
+"""Component of an entry that maintains the cluster configuration.
 
-It reads the head, renews its stamp, gives and takes lease grants, writes
-proposed changes and hands changes on to peers.  It is a reducer's component:
-methods take ``now`` and return effects.
+It reads the head, renews the head's stamp, exchanges lease grants with peers,
+writes proposed changes and sends changes to peers.  It is part of a reducer:
+its methods take ``now`` and return effects.
 """
 
 import dataclasses
@@ -27,22 +27,24 @@
 from agatepick.table import store
 
 FETCH_ROWS = 256
-"""Rows handed on to a peer in one message."""
+"""Change rows sent to a peer in one message, at most."""
 JITTER = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationSettings:
-    """Durations in seconds.
-
-    :param rules: what all processes of the cluster share.
-    :param poll: between two reads of the head.
-    :param renew: age of a stamp at which whoever sees it renews it.
-    :param grant: between two lease grants to a peer.  Three must fit into
-        a lease, so that the loss of one or two doesn't end it.
-    :param store_timeout: after which a call of the store has failed.
-    :param listing: between two tries to be listed, or to remove an entry.
-    :param leave: after which a stopping entry goes though still listed.
+    """Durations of the configuration protocol, in seconds.
+
+    :param rules: durations that all processes of the cluster share.
+    :param poll: interval between two reads of the head.
+    :param renew: age at which an entry that reads a stamp renews it.
+    :param grant: interval between two lease grants to a peer.  A lease must
+        span three of them, so that it survives the loss of one or two.
+    :param store_timeout: timeout of a call to the store.
+    :param listing: interval between two attempts to be listed, or to remove
+        an entry.
+    :param leave: time after which a stopping entry exits even if it is still
+        listed.
     """
 
     rules: readlease.Rules = readlease.Rules()
@@ -55,7 +57,7 @@
 
 
 class Configuration:
-    """The cluster configuration as one entry knows it."""
+    """State of the cluster configuration at one entry."""
 
     def __init__(
         self,
@@ -98,58 +100,61 @@
         me: messages.Member,
         rng: random.Random,
     ) -> 'Configuration':
-        """The component of entry ``me``; it knows nothing yet."""
+        """Return the component of entry ``me``, with no version read yet."""
         return cls(cfg, me, rng)
 
-    # -- questions ---------------------------------------------------------
+    # -- queries -----------------------------------------------------------
 
     @property
     def version(self) -> int:
-        """The last version known, in force or not."""
+        """Return the last known version, whether in force or not."""
         return self._known.version
 
     @property
     def latest(self) -> cluster.ClusterConfig:
-        """The last document known, in force or not."""
+        """Return the last known document, whether in force or not."""
         return self._known.latest
 
     @property
     def left(self) -> bool:
-        """Whether a graceful stop may go on: this entry is delisted."""
+        """Return whether a stopping entry may exit.
+
+        It may once it is delisted in force, or its time to leave is over.
+        """
         return self._listing.left
 
     def in_force(self, now: float) -> cluster.ClusterConfig:
-        """The document in force at ``now``."""
+        """Return the document in force at ``now``."""
         return self._known.in_force(now)
 
     def lease_until(self, now: float) -> float:
-        """End of the read lease; starts only strictly before it.
+        """Return the end of the read lease, or 0 without a lease.
 
-        0 if there is none.
+        A task may start only strictly before that instant.
         """
         return self._permits.lease_until(now)
 
     def serving(self, now: float) -> bool:
-        """Whether the head was read and this entry is listed in force."""
+        """Return whether the head was read and this entry is in force."""
         return self._permits.serving(now)
 
     def zone_open(self, zone: str, now: float) -> bool:
-        """Whether tasks may start in ``zone`` at ``now``."""
+        """Return whether tasks may start in ``zone`` at ``now``."""
         return now < self.permits(now).zone_bound(zone)
 
     def start_before(self, zone: str, now: float) -> float:
-        """Instant before which a task sent now to ``zone`` must start.
+        """Return the instant before which a task sent to ``zone`` must start.
 
-        0 if no task may start.
+        The result is 0 if no task may start.
         """
         return self.permits(now).start_before(zone)
 
     def permits(self, now: float) -> permits.Snapshot:
-        """What may be started at ``now``, worked out once."""
+        """Return the permits at ``now``, computed once."""
         return self._permits.snapshot(now)
 
     def settled(self, now: float) -> bool:
-        """Whether nothing is pending, uncertain or being written."""
+        """Return whether no change is pending, uncertain or being written."""
         return (
             self._writer.idle
             and not self._known.pending(now)
@@ -157,7 +162,7 @@
         )
 
     def status(self, now: float) -> configstatus.ConfigurationStatus:
-        """What an operator is shown."""
+        """Return the status for operators."""
         doc = self._known.in_force(now)
         return configstatus.ConfigurationStatus(
             version=self.version,
@@ -181,7 +186,10 @@
     # -- events ------------------------------------------------------------
 
     def on_store(self, event: store.StoreAnswered, now: float) -> list[object]:
-        """The store answered a call; answers to others' calls are left."""
+        """Handle an answer of the store.
+
+        Answers to calls of other components are ignored.
+        """
         purpose = self._calls.pop(event.id, '')
         if purpose == 'write' and event.id != self._last_write:
             return []
@@ -197,7 +205,7 @@
     def on_message(
         self, peer: str, message: messages.Message, now: float
     ) -> list[object]:
-        """A message came from a peer, :class:`messages.Pong` among them."""
+        """Handle a message of a peer, including :class:`messages.Pong`."""
         self._members.heard(peer, now)
         try:
             return self._on_message(peer, message, now)
@@ -229,7 +237,7 @@
         return []
 
     def on_peer_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """An entry connected."""
+        """Handle the connection of a peer; only other entries matter."""
         if hello.role != 'entry' or hello.name == self._me.name:
             return []
         self._members.up(hello, now)
@@ -239,7 +247,7 @@
         return effects
 
     def on_peer_down(self, event: core.PeerDown, now: float) -> list[object]:
-        """The connection to a peer ended, or a dial to it failed."""
+        """Handle the loss of a connection to a peer, or a failed dial."""
         self._members.down(event.peer, event.incarnation, event.dead, now)
         if event.peer not in self._members.connected:
             self._clocks.forget(event.peer)
@@ -248,7 +256,7 @@
         return effects + self._after_evidence(now)
 
     def on_tick(self, now: float) -> list[object]:
-        """Do whatever is due."""
+        """Run the periodic tasks that are due."""
         effects = self._writer.expire(now)
         self._permits.extend(now)
         if self._is_due('poll', self._cfg.poll, now):
@@ -268,17 +276,21 @@
         based_on: int | None,
         now: float,
     ) -> list[object]:
-        """Write a change; ends in a :class:`cluster.Proposed` effect.
+        """Start to write a change.
+
+        The outcome is reported by a :class:`cluster.Proposed` effect.
 
-        :param request_id: above 0.
+        :param request_id: number above 0.
+        :param based_on: version that the change requires to be the last one;
+            ``None`` for any.
         """
         self._writer.submit(request_id, change, based_on)
         return self._advance(now)
 
     def leave(self, stopped_at: float, now: float) -> list[object]:
-        """Delist this entry, for a graceful stop; see :attr:`left`.
+        """Start to delist this entry for a graceful stop; see :attr:`left`.
 
-        :param stopped_at: since when this entry has let in no job.
+        :param stopped_at: instant since which this entry admits no jobs.
         """
         self._listing.begin_to_leave(stopped_at, now)
         return self._advance(now)
@@ -318,7 +330,7 @@
     def _renew(self, now: float) -> list[object]:
         head = self._known.head
         doubt = self._writer.uncertain()
-        # A renewal while our own transaction is on its way would fail it.
+        # A renewal moves the stamp, which would fail our own transaction.
         if self._renewing is not None or self._writer.writing:
             return []
         listed = self.latest.lists(self._me) and self._clocks.trusted
@@ -350,7 +362,7 @@
     ) -> list[object]:
         doubt = _doubt(message.uncertain)
         if not self._clocks.agrees(peer):
-            # Its "sent" can't be compared with our clock.
+            # Its "sent" can't be compared with the local clock.
             return []
         grant = readlease.PeerGrant(message.version, message.sent, doubt)
         self._members.granted(peer, grant, now)
@@ -410,7 +422,7 @@
         return effects
 
     def _versions_moved(self, now: float) -> list[object]:
-        """Follow the listed entries after new versions came to be known."""
+        """Update peers and dials if a new version has become known."""
         if self._followed == self.version:
             return []
         self._followed = self.version
@@ -447,7 +459,7 @@
         )
 
     def _may_not_write(self, now: float) -> str:
-        """Why this entry may not write a change; empty if it may."""
+        """Return why this entry may not write a change; empty if it may."""
         if not self._clocks.trusted:
             return "this entry's clock differs from its peers'"
         alive = self._members.alive()
@@ -477,7 +489,7 @@
 
 
 def _doubt(data: bytes) -> cluster.Uncertain | None:
-    """The change in a grant or intent."""
+    """Return the change that a grant or intent holds, if any."""
     return cluster.decode(data, cluster.Uncertain) if data else None
 
 
--- a/src/agatepick/config/dials.py
+++ b/src/agatepick/config/dials.py
@@ -1,4 +1,4 @@
-"""Which connections to other entries are kept, as listed entries change."""
+"""Outgoing connections to the listed entries."""
 
 import collections.abc
 
@@ -6,7 +6,7 @@
 
 
 class Dials:
-    """The entries that are being dialled, by name."""
+    """Addresses of the entries that are dialled, by name."""
 
     def __init__(self) -> None:
         self._addresses: dict[str, str] = {}
@@ -16,9 +16,10 @@
         wanted: collections.abc.Mapping[str, str],
         connected: collections.abc.Container[str],
     ) -> list[object]:
-        """Dial the listed entries and let go of the others.
+        """Dial the listed entries and hang up on the others.
 
-        :param wanted: addresses of the listed entries.
+        :param wanted: addresses of the listed entries, by name.
+        :param connected: names of the entries that are connected.
         """
         effects: list[object] = []
         for name, address in wanted.items():
@@ -33,10 +34,10 @@
         wanted: collections.abc.Container[str],
         connected: collections.abc.Container[str],
     ) -> list[object]:
-        """Dial a removed entry no more, once it has disconnected itself.
+        """Stop dialling a removed entry once it has disconnected.
 
         A stopping entry is removed first and then finishes its jobs, whose
-        answers still come over the connection.
+        answers still arrive over the connection.
         """
         if name in wanted or name in connected or name not in self._addresses:
             return []
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -1,7 +1,7 @@
-"""Reads the head of the cluster configuration, and the rows it lacks.
+"""Reader of the configuration's head and of the missing change rows.
 
-One read is under way at a time: the head, then the change rows that are not
-known yet, and the snapshot if rows that old are gone.
+One read is in progress at a time: it reads the head, then the change rows that
+are not known yet, and the snapshot if the needed rows were deleted.
 """
 
 import dataclasses
@@ -16,24 +16,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadSeen:
-    """The head was read, and every version up to it is known."""
+    """Outcome: the head was read, and every version up to it is known."""
 
     head: cluster.Head
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """The store couldn't be read."""
+    """Outcome: the store couldn't be read."""
 
     reason: str
 
 
 Outcome = HeadSeen | ReadFailed | store.Request
-"""How a step ended; a request is what has to be read next."""
+"""Outcome of a step; a request must be sent next."""
 
 
 class HeadReader:
-    """State of the read that is under way."""
+    """State of the read in progress."""
 
     def __init__(self, known: history.History):
         self._known = known
@@ -42,16 +42,16 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a read is under way."""
+        """Return whether a read is in progress."""
         return self._asked is not None
 
     def start(self) -> store.Request:
-        """Begin with the head."""
+        """Start a read; return its first request, which reads the head."""
         self._head = None
         return self._ask(headrows.read_head)
 
     def answered(self, answer: store.Answer, now: float) -> Outcome:
-        """Take the store's answer to the last request."""
+        """Handle the store's answer to the last request."""
         asked, self._asked = self._asked, None
         if not isinstance(answer, store.Rows):
             return ReadFailed(str(answer))
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -1,9 +1,9 @@
-"""How the cluster configuration lies in the table service's rows.
+"""Layout of the cluster configuration in the table service's rows.
 
-``cluster/head`` is the :class:`~agatepick.config.cluster.Head`,
-``change/VERSION`` one :class:`~agatepick.config.cluster.ChangeRow` each, and
-``cluster/snapshot`` the whole document as of some version not long past, so
-that a new process reads a few hundred rows at most.  All functions are pure.
+``cluster/head`` holds the :class:`~agatepick.config.cluster.Head`, each
+``change/VERSION`` one :class:`~agatepick.config.cluster.ChangeRow`, and
+``cluster/snapshot`` the whole document as of a recent version, so that a new
+process reads a few hundred rows at most.  All functions are pure.
 """
 
 from agatepick.config import cluster
@@ -24,12 +24,15 @@
 
 
 def read_changes(version: int) -> store.ReadAfter:
-    """Reads the change rows after a version."""
+    """Return the request that reads the change rows after a version."""
     return store.ReadAfter(CHANGE, _key(version), READ_LIMIT)
 
 
 def renew(head: cluster.Head, stamp: float) -> store.Transact:
-    """Moves the stamp of ``head``, if it is still the head."""
+    """Return the transaction that renews the stamp of ``head``.
+
+    It takes effect only if ``head`` is still the head.
+    """
     return store.Transact((_is(head),), (_put(head.version, stamp),))
 
 
@@ -39,9 +42,12 @@
     stamp: float,
     after: cluster.ClusterConfig,
 ) -> store.Transact:
-    """Adds a change, if ``head`` is still the head.
+    """Return the transaction that writes a change.
+
+    It takes effect only if ``head`` is still the head.
 
-    :param after: the document that the change makes.
+    :param stamp: stamp of the new head.
+    :param after: the document that results from the change.
     """
     puts = [
         _put(row.version, stamp),
@@ -55,7 +61,7 @@
 
 
 def head_of(rows: store.Rows) -> cluster.Head:
-    """The head that was read; :data:`NO_HEAD` in an empty store.
+    """Return the head that was read; :data:`NO_HEAD` in an empty store.
 
     :raises agatepick.exceptions.BadMessage: if the row is malformed.
     """
@@ -65,7 +71,7 @@
 
 
 def changes_of(rows: store.Rows) -> list[cluster.ChangeRow]:
-    """The change rows that were read, in order.
+    """Return the change rows that were read, in order.
 
     :raises agatepick.exceptions.BadMessage: if a row is malformed.
     """
@@ -73,9 +79,10 @@
 
 
 def snapshot_of(rows: store.Rows) -> cluster.ClusterConfig:
-    """The document that was read.
+    """Return the document of the snapshot that was read.
 
-    :raises agatepick.exceptions.BadMessage: if there is none.
+    :raises agatepick.exceptions.BadMessage: if there is no snapshot or it is
+        malformed.
     """
     if not rows.rows:
         raise exceptions.BadMessage('no snapshot', step='read snapshot')
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -1,7 +1,7 @@
-"""The versions of the cluster configuration that one process knows.
+"""Versions of the cluster configuration that a process holds.
 
-Several versions are known at once: the one in force, and later ones whose
-``in_force_at`` is still to come.
+A process holds several versions at once: the one in force, and later ones
+whose ``in_force_at`` is in the future.
 """
 
 import collections
@@ -12,11 +12,11 @@
 from agatepick.net import messages
 
 ROWS_KEPT = 1024
-"""Change rows kept to be handed on to peers, and in the store."""
+"""Change rows kept in memory, to send them to peers, and in the store."""
 
 
 class History:
-    """Known versions; they only grow."""
+    """Known versions; their numbers only increase."""
 
     def __init__(self) -> None:
         self._docs = [cluster.ClusterConfig()]
@@ -24,52 +24,56 @@
             maxlen=ROWS_KEPT
         )
         self.head = cluster.Head(0, 0.0)
-        """The newest head known; its stamp is 0 if none was read yet."""
+        """The newest known head; its stamp is 0 until that version is read."""
 
     @property
     def latest(self) -> cluster.ClusterConfig:
-        """The last version, in force or not."""
+        """Return the last known document, whether in force or not."""
         return self._docs[-1]
 
     @property
     def version(self) -> int:
-        """Number of the last version."""
+        """Return the number of the last known version."""
         return self.latest.version
 
     def knows(self, now: float) -> bool:
-        """Whether the version in force at ``now`` is among the known."""
+        """Return whether the version in force at ``now`` is known."""
         return self._docs[0].in_force_at <= now
 
     def in_force(self, now: float) -> cluster.ClusterConfig:
-        """The version in force at ``now``."""
+        """Return the version in force at ``now``.
+
+        If it is not known, the result is the earliest known version.
+        """
         for doc in reversed(self._docs):
             if doc.in_force_at <= now:
                 return doc
         return self._docs[0]
 
     def pending(self, now: float) -> tuple[cluster.ClusterConfig, ...]:
-        """The versions that are not yet in force, in order."""
+        """Return the versions that are not in force yet, in order."""
         return tuple(doc for doc in self._docs if doc.in_force_at > now)
 
     def departure(self, zone: str, now: float) -> float:
-        """When a known change takes ``zone`` out next; infinity if none."""
+        """Return when a pending version has ``zone`` out; infinity if none."""
         return _first(
             doc.in_force_at for doc in self.pending(now) if doc.zone_out(zone)
         )
 
     def removal(self, me: messages.Member, now: float) -> float:
-        """When a known change removes ``me``; infinity if none."""
+        """Return when a pending version lacks ``me``; infinity if none."""
         return _first(
             doc.in_force_at for doc in self.pending(now) if not doc.lists(me)
         )
 
     def take(self, row: cluster.ChangeRow, now: float) -> bool:
-        """Take the row of the next version; others are left alone.
+        """Add the row of the next version; ignore any other row.
 
-        A message from a peer that lags, or an answer of the store that was
-        overtaken, brings rows that are known already.  Taking one of them
-        would turn the version back.
+        A message of a lagging peer or a reordered answer of the store holds
+        rows that are known already.  Adding one of them would revert to an
+        older version.
 
+        :returns: whether the row was added.
         :raises agatepick.exceptions.BadChange: if the row can't be applied.
         """
         if row.version != self.version + 1:
@@ -80,31 +84,34 @@
         return True
 
     def adopt(self, config: cluster.ClusterConfig, now: float) -> bool:
-        """Take a whole document, if it is newer than all that is known."""
+        """Add a whole document if it is newer than every known version.
+
+        :returns: whether the document was added.
+        """
         if config.version <= self.version:
             return False
         self._docs.append(config)
         if config.in_force_at > now:
-            # The version in force before it was never seen.
+            # The version in force before it is not known.
             self._docs = [config]
         self._rows.clear()
         self._advance(now)
         return True
 
     def see(self, head: cluster.Head) -> None:
-        """Note a head that was read; one older than known changes nothing."""
+        """Record a head that was read, unless a newer one is known."""
         if head.version == self.version and head.stamp > self.head.stamp:
             self.head = head
 
     def since(self, version: int) -> tuple[cluster.ChangeRow, ...]:
-        """Rows after ``version``; empty if not all of them are kept."""
+        """Return the rows after ``version``; empty unless all are kept."""
         rows = tuple(row for row in self._rows if row.version > version)
         if not rows or rows[0].version != version + 1:
             return ()
         return rows
 
     def row(self, version: int) -> cluster.ChangeRow | None:
-        """The row that made a version, if it is kept."""
+        """Return the row that created a version, if it is kept."""
         for row in reversed(self._rows):
             if row.version == version:
                 return row
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -1,4 +1,7 @@
-"""Keeps the right entries listed: this one, newcomers, and no lost ones."""
+"""Maintenance of the listed entries.
+
+An entry lists itself and new entries, and removes lost entries.
+"""
 
 import math
 import random
@@ -12,10 +15,10 @@
 
 
 class Listing:
-    """Submits changes of the listed entries to the writer.
+    """Submitter of changes of the listed entries.
 
-    :param leave: seconds after which a stopping entry goes though it is
-        still listed; the store may be down for longer than anyone waits.
+    :param leave: seconds after which a stopping entry exits even if it is
+        still listed, since an outage of the store may last longer.
     """
 
     def __init__(
@@ -36,17 +39,17 @@
         self._leave_by = math.inf
         self._stopped_at = 0.0
         self.left = False
-        """Whether this entry, asked to leave, is delisted in force."""
+        """Whether this stopping entry is delisted in force or out of time."""
 
     @property
     def listed(self) -> bool:
-        """Whether this entry is listed in the last known version."""
+        """Return whether this entry is listed in the last known version."""
         return self._known.latest.lists(self._me)
 
     def begin_to_leave(self, stopped_at: float, now: float) -> None:
-        """Delist this entry as soon as the store takes it.
+        """Start to delist this entry.
 
-        :param stopped_at: since when this entry has let in no job.
+        :param stopped_at: instant since which this entry admits no jobs.
         """
         self._stopped_at = stopped_at
         self._leave_by = min(self._leave_by, now + self._leave)
@@ -54,14 +57,14 @@
         self._delist()
 
     def check_left(self, now: float) -> None:
-        """Note whether a stopping entry may go."""
+        """Update :attr:`left`."""
         if self._leave_by == math.inf:
             return
         listed = self.listed or self._known.in_force(now).lists(self._me)
         self.left = self.left or not listed or now >= self._leave_by
 
     def keep(self) -> list[object]:
-        """Try to be listed, or delisted when leaving."""
+        """Request this entry's listing, or its removal if it is stopping."""
         if self._leave_by < math.inf:
             self._delist()
             return []
@@ -79,20 +82,21 @@
         return []
 
     def list_for(self, peer: str, change: cluster.Change) -> None:
-        """Write the listing that an unlisted entry asks for."""
+        """Submit the listing that an unlisted peer requests for itself."""
         if isinstance(change, cluster.EntryListed) and change.name == peer:
             self._submit(change)
 
     def remove_lost(self, now: float) -> None:
-        """Remove entries whose processes are gone or silent."""
+        """Submit the removal of entries whose processes are dead or silent."""
         for one in self._members.lost(now):
             self._submit(cluster.EntryRemoved(one.name, one.incarnation))
 
     def _ask(self, change: cluster.EntryListed) -> list[object]:
-        """Ask any listed entry to write the listing of this one.
+        """Send a listed entry the request to write this entry's listing.
 
-        Two listed entries cut off from the store and from a newcomer could
-        else go on without it, and own the same new keys as it does.
+        If a new entry wrote its own listing, two listed entries that are cut
+        off from the store and from the new entry could continue without it,
+        and own the same new keys as the new entry.
         """
         reached = self._members.alive() & self._members.connected.keys()
         if not reached:
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -1,7 +1,7 @@
-"""What one entry knows of the other listed entries.
+"""State of the other listed entries, as observed by one entry.
 
-Their lease grants, whether their processes are alive, when they were last
-heard, and which of them to remove from the cluster configuration.
+It holds their lease grants, whether their processes are alive, when their last
+messages arrived, and which of them to remove from the cluster configuration.
 """
 
 import collections.abc
@@ -12,14 +12,22 @@
 from agatepick.net import messages
 
 REMOVE_DEAD_SECONDS = 2.0
-"""A process that was replaced in place lists itself anew within this time,
-and that removes the old incarnation with one change in place of two."""
+"""Delay before a dead entry is removed.
+
+A process that restarts under the same name is listed again within this time,
+which removes the old incarnation by one change instead of two.
+"""
 REMOVE_SILENT_SECONDS = 10.0
-"""Three fences: longer than a pause that a healthy machine recovers from,
-and its jobs' callers are told "outcome pending" until then."""
+"""Delay before a silent entry is removed.
+
+Three fences are longer than a pause that a healthy machine recovers from.
+Until the removal, callers of the entry's jobs receive "outcome pending".
+"""
 REMOVE_RANK_SECONDS = 2.0
-"""Each further entry in the order of names waits so much longer, so that
-one of them writes the removal and not all at once."""
+"""Additional delay per rank of an entry in the order of names.
+
+It lets one entry write the removal, rather than all of them at once.
+"""
 
 Id = tuple[str, int]
 """Name and incarnation of an entry."""
@@ -27,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """State kept of one incarnation of an entry."""
+    """State of one incarnation of an entry."""
 
     grant: readlease.PeerGrant = readlease.PeerGrant()
     heard_at: float = 0.0
@@ -35,7 +43,7 @@
 
 
 class Membership:
-    """The other entries as this one sees them."""
+    """The other listed entries and the state of their processes."""
 
     def __init__(self, me: messages.Member, rules: readlease.Rules):
         self._me = me
@@ -46,16 +54,16 @@
 
     @property
     def others(self) -> tuple[messages.Member, ...]:
-        """The other listed entries."""
+        """Return the other listed entries."""
         return self._others
 
     @property
     def connected(self) -> collections.abc.Mapping[str, int]:
-        """Incarnations of the entries that are connected, by name."""
+        """Return the incarnations of the connected entries, by name."""
         return self._up
 
     def list_anew(self, config: cluster.ClusterConfig, now: float) -> None:
-        """Take the listed entries from a new version."""
+        """Replace the listed entries by those of a new version."""
         self._others = tuple(
             one
             for one in config.listed()
@@ -68,7 +76,10 @@
             del self._peers[key]
 
     def up(self, hello: messages.Hello, now: float) -> None:
-        """An entry connected; any other incarnation of it is gone."""
+        """Record the connection of an entry.
+
+        Every other incarnation of that entry is dead.
+        """
         self._up[hello.name] = hello.incarnation
         for key, peer in self._peers.items():
             if key[0] != hello.name:
@@ -83,9 +94,13 @@
     def down(
         self, name: str, incarnation: int, dead: bool, now: float
     ) -> None:
-        """The connection to a peer ended, or a dial to it failed."""
+        """Record the loss of a connection to a peer, or a failed dial.
+
+        :param incarnation: 0 for a failed dial.
+        :param dead: whether the process is provably dead.
+        """
         if incarnation == 0 and name in self._up:
-            # A dial crossed the connection that the peer made to us.
+            # The dial failed, but the peer has connected to this entry.
             return
         if incarnation == self._up.get(name):
             del self._up[name]
@@ -96,7 +111,7 @@
                 self._died(peer, now)
 
     def heard(self, name: str, now: float) -> None:
-        """A message came from an entry."""
+        """Record the arrival of a message of an entry."""
         peer = self._connected_peer(name)
         if peer is not None:
             peer.heard_at = now
@@ -104,7 +119,7 @@
     def granted(
         self, name: str, grant: readlease.PeerGrant, now: float
     ) -> None:
-        """A peer gave a lease grant."""
+        """Record a lease grant of a peer, unless a newer one is known."""
         peer = self._connected_peer(name)
         if peer is None or grant.sent <= peer.grant.sent:
             return
@@ -114,7 +129,10 @@
         peer.grant = dataclasses.replace(grant, intent=intent)
 
     def intends(self, name: str, intent: cluster.Uncertain) -> bool:
-        """A peer is about to write; whether it is a listed one."""
+        """Record that a peer is about to write a change.
+
+        :returns: whether the peer is a listed entry.
+        """
         peer = self._connected_peer(name)
         if peer is None:
             return False
@@ -122,41 +140,42 @@
         return True
 
     def left(self, name: str, now: float) -> None:
-        """A peer's last message came; it writes nothing more."""
+        """Record the goodbye of a peer, which writes no further change."""
         peer = self._connected_peer(name)
         if peer is not None:
             self._died(peer, now)
 
     def grants(self) -> tuple[readlease.PeerGrant, ...]:
-        """The last grant of every other listed entry."""
+        """Return the last grant of every other listed entry."""
         return tuple(self._peers[_id(one)].grant for one in self._others)
 
     def unsettled(self) -> list[cluster.Uncertain]:
-        """Changes that a peer may have written, as far as it told."""
+        """Return the changes that peers reported and may have written."""
         return [one for grant in self.grants() for one in grant.unsettled()]
 
     def alive(self) -> frozenset[str]:
-        """Names of the other listed entries not provably dead."""
+        """Return the names of the other listed entries not provably dead."""
         return frozenset(
             one.name for one in self._others if not self.is_dead(one)
         )
 
     def is_dead(self, member: messages.Member) -> bool:
-        """Whether a listed entry's process is provably gone.
+        """Return whether a listed entry's process is provably dead.
 
-        An older incarnation of ourselves is: we have its address.
+        An older incarnation of this entry is, since this process has its
+        address.
         """
         if member.name == self._me.name:
             return True
         return self._peers[_id(member)].dead_at > 0.0
 
     def lost(self, now: float) -> list[messages.Member]:
-        """Listed entries that this one should now remove."""
+        """Return the listed entries that this entry should now remove."""
         return [one for one in self._others if self._is_lost(one, now)]
 
     def _is_lost(self, member: messages.Member, now: float) -> bool:
         if member.name == self._me.name:
-            # Our own listing removes our older incarnation.
+            # The listing of this process removes its older incarnation.
             return False
         peer = self._peers[_id(member)]
         alive = sorted({self._me.name, *self.alive()} - {member.name})
@@ -176,7 +195,7 @@
     def _settled_by(
         self, intent: cluster.Uncertain, grant: readlease.PeerGrant
     ) -> bool:
-        # The intent left no later than a fence before its in_force_at.
+        # The intent was sent at least one fence before its in_force_at.
         return grant.sent > intent.row.in_force_at - self._rules.fence
 
 
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -1,4 +1,4 @@
-"""Until when this entry may start tasks, and in which zones."""
+"""Permits to start tasks: the read lease and the bounds of each zone."""
 
 from agatepick.config import clockwatch
 from agatepick.config import cluster
@@ -10,10 +10,11 @@
 
 
 class Snapshot:
-    """Permits as they are at one instant, for one round of placements.
+    """Permits at one instant, for one round of placements.
 
-    A busy entry asks for every zone and every agent after each message.
-    Working the answers out anew took a quarter of its reducer's time.
+    A busy entry looks up the permits of every zone and agent after each
+    message.  Without this cache the lookups took a quarter of its reducer's
+    time.
 
     :param lease: end of the read lease; 0 if there is none.
     """
@@ -34,22 +35,22 @@
         self._bounds: dict[str, float] = {}
 
     def zone(self, name: str) -> cluster.Zone | None:
-        """What the document in force says of a zone."""
+        """Return the state of a zone in the document in force."""
         return self._document.zone(name)
 
     def zone_bound(self, zone: str) -> float:
-        """Instant from which ``zone`` is, or may be, out; 0 if it is."""
+        """Return when ``zone`` will or may go out; 0 if it is out already."""
         bound = self._bounds.get(zone)
         if bound is None:
             bound = self._bounds[zone] = self._zone_bound(zone)
         return bound
 
     def start_before(self, zone: str) -> float:
-        """Instant before which a task sent now to ``zone`` must start.
+        """Return the instant before which a task sent to ``zone`` must start.
 
-        A permit that reached past a pending departure would let a task wait
-        in a socket's buffer and start in a zone that is out.  0 if no task
-        may start.
+        The result is 0 if no task may start.  A permit that lasted beyond a
+        pending departure would let a task wait in a socket's buffer and
+        start in a zone that is out.
         """
         bound = self.zone_bound(zone)
         return min(self.lease, bound) if bound > self._now else 0.0
@@ -65,7 +66,7 @@
 
 
 class Permits:
-    """The read lease that one entry holds, and what narrows it."""
+    """The read lease of one entry, and the conditions that limit it."""
 
     def __init__(
         self,
@@ -88,13 +89,16 @@
         """Whether the head was read since the start of the process."""
 
     def read(self, stamp: float) -> None:
-        """Take the lease of a head that was read."""
+        """Extend the lease after a read of the head."""
         end = readlease.from_stamp(stamp, self._rules)
         self._store_lease = max(self._store_lease, end)
         self._lease = max(self._lease, end)
 
     def extend(self, now: float) -> None:
-        """Count the peers' grants; only a listed entry is told of writes."""
+        """Extend the lease by the peers' grants.
+
+        An unlisted entry receives no intents, so it can't rely on grants.
+        """
         if not self._known.latest.lists(self._me):
             return
         self._lease = readlease.extend(
@@ -107,7 +111,7 @@
         )
 
     def uncertain(self) -> tuple[cluster.Uncertain, ...]:
-        """Changes that may yet turn out to be written, ours among them."""
+        """Return the changes that may still take effect, ours included."""
         doubts = self._members.unsettled()
         own = self._writer.uncertain()
         if own is not None:
@@ -115,7 +119,7 @@
         return readlease.live(doubts, self._known.head)
 
     def serving(self, now: float) -> bool:
-        """Whether the head was read and this entry is listed in force."""
+        """Return whether the head was read and this entry is in force."""
         return (
             self.has_read
             and self._known.knows(now)
@@ -123,17 +127,17 @@
         )
 
     def lease_until(self, now: float) -> float:
-        """End of the read lease; 0 if there is none."""
+        """Return the end of the read lease, or 0 without a lease."""
         end = min(self._lease, self._known.removal(self._me, now))
         holds = now < end and self.serving(now) and self._clocks.trusted
         return end if holds else 0.0
 
     def reads_store(self, now: float) -> bool:
-        """Whether the lease comes from the store, not from peers."""
+        """Return whether the lease is from the store, not only from peers."""
         return now < self._store_lease
 
     def snapshot(self, now: float) -> Snapshot:
-        """All permits at ``now``."""
+        """Return all permits at ``now``."""
         return Snapshot(
             now,
             self.lease_until(now),
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -1,9 +1,9 @@
-"""Writes changes to the store, one at a time, by the rules of the lease.
+"""Writer of configuration changes, which writes one change at a time.
 
-Stages of an attempt: read the head; stop granting leases and tell the other
-entries of the intent; wait until each acknowledged it or can't rely on us
-any more; send the transaction.  :mod:`agatepick.config.readlease` has the
-proof.
+An attempt has these stages: the writer reads the head; it stops granting
+leases and sends the intent to the other entries; it waits until each of them
+has acknowledged the intent or its grant has expired; it sends the transaction.
+The proof of safety is in :mod:`agatepick.config.readlease`.
 """
 
 import collections
@@ -21,20 +21,28 @@
 from agatepick.table import store
 
 ATTEMPTS = 8
-"""Attempts at one change.  Another entry moves the stamp about once a
-second and an attempt takes milliseconds, so the second rarely fails too."""
+"""Attempts to write one change, at most.
+
+Another entry renews the stamp about once a second and an attempt takes
+milliseconds, so a second attempt rarely fails as well.
+"""
 GIVE_UP_SECONDS = 8.0
-"""How long an operator waits for a verdict; over two fences, since a silent
-peer alone takes one."""
+"""Time limit for a proposal.
+
+It exceeds two fences, since waiting for a silent peer takes one of them.
+"""
 STALE_SECONDS = 0.5
-"""After a longer wait for silent peers the head is read anew, since its
-stamp has been moved meanwhile and the transaction would only fail."""
+"""Age at which the head is read again before the transaction is sent.
+
+After a longer wait for silent peers another entry has renewed the stamp, and
+the transaction would fail.
+"""
 INTERNAL = 0
-"""Request id of changes that no operator asked for."""
+"""Request id of changes that no operator requested."""
 
 
 class Stage(enum.Enum):
-    """What the current attempt waits for."""
+    """Stage of the current attempt."""
 
     IDLE = 'idle'
     READ = 'read'
@@ -44,10 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that somebody wants.
+    """A requested change.
 
-    :param based_on: version that the operator saw; ``None`` for any.
-    :param seen: last version known here when it was proposed.
+    :param based_on: version that the operator's request is based on;
+        ``None`` for any.
+    :param seen: last version that this entry knew at the time of the request.
     """
 
     request_id: int
@@ -58,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peers:
-    """The other listed entries, as the writer must know them.
+    """State of the other listed entries that the writer depends on.
 
-    :param alive: names of those not provably dead.
-    :param granted: when we last gave each a lease grant.
-    :param may_write: empty, or why this entry may not write a change.
+    :param alive: names of the entries not provably dead.
+    :param granted: instants of the last lease grants to them, by name.
+    :param may_write: why this entry may not write a change; empty if it may.
     """
 
     alive: frozenset[str]
@@ -71,7 +80,7 @@
 
 
 class Writer:
-    """The proposals of one entry and the attempt under way."""
+    """The queued proposals of one entry and the current attempt."""
 
     def __init__(
         self,
@@ -95,24 +104,25 @@
 
     @property
     def writing(self) -> bool:
-        """Whether an attempt is past the read of the head."""
+        """Return whether the current attempt has read the head."""
         return self.stage in (Stage.INTENT, Stage.WRITE)
 
     def may_grant(self, peer: str) -> bool:
-        """Whether a peer may be given a lease grant now.
+        """Return whether a lease grant may be sent to a peer now.
 
-        Grants name the change under way as uncertain.  A peer that holds no
-        intent of it yet gets none, so that the wait for it comes to an end.
+        Grants contain the current change as uncertain.  A peer that hasn't
+        acknowledged the intent receives no grant, so that its last grant
+        expires and the wait for it ends.
         """
         return self.stage is not Stage.INTENT or peer in self._acked
 
     @property
     def idle(self) -> bool:
-        """Whether no proposal waits."""
+        """Return whether no proposal is queued."""
         return not self._queue
 
     def uncertain(self) -> cluster.Uncertain | None:
-        """Our own change that may have been, or may yet be, written."""
+        """Return our own change that may have taken, or may take, effect."""
         if self._unsettled is not None:
             return self._unsettled
         return self._doubt() if self.writing else None
@@ -120,7 +130,7 @@
     def submit(
         self, request_id: int, change: cluster.Change, based_on: int | None
     ) -> None:
-        """Queue a change."""
+        """Queue a change, unless it is internal and queued already."""
         if request_id == INTERNAL and self.wants(change):
             return
         self._queue.append(
@@ -128,11 +138,14 @@
         )
 
     def wants(self, change: cluster.Change) -> bool:
-        """Whether that change is queued already."""
+        """Return whether that change is queued."""
         return any(one.change == change for one in self._queue)
 
     def start(self, now: float) -> bool:
-        """Begin the next proposal; whether a read of the head is needed."""
+        """Start the next proposal if the writer is idle.
+
+        :returns: whether the head must be read.
+        """
         if self.stage is not Stage.IDLE or not self._queue:
             return False
         self.stage = Stage.READ
@@ -141,15 +154,15 @@
         return True
 
     def expire(self, now: float) -> list[object]:
-        """Give up a proposal that has waited too long for a read."""
+        """End a proposal whose read of the head has timed out."""
         if self.stage is not Stage.READ or now < self._give_up_at:
             return []
         return self._end('unavailable', reason='the store is too slow')
 
     def settle(self) -> list[object]:
-        """Decide an uncertain change by what is known now, if it can be.
+        """Resolve an uncertain change from the known versions, if possible.
 
-        A transaction whose answer is awaited may show by its row, too.
+        A transaction whose answer is outstanding is resolved by its row.
         """
         if self.stage is Stage.WRITE:
             return self._look_for_row()
@@ -166,13 +179,16 @@
         return [note, *(self._announce(one.row) if row == one.row else [])]
 
     def read_failed(self, reason: str) -> list[object]:
-        """The head couldn't be read: nothing was or will be written."""
+        """End the proposal if the head couldn't be read.
+
+        Nothing was written, and nothing will be.
+        """
         if self.stage is not Stage.READ:
             return []
         return self._end('unavailable', reason=reason)
 
     def head_seen(self, peers: Peers, now: float) -> list[object]:
-        """The head was just read; declare the intent, or end."""
+        """Handle a read of the head: send the intent, or end the proposal."""
         if self.stage is not Stage.READ or self._unsettled is not None:
             return []
         proposal = self._queue[0]
@@ -194,14 +210,14 @@
         return self._intend(row, peers)
 
     def acked(self, peer: str, ack: messages.IntentAck) -> None:
-        """A peer holds the intent of an attempt."""
+        """Record that a peer acknowledged the intent of an attempt."""
         if self.stage is Stage.INTENT and ack.attempt == self._attempt:
             self._acked.add(peer)
 
     def advance(self, peers: Peers, now: float) -> store.Transact | None:
-        """The transaction, once no peer relies on an old grant any more.
+        """Return the transaction once no peer relies on an earlier grant.
 
-        After too long a wait the stage is ``READ`` again instead.
+        After too long a wait the stage returns to ``READ`` instead.
         """
         row = self._row
         if self.stage is not Stage.INTENT or row is None:
@@ -218,9 +234,9 @@
         return headrows.change(self._base, row, stamp, after)
 
     def written(self, answer: store.Answer, now: float) -> list[object]:
-        """Take the store's answer to the transaction.
+        """Handle the store's answer to the transaction.
 
-        After a conflict the stage is ``READ`` again.
+        After a conflict the stage returns to ``READ``.
         """
         row = self._row
         if self.stage is not Stage.WRITE or row is None:
@@ -233,7 +249,7 @@
             return []
         if isinstance(answer, exceptions.StoreUnavailable):
             return self._end('unavailable', reason=answer.show())
-        # Repeating it could not tell "already written" from "lost a race".
+        # A retry could not distinguish "already written" from a conflict.
         self._unsettled = self._doubt()
         return self._end(
             'unknown',
@@ -248,7 +264,7 @@
         return cluster.Uncertain(self._row, self._base.stamp)
 
     def _look_for_row(self) -> list[object]:
-        """Find out by what was read how the transaction ended."""
+        """Determine the transaction's outcome from the known versions."""
         doubt = self._doubt()
         if doubt is None or readlease.live([doubt], self._known.head):
             return []
@@ -290,7 +306,7 @@
 
     def _in_force_at(self, now: float) -> float:
         if self._base == headrows.NO_HEAD:
-            # Nobody holds a lease for a head that was never written.
+            # No entry holds a lease for a head that was never written.
             return now
         at = max(now, self._base.stamp) + self._rules.fence
         return max(at, self._known.latest.in_force_at)
--- a/src/agatepick/core.py
+++ b/src/agatepick/core.py
@@ -1,8 +1,9 @@
-"""The reducer frame: events in, effects out, no input or output inside.
+"""Interface of reducers, and their common events and effects.
 
-Each role is one reducer over all its events.  A reducer is fed by a shell
-(:mod:`agatepick.runtime.shell`) that turns sockets, HTTP and time into events
-and carries the effects out.  It reads no clock: every call brings ``now``.
+A reducer receives events, returns effects and performs no I/O.  Each role is
+one reducer.  A shell (:mod:`agatepick.runtime.shell`) turns sockets, HTTP and
+time into events and executes the effects.  A reducer reads no clock: every
+call passes ``now``.
 """
 
 import dataclasses
@@ -14,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Received:
-    """A message came from a peer whose Hello has been taken."""
+    """Event: a message arrived from a peer that has sent its Hello."""
 
     peer: types.PeerName
     message: messages.Message
@@ -22,17 +23,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUp:
-    """A connection to a peer is ready for messages."""
+    """Event: a connection to a peer is ready for messages."""
 
     hello: messages.Hello
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerDown:
-    """The last connection to a peer ended, or a dial to it failed.
+    """Event: the last connection to a peer ended, or a dial to it failed.
 
-    :param dead: its address refused the connection, or another incarnation
-        answered there: the process is provably gone.
+    :param incarnation: incarnation of the peer; 0 for a failed dial.
+    :param dead: whether the process is provably dead: its address refused the
+        connection, or another process or incarnation answered there.
     """
 
     peer: types.PeerName
@@ -42,17 +44,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; sent at least every tick interval."""
+    """Event: time has passed; sent at least every tick interval."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The process was asked to stop gracefully."""
+    """Event: a graceful stop of the process was requested."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a peer; dropped when no connection is up."""
+    """Effect that sends a message to a peer, if it is connected."""
 
     peer: types.PeerName
     message: messages.Message
@@ -60,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dial:
-    """Keep a connection to a peer at an address (``ip:port``)."""
+    """Effect that maintains a connection to a peer at ``ip:port``."""
 
     peer: types.PeerName
     address: str
@@ -68,21 +70,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hangup:
-    """Stop keeping a connection to a peer."""
+    """Effect that stops dialling a peer and closes its connection."""
 
     peer: types.PeerName
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Send a :class:`Tick` at an instant, or sooner."""
+    """Effect that requests a :class:`Tick` at an instant or before."""
 
     at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Note:
-    """An entry of the time line, also logged: a name and its fields."""
+    """Effect that adds an event and its fields to the timeline and log."""
 
     name: str
     fields: tuple[tuple[str, str], ...] = ()
@@ -90,21 +92,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exit:
-    """The graceful stop is done; the process may end."""
+    """Effect: the graceful stop is complete; the process may exit."""
 
 
 Handler = typing.Callable[[typing.Any, float], list[object]]
-"""What a reducer does with one class of event, given the instant."""
+"""Function of a reducer that handles one class of events at an instant."""
 
 
 class Reducer(typing.Protocol):
-    """One role: its state, changed only by events."""
+    """Interface of a role, whose state only changes by events."""
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event and return the effects to carry out, in order."""
+        """Handle one event and return the effects to execute, in order."""
         ...
 
 
 def note(name: str, **fields: object) -> Note:
-    """A :class:`Note` with its fields as text."""
+    """Return a :class:`Note` with its fields as text."""
     return Note(name, tuple((key, str(val)) for key, val in fields.items()))
--- a/src/agatepick/exceptions.py
+++ b/src/agatepick/exceptions.py
@@ -1,14 +1,16 @@
-"""The one tree of errors; each knows where it arose and how to show itself."""
+"""Exceptions of agatepick; each records the step and peer of its error."""
 
 import typing
 
 
 class AgatepickError(Exception):
-    """Base of every error that agatepick raises.
+    """Base class of the errors that agatepick raises.
 
-    :param message: what went wrong, for a person.
-    :param step: what was being done, such as ``decode`` or ``admit``.
-    :param peer: the process or address at which it arose; empty if here.
+    :param message: description of the error, for people.
+    :param step: step in which the error occurred, such as ``decode`` or
+        ``admit``.
+    :param peer: the process or address at which the error occurred; empty for
+        the local process.
     """
 
     exit_status: typing.ClassVar[int] = 1
@@ -20,7 +22,7 @@
         self.peer = peer
 
     def show(self) -> str:
-        """One line for a person."""
+        """Return the error as one line of text."""
         where = ' '.join(
             f'{name}={value}'
             for name, value in (('step', self.step), ('peer', self.peer))
@@ -30,15 +32,15 @@
 
 
 class BadMessage(AgatepickError):
-    """A peer sent what isn't a message, or not one it may send."""
+    """A peer sent an invalid message, or one that it may not send."""
 
 
 class BadKey(AgatepickError):
-    """An idempotency key isn't one that agatepick can serve."""
+    """An idempotency key isn't a UUIDv7 in canonical form."""
 
 
 class BadSettings(AgatepickError):
-    """A settings file can't be used; lists every fault in it."""
+    """A settings file is invalid; the message lists every fault in it."""
 
     exit_status = 2
 
@@ -46,36 +48,36 @@
 class BadChange(AgatepickError):
     """A change can't be applied to the cluster configuration.
 
-    The message names the field at fault.
+    The message names the invalid field.
     """
 
     exit_status = 2
 
 
 class TooManyCalls(AgatepickError):
-    """More requests are open than the process holds; nothing was done."""
+    """The limit of open requests is reached; the request had no effect."""
 
 
 class Unreachable(AgatepickError):
-    """No answer came, so whether a job ran is not known."""
+    """No answer arrived, so it is not known whether a job ran."""
 
     exit_status = 6
 
 
 class BadUsage(AgatepickError):
-    """A command was given what it doesn't take."""
+    """A command was called with invalid arguments."""
 
     exit_status = 2
 
 
 class Rejected(AgatepickError):
-    """A request was refused, and did nothing."""
+    """A request was refused and had no effect."""
 
     exit_status = 3
 
 
 class Conflict(Rejected):
-    """Another change of the configuration won; nothing was written."""
+    """A concurrent change was written first; nothing else was written."""
 
     exit_status = 7
 
@@ -87,22 +89,22 @@
 
 
 class OutcomeUnknown(AgatepickError):
-    """The answer was lost on its way: the change may or may not hold."""
+    """The answer was lost; the change may or may not have taken effect."""
 
     exit_status = 5
 
 
 class StoreError(AgatepickError):
-    """The table service could not do what was asked."""
+    """The table service couldn't execute a request."""
 
 
 class StoreConflict(StoreError):
-    """A condition of a transaction didn't hold; nothing was written."""
+    """A condition of a transaction failed; nothing was written."""
 
 
 class StoreUnavailable(StoreError):
-    """The request didn't reach the table service; nothing was written."""
+    """The table service was unavailable; nothing was written."""
 
 
 class StoreUnknown(StoreError):
-    """The answer was lost: the transaction may or may not have happened."""
+    """The answer was lost; the transaction may or may not have committed."""
--- a/src/agatepick/net/__init__.py
+++ b/src/agatepick/net/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes, the links that carry them, and clocks."""
+"""Messages between processes, their connections, and clocks."""
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -1,9 +1,9 @@
 """The process's clock, and the offset of a peer's clock from it.
 
-Leases and fences compare instants taken by different processes.  A wall
-clock that an operator or a time daemon steps would end leases early or, far
+Leases and fences compare instants read by different processes.  A wall clock
+that is stepped by an operator or a time daemon would end leases early or, far
 worse, extend them.  The process therefore reads the wall clock once, at its
-start, and counts on from there by a clock that never steps.
+start, and adds the elapsed time of a clock that is never stepped.
 """
 
 import dataclasses
@@ -14,11 +14,14 @@
 
 
 class ProcessClock:
-    """Wall time at start plus the time passed since.
+    """Clock that adds the elapsed time to the wall time at its start.
 
-    ``CLOCK_BOOTTIME`` counts the time a virtual machine is suspended too.
-    With ``CLOCK_MONOTONIC`` a machine resumed after a minute would believe
-    for a minute more that its expired leases are good.
+    ``CLOCK_BOOTTIME`` includes the time for which a VM is suspended.  With
+    ``CLOCK_MONOTONIC``, the expired leases of a VM that is resumed after a
+    minute would appear valid for a further minute.
+
+    :param wall: seconds since the epoch at the start.
+    :param boot: ``CLOCK_BOOTTIME`` at the start, in seconds.
     """
 
     def __init__(self, wall: float, boot: float):
@@ -26,27 +29,28 @@
 
     @classmethod
     def start(cls) -> 'ProcessClock':
-        """The clock of a process that starts now."""
+        """Return the clock of a process that starts now."""
         return cls(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def now(self) -> float:
-        """Seconds since the epoch; never steps back."""
+        """Return the seconds since the epoch; the result never decreases."""
         return self._base + time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offset:
-    """How far a peer's clock is ahead of ours, and by how much that errs.
+    """Offset of a peer's clock from the local clock, with its error bound.
 
-    :param seconds: the peer's clock less ours.
-    :param error: the true offset is within ``seconds`` plus or minus this.
+    :param seconds: the peer's clock less the local clock.
+    :param error: bound on the error; the true offset differs from ``seconds``
+        by at most this many seconds.
     """
 
     seconds: float
     error: float
 
     def within(self, margin: float) -> bool:
-        """Whether the offset is surely no more than ``margin``."""
+        """Return whether the offset is at most ``margin``, error included."""
         return abs(self.seconds) + self.error <= margin
 
 
@@ -56,36 +60,37 @@
 def offset(
     sent: float, received: float, replied: float, arrived: float
 ) -> Offset:
-    """Offset by four instants.
+    """Return the offset of a peer's clock, derived from four instants.
 
-    :param sent: when the ping left, by our clock.
-    :param received: when the peer took it, by the peer's clock.
-    :param replied: when the peer answered, by the peer's clock.
-    :param arrived: when the answer came, by our clock.
+    :param sent: when the ping was sent, by the local clock.
+    :param received: when the peer received it, by the peer's clock.
+    :param replied: when the peer sent the pong, by the peer's clock.
+    :param arrived: when the pong arrived, by the local clock.
 
-    The peer held the ping between ``received`` and ``replied``, so half of
-    the rest of the round trip bounds the error, however the two ways differ.
+    The time between ``received`` and ``replied`` is spent at the peer, so half
+    of the rest of the round trip bounds the error, even if one direction is
+    slower than the other.
     """
     trip = max(0.0, (arrived - sent) - (replied - received))
     return Offset(((received - sent) + (replied - arrived)) / 2, trip / 2)
 
 
 class OffsetEstimate:
-    """The best of the last few samples of one peer's offset.
+    """Estimate of a peer's offset from its last few samples.
 
-    A sample delayed by a busy process has a wide error.  The one with the
-    least error of the last few is the best that is known, and an old one
-    ages out, so that a drifting clock is noticed.
+    A sample that a busy process delayed has a wide error bound.  The estimate
+    is the sample with the smallest error bound among the last few; older ones
+    are discarded, so that a drifting clock is detected.
     """
 
     def __init__(self) -> None:
         self.best = UNKNOWN
-        """The sample with the least error; :data:`UNKNOWN` if none."""
+        """The sample with the smallest error; :data:`UNKNOWN` if none."""
         self._samples: list[Offset] = []
 
     def add(self, sample: Offset) -> None:
-        """Take one more sample."""
+        """Add a sample and update :attr:`best`."""
         self._samples.append(sample)
         del self._samples[:-SAMPLES_KEPT]
-        # Asked for at every start, so found once a sample and kept.
+        # Cached, since it is read at every start of a task.
         self.best = min(self._samples, key=lambda one: one.error)
--- a/src/agatepick/net/httpcalls.py
+++ b/src/agatepick/net/httpcalls.py
@@ -1,11 +1,11 @@
-"""HTTP calls to one server over connections that stay open.
-
-Tornado's own clients open a connection for each call, which a worker's
-agent can't afford.  aiohttp keeps them open, but to import it takes a third
-of the time that a program needs to start, and after a loss of power callers
-wait for just that.  So connections are kept here, and httptools reads the
-answers: calls of its worker are most of what an agent does, and a parser in
-Python would be most of each.
+"""HTTP client of one server with persistent connections.
+
+Tornado's clients open a connection for each call, which costs a worker's agent
+too much.  aiohttp reuses connections, but its import takes a third of a
+program's start time, and after a power failure callers wait for that start.
+This module therefore pools connections itself, and httptools parses the
+responses: calls to its worker are most of an agent's work, and a parser in
+Python would take most of each call.
 """
 
 import asyncio
@@ -17,22 +17,23 @@
 from agatepick.net import reading
 
 CONTINUED_BELOW = 200
-"""Statuses below this announce the answer that follows."""
+"""Statuses below this are interim; another response follows."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class Client:
-    """Calls of one server.
+    """Client of one server.
 
     :param address: ``ip:port``.
-    :param connections: most that are open at a time; further calls wait.
+    :param connections: largest number of open connections; further calls
+        wait for one of them.
     """
 
     def __init__(self, address: str, connections: int) -> None:
@@ -49,13 +50,14 @@
         body: bytes = b'',
         headers: typing.Mapping[str, str] | None = None,
     ) -> Response:
-        """Make one call.
-
-        :param seconds: until the whole answer must be there, with the wait
-            for a free connection.
-        :raises ConnectionRefusedError: if nothing listens there.
-        :raises TimeoutError: if the time is over.
-        :raises OSError: if the connection broke, or the answer is no HTTP.
+        """Send one request and return its response.
+
+        :param seconds: timeout of the whole call, including the wait for a
+            free connection.
+        :raises ConnectionRefusedError: if no process listens at the address.
+        :raises TimeoutError: if the timeout has expired.
+        :raises OSError: if the connection was lost, or the response isn't
+            valid HTTP.
         """
         lines = [f'{method} {path} HTTP/1.1', f'Host: {self.address}']
         lines += [
@@ -70,14 +72,14 @@
                 return await self._exchange(method == 'GET', data)
 
     def close(self) -> None:
-        """Close the connections that no call uses."""
+        """Close the idle connections."""
         for conn in self._idle:
             conn.close()
         self._idle.clear()
 
     async def _exchange(self, repeatable: bool, data: bytes) -> Response:
         if repeatable and self._idle:
-            # The server may be closing the connection just now.
+            # The server may have closed the idle connection meanwhile.
             try:
                 return await self._once(data)
             except ConnectionError:
@@ -108,9 +110,9 @@
 
 
 class _Connection(reading.Reader):
-    """One connection; it takes one call at a time.
+    """Connection to the server, with one call at a time.
 
-    :ivar reusable: whether the server takes another call by it.
+    :ivar reusable: whether the connection can be used for another call.
     """
 
     def __init__(self, buffer: bytearray) -> None:
@@ -121,7 +123,7 @@
         self._answer: asyncio.Future[Response] | None = None
 
     def ask(self, data: bytes) -> asyncio.Future[Response]:
-        """Send a request; the future has its answer."""
+        """Send a request and return the future of its response."""
         assert self.transport is not None
         self.reusable = False
         self._parser = httptools.HttpResponseParser(self)
@@ -134,21 +136,21 @@
         return self._answer
 
     def close(self) -> None:
-        """End the connection and what is asked by it."""
+        """Close the connection; its call, if any, fails."""
         self.reusable = False
         self.abort()
 
-    # What the loop calls
+    # Callbacks of the event loop
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Fail the call in progress."""
         self.reusable = False
         self._fail(exc or ConnectionResetError('closed by the server'))
 
     def received(self, data: bytes) -> None:
-        """Hand on what has come to the parser."""
+        """Feed received bytes to the parser."""
         if self._parser is None:
-            # Nothing was asked: whoever answers all the same isn't sound.
+            # A response without a request is a fault of the server.
             self.close()
             return
         try:
@@ -157,14 +159,14 @@
             self._fail(OSError(f'no HTTP answer: {exc}'))
             self.close()
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_body(self, body: bytes) -> None:
-        """A part of the answer's body."""
+        """Store a part of the response's body."""
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
-        """All of the answer has come."""
+        """Complete the call, unless the response is interim."""
         assert self._parser is not None
         status = self._parser.get_status_code()
         if status < CONTINUED_BELOW:
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -1,10 +1,11 @@
-"""Connections to peers: Cap'n Proto messages, framed, over TCP.
+"""Connections to peers: framed Cap'n Proto messages over TCP.
 
 A frame is a big-endian 32-bit length and one encoded message.  Both sides
 first send a :class:`~agatepick.net.messages.Hello`, the accepting side before
-the dialling one: so a dialler that finds it already has a connection to that
-peer goes away unnoticed.  One connection serves both ways; when a peer dials
-again, it has lost the older connection, and the newer takes over.
+the dialling side, so that a dialler that already has a connection to that peer
+can close the new one before the peer registers it.  A connection carries
+messages in both directions.  A peer that dials again has lost the older
+connection, and the new one replaces it.
 """
 
 import asyncio
@@ -28,35 +29,52 @@
 ENTRY = 'entry'
 HEADER = struct.Struct('>I')
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""The largest frame taken: a job of 130 tasks with 100 kB bodies fits."""
+"""Largest accepted frame: a job of 130 tasks with 100 kB bodies fits."""
 MAX_UNSENT_BYTES = 64 * 1024 * 1024
-"""A peer that reads nothing is cut off here, before memory runs out."""
+"""Size of the write buffer at which a peer that doesn't read is disconnected.
+
+The limit prevents the process from running out of memory.
+"""
 HELLO_SECONDS = 5.0
 HEARTBEAT_SECONDS = 1.0
 SILENCE_SECONDS = 5.0
-"""Five missed heartbeats: longer than a garbage collection or a busy loop,
-shorter than what a caller waits."""
+"""Time without a message after which a peer is disconnected.
+
+Five heartbeats last longer than a garbage collection or a busy event loop, and
+less than a caller waits.
+"""
 SAMPLE_SECONDS = 15.0
-"""Age at which a clock sample is renewed where messages flow anyway.  Two
-clocks that drift apart by 500 parts in a million differ by 8 ms more then."""
+"""Age at which a clock sample is renewed on a connection in use.
+
+Two clocks that drift apart by 500 ppm differ by a further 8 ms by then.
+"""
 SAMPLE_TRIP_SECONDS = 0.1
-"""A sample with a longer round trip is too wide to be kept that long."""
+"""Longest round trip of a sample that is kept for ``SAMPLE_SECONDS``.
+
+A longer round trip makes the error bound too wide.
+"""
 REDIAL_PAUSES = backoff.Pauses(first=0.075, most=1.5)
 STEADY_SECONDS = 1.0
-"""A connection that has lasted this long counts as a success: a peer that
-takes connections and ends them at once is dialled with growing pauses."""
+"""Duration after which a connection resets the delay between dials.
+
+A peer that accepts connections and closes them at once is dialled with
+increasing delays.
+"""
 YIELD_SECONDS = 0.25
-"""Two entries dial each other.  The one with the greater name waits so long
-first; else both would connect at once and each end the other's connection."""
+"""Delay of a dial by the entry with the greater name.
+
+Two entries dial each other.  Without the delay both would connect at the same
+time, and each would close the other's connection.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """How soon a silent peer is noticed, in seconds.
+    """Intervals and timeouts of the connections, in seconds.
 
-    :param heartbeat: pause between looks at all connections.
-    :param silence: a peer that says nothing for so long is cut off.
-    :param dial: how long a connection may take to come about.
+    :param heartbeat: interval between checks of all connections.
+    :param silence: time without a message after which a peer is disconnected.
+    :param dial: timeout for a connection to open, and for the peer's Hello.
     """
 
     heartbeat: float = HEARTBEAT_SECONDS
@@ -65,28 +83,28 @@
 
 
 class Delay(typing.Protocol):
-    """Extra one-way latency towards a peer; used by the bench."""
+    """Interface of additional one-way latency to peers, for the bench."""
 
     def seconds(self, peer: types.PeerName) -> float:
-        """Seconds by which delivery to ``peer`` is held up."""
+        """Return the seconds by which delivery to ``peer`` is delayed."""
         ...
 
 
 class Stamps(typing.Protocol):
-    """Stamps on messages that tell causes from effects; see the time line."""
+    """Interface of the logical clock that stamps messages for the timeline."""
 
     def stamp(self) -> int:
-        """The stamp of a message out."""
+        """Return the stamp of an outgoing message."""
         ...
 
     def merge(self, stamp: int) -> None:
-        """Take note of the stamp of a message that came in."""
+        """Merge the stamp of an incoming message into the clock."""
         ...
 
 
 @dataclasses.dataclass
 class Traffic:
-    """Counters of what one process sent and took over its links."""
+    """Counters of the messages that a process sent and received."""
 
     messages_out: int = 0
     messages_in: int = 0
@@ -95,23 +113,29 @@
     by_kind: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def sent(self, message: messages.Message, size: int) -> None:
-        """Count one message out."""
+        """Count an outgoing message.
+
+        :param size: bytes of its frame.
+        """
         kind = type(message).__name__
         self.messages_out += 1
         self.bytes_out += size
         self.by_kind[kind] = self.by_kind.get(kind, 0) + 1
 
     def took(self, size: int) -> None:
-        """Count one message in."""
+        """Count an incoming message.
+
+        :param size: bytes of its frame.
+        """
         self.messages_in += 1
         self.bytes_in += size
 
 
 class Connection(reading.Reader):
-    """One framed stream to one peer.
+    """Connection to one peer that carries framed messages.
 
     :param buffer: as for :class:`~agatepick.net.reading.Reader`.
-    :param made: called once it is connected.
+    :param made: callback that is called once the connection is made.
     """
 
     def __init__(
@@ -139,22 +163,22 @@
         self._unsent: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has come about."""
+        """Store the transport and call the ``made`` callback."""
         super().connection_made(transport)
         self._made(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, by either side or by :meth:`close`."""
+        """Mark the connection as closed and lost."""
         self.closed = True
         if not self._first.done():
             self._first.set_exception(exc or ConnectionResetError('closed'))
-            # Nobody may wait for it any more.
+            # Retrieved here in case no caller awaits the first message.
             self._first.exception()
         if not self.lost.done():
             self.lost.set_result(None)
 
     def received(self, data: bytes) -> None:
-        """Take each whole frame of what has come."""
+        """Handle each complete frame among the received bytes."""
         self._unread = self._unread[self._at :] + data
         self._at = 0
         self._guard(self._take_frames)
@@ -162,7 +186,8 @@
     def send(self, message: messages.Message) -> None:
         """Queue a message; a closed connection drops it.
 
-        What is queued in one turn of the loop leaves by one write.
+        The messages queued in one iteration of the event loop are sent by one
+        write.
         """
         if self.closed:
             return
@@ -175,15 +200,15 @@
         self._unsent.append(data)
 
     def close(self) -> None:
-        """Send what is queued, as far as the peer takes it, and close."""
+        """Flush the queued messages, as far as possible, and close."""
         self._flush()
         self._end()
 
     async def first(self, seconds: float) -> messages.Message:
-        """The first message of the peer.
+        """Wait for the first message of the peer and return it.
 
-        :raises OSError: if the connection ends before.
-        :raises TimeoutError: if none comes in time.
+        :raises OSError: if the connection is lost before.
+        :raises TimeoutError: if no message arrives in time.
         """
         async with asyncio.timeout(seconds):
             return await self._first
@@ -191,7 +216,7 @@
     async def serve(
         self, take: typing.Callable[[messages.Message], None]
     ) -> None:
-        """Hand on each further message until the connection ends."""
+        """Pass each further message to ``take`` until the connection ends."""
         early, self._early = self._early, []
         self._take = take
         for message in early:
@@ -199,37 +224,37 @@
         await self.lost
 
     def ping(self, now: float) -> None:
-        """Ask for a sign of life and a clock sample."""
+        """Send a ping, whose pong is a heartbeat and a clock sample."""
         self.send(messages.Ping(now))
 
     def needs_ping(self, now: float) -> bool:
-        """Whether the peer has been silent, or its clock sample is old."""
+        """Return whether the peer is silent or its clock sample is old."""
         silent = now - self.heard_at >= HEARTBEAT_SECONDS
         return silent or now - self._sampled_at >= SAMPLE_SECONDS
 
     def sampled(self, pong: messages.Pong, now: float) -> None:
-        """Take note of an answer; a late one doesn't count as a sample.
+        """Record a pong, unless it arrived too late to be a clock sample.
 
-        A peer whose first answer came late, in the rush of a start, would
-        have an unknown clock until the next sample: its lease grants would
-        not count, and agents would refuse its starts.
+        Otherwise a peer whose first pong was late, as its process was busy
+        starting, would have an unknown clock until the next sample: its lease
+        grants would be ignored, and agents would refuse its starts.
         """
         if now - pong.sent <= SAMPLE_TRIP_SECONDS:
             self._sampled_at = now
 
     def _wait(self, message: messages.Message) -> None:
-        """Keep what comes before the connection is served."""
+        """Store a message that arrives before the connection is served."""
         if self._first.done():
             self._early.append(message)
         else:
             self._first.set_result(message)
 
     def _guard(self, step: typing.Callable[[], None]) -> None:
-        """Take a step; a message that can't be taken ends the connection."""
+        """Run ``step``; an invalid message closes the connection."""
         try:
             step()
         except exceptions.AgatepickError as exc:
-            # Also what a reducer raises for a message it can't take.
+            # A reducer raises it too, for a message that it rejects.
             exc.peer = self.hello.name if self.hello else ''
             LOG.warning('event=bad_message reason="%s"', exc.show())
             self.close()
@@ -258,14 +283,14 @@
             self._take(self._decode(data))
 
     def _next_frame(self) -> bytes | None:
-        """The next whole frame of what has been read, if there is one."""
+        """Return the message of the next complete frame, if there is one."""
         body = self._at + HEADER.size
         if len(self._unread) < body:
             return None
         (size,) = HEADER.unpack_from(self._unread, self._at)
         if size > MAX_FRAME_BYTES:
             raise exceptions.BadMessage(
-                f'frame of {size} bytes, at most {MAX_FRAME_BYTES}',
+                f'frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes',
                 step='receive',
             )
         if len(self._unread) < body + size:
@@ -282,10 +307,11 @@
 
 
 class Links:
-    """All connections of one process.
+    """All connections of one process to its peers.
 
-    :param hello: returns the process's own Hello, with what it says now.
-    :param feed: takes the events ``PeerUp``, ``PeerDown`` and ``Received``.
+    :param hello: callback that returns the process's current Hello.
+    :param feed: callback for the events ``PeerUp``, ``PeerDown`` and
+        ``Received``.
     """
 
     def __init__(
@@ -321,18 +347,18 @@
         self._heartbeat: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
-        """Start sending heartbeats; call once, on the loop."""
+        """Start to send heartbeats; must be called once, on the event loop."""
         loop = asyncio.get_running_loop()
         self._heartbeat = loop.create_task(self._beat())
 
     def add_sockets(self, sockets: typing.Iterable[socket.socket]) -> None:
-        """Take connections of peers on listening sockets."""
+        """Accept connections of peers on listening sockets."""
         for sock in sockets:
             self._sockets.append(sock)
             self._run(self._accept(sock))
 
     def end(self) -> None:
-        """Close everything at once."""
+        """Close all connections and listening sockets at once."""
         for task in [*self._dials.values(), *self._tasks]:
             task.cancel()
         for server in self._servers:
@@ -345,11 +371,11 @@
             conn.close()
 
     def connected(self) -> tuple[types.PeerName, ...]:
-        """Names of the peers that a message would reach now."""
+        """Return the names of the connected peers."""
         return tuple(self._peers)
 
     def send(self, peer: types.PeerName, message: messages.Message) -> None:
-        """Send to a peer; dropped when there is no connection."""
+        """Send a message to a peer, or drop it without a connection."""
         conn = self._peers.get(peer)
         if conn is None:
             return
@@ -361,14 +387,14 @@
         loop.call_later(seconds, conn.send, message)
 
     def dial(self, peer: types.PeerName, address: str) -> None:
-        """Keep a connection to ``peer`` at ``ip:port`` until hung up."""
+        """Maintain a connection to ``peer`` at ``ip:port`` until hangup."""
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
         self._dials[peer] = loop.create_task(self._keep(peer, address))
 
     def hangup(self, peer: types.PeerName) -> None:
-        """Close the connection to a peer and dial it no more."""
+        """Close the connection to a peer and stop dialling it."""
         task = self._dials.pop(peer, None)
         if task is not None:
             task.cancel()
@@ -377,7 +403,7 @@
             conn.close()
 
     def cut(self, peer: types.PeerName) -> None:
-        """Close the connection to a peer; it may come back."""
+        """Close the connection to a peer, which may be opened again."""
         conn = self._peers.get(peer)
         if conn is not None:
             conn.close()
@@ -442,7 +468,7 @@
         old = self._peers.get(hello.name)
         self._peers[hello.name] = conn
         if old is not None and old.hello is not None:
-            # Messages on the older connection may be lost with it.
+            # The older connection is lost, possibly with some messages.
             old.close()
             before = old.hello.incarnation
             dead = before != hello.incarnation
@@ -481,7 +507,10 @@
             await asyncio.sleep(redial.failed())
 
     async def _dial_once(self, peer: types.PeerName, address: str) -> bool:
-        """Connect and serve; ``False`` if no connection came about."""
+        """Dial a peer and serve the connection until it is lost.
+
+        :returns: whether the peer was connected.
+        """
         mine = self._hello()
         if mine.role == ENTRY and mine.name > peer:
             await asyncio.sleep(YIELD_SECONDS)
@@ -506,7 +535,7 @@
             await self._waiting.setdefault(peer, asyncio.Event()).wait()
 
     def _check_name(self, conn: Connection, peer: str, address: str) -> None:
-        # Another process has the address: the one that had it is gone.
+        # Another process has the address, so the dialled one is dead.
         found = conn.hello.name if conn.hello else ''
         if peer not in (address, found):
             self._feed(core.PeerDown(peer, 0, True))
@@ -524,7 +553,7 @@
                     ssl=self._client_tls,
                 )
         except (OSError, TimeoutError) as exc:
-            # Nothing listens there: the process that did is gone.
+            # A refused connection shows that the process is dead.
             dead = isinstance(exc, ConnectionRefusedError)
             LOG.info('event=dial_failed peer=%s reason=%r', peer, exc)
             self._feed(core.PeerDown(peer, 0, dead))
--- a/src/agatepick/net/messages.capnp
+++ b/src/agatepick/net/messages.capnp
@@ -1,5 +1,5 @@
-# Messages between agatepick's own processes.  Times are seconds since the
-# epoch in the sender's clock; names are those of the processes' settings.
+# Messages between agatepick's processes.  Instants are seconds since the epoch
+# by the sender's clock; processes are identified by their names in settings.
 @0xb7a1c94e0d5f3a26;
 
 struct Envelope {
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -1,9 +1,9 @@
-"""Messages between agatepick's own processes, and their codec.
+"""Messages between agatepick's processes, and their codec.
 
-Each class mirrors the struct of its name in ``messages.capnp``; fields are
-the same in snake case.  ``encode`` and ``decode`` turn a message into bytes
-and back; a peer's bytes are never trusted, so ``decode`` raises
-:class:`agatepick.exceptions.BadMessage` for whatever isn't one whole message.
+Each class mirrors the struct of the same name in ``messages.capnp``; its
+fields have the same names in snake case.  A peer's bytes are not trusted:
+``decode`` raises :class:`agatepick.exceptions.BadMessage` for any bytes that
+aren't exactly one message.
 """
 
 import dataclasses
@@ -22,15 +22,17 @@
 WORD_BYTES = 8
 TRAVERSALS = 2
 SPARE_WORDS = 128
-"""A reader may pass each word of a message twice, and a few more: whole
-messages need one pass.  A limit that doesn't grow with the message lets a
-few hundred bytes claim a list of a million empty items, and its receiver
-stands still for seconds."""
+"""Words that a reader may traverse, beyond ``TRAVERSALS`` times the message.
+
+A valid message needs one traversal.  With a limit independent of the message's
+size, a few hundred bytes can declare a list of a million empty items, which
+would block the receiver for seconds.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First message on a connection: who speaks."""
+    """First message on a connection, which identifies the sender."""
 
     name: str
     role: str
@@ -43,14 +45,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks for a clock sample; also the heartbeat of a connection."""
+    """Request for a clock sample; also the heartbeat of a connection."""
 
     sent: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pong:
-    """Answers :class:`Ping` with the instants that give the clock offset."""
+    """Answer to :class:`Ping`, with the instants of a clock sample."""
 
     sent: float
     received: float
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartTask:
-    """One task to start, inside :class:`Starts`."""
+    """A task to start, as part of :class:`Starts`."""
 
     job: str
     index: int
@@ -73,10 +75,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Starts:
-    """Tasks an owner asks an agent to start before an instant.
+    """Request of an owner to an agent to start tasks before an instant.
 
-    :param start_before: end of the owner's read lease, in its clock.
-    :param waiting: tasks still queued at the owner: its demand for slots.
+    :param start_before: end of the owner's read lease, by the owner's clock.
+    :param waiting: number of tasks still queued at the owner, which is its
+        demand for slots.
     """
 
     owner: str
@@ -90,10 +93,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskReport:
-    """What an agent knows of one task; ``state`` is a ``TaskState``.
+    """State of a task at an agent; ``state`` is a ``TaskState``.
 
-    :param digest: tells a task from another of its index; only in
-        :class:`Orphans`.
+    :param digest: digest that distinguishes the task from another one with
+        the same index; only set in :class:`Orphans`.
     """
 
     job: str
@@ -108,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Results:
-    """Reports to an owner, with the slots it now holds at the agent."""
+    """Reports to an owner, with the slots that it holds at the agent."""
 
     agent_incarnation: int
     credits: int
@@ -117,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """An agent's upstream, and the slots that the receiver may fill."""
+    """State of an agent's upstream, and the slots the receiver may fill."""
 
     agent_incarnation: int
     credits: int
@@ -129,14 +132,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ask:
-    """An owner out of slots asks an agent for more."""
+    """Request of an owner without slots to an agent for more slots."""
 
     want: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopJob:
-    """Stop, throttle or checkpoint whatever runs of a job."""
+    """Request to stop, throttle or checkpoint the running tasks of a job."""
 
     job: str
     action: str
@@ -144,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskRef:
-    """Names one attempt at one task."""
+    """Reference to an attempt of a task."""
 
     job: str
     index: int
@@ -153,9 +156,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settle:
-    """Asks an agent what became of starts whose answer may be lost.
+    """Request to an agent for the state of starts whose report may be lost.
 
-    The agent refuses for good whatever it has not started.
+    The agent permanently refuses those tasks that it has not started.
     """
 
     agent_incarnation: int
@@ -164,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Orphans:
-    """Reports on a lost owner's tasks to the owner that takes over."""
+    """Reports on a lost owner's tasks to the owner that succeeds it."""
 
     owner: str
     owner_incarnation: int
@@ -192,7 +195,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Members:
-    """The entries, told to agents."""
+    """The entries of the cluster, sent to agents."""
 
     version: int
     entries: tuple[Member, ...]
@@ -200,7 +203,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """A caller's request passed on to the owner of its job.
+    """Request of a caller, forwarded to the owner of its job.
 
     :param action: ``submit``, ``ask`` or ``cancel``.
     :param jobs: the job of a ``submit``, else empty.
@@ -215,7 +218,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forwarded:
-    """Answer to :class:`Forward`: a ``JobAnswer`` as JSON."""
+    """Answer to :class:`Forward`; holds a ``JobAnswer`` as JSON."""
 
     request: int
     answer: bytes
@@ -223,9 +226,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """A peer's lease grant: at ``sent`` it was at ``version``, writing none.
+    """Lease grant of a peer that was at ``version`` at ``sent``.
 
-    :param uncertain: a change whose fate isn't known, encoded; else empty.
+    :param uncertain: the peer's encoded change that may take effect; empty if
+        there is none.
     """
 
     version: int
@@ -235,7 +239,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Intent:
-    """The sender is about to write ``change`` on top of ``version``."""
+    """Announcement that the sender will write ``change`` after ``version``."""
 
     version: int
     change: bytes
@@ -243,7 +247,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IntentAck:
-    """The receiver holds the :class:`Intent` of that attempt."""
+    """Acknowledgement of the :class:`Intent` of that attempt."""
 
     version: int
     attempt: int
@@ -251,7 +255,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes of the configuration after version ``since``, encoded."""
+    """Encoded changes of the configuration after version ``since``."""
 
     since: int
     rows: tuple[bytes, ...]
@@ -259,17 +263,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangesWanted:
-    """Asks a peer for :class:`Changes` after a version."""
+    """Request to a peer for :class:`Changes` after a version."""
 
     since: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaAsk:
-    """Asks a team's quota coordinator for a part of the team's quota.
+    """Request to a team's quota coordinator for a share of the quota.
 
-    :param promise: until then the sender stays within its grant; 0 if it
-        promises nothing.
+    :param promise: instant until which the sender stays within its grant; 0
+        if it makes no such promise.
     :param held_until: end of the last grant that the sender has received.
     """
 
@@ -282,7 +286,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """A share of a team's quota, until an instant."""
+    """Grant of a share of a team's quota until an instant."""
 
     team: str
     amount: int
@@ -291,25 +295,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Goodbye:
-    """Last message of a process that stops for good."""
+    """Last message of a process that stops permanently."""
 
     reason: str = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Room:
-    """What an agent's worker is and has room for.
-
-    :param open: whether runs may be started there.
-    :param pool: name of the workers that it belongs to.
-    :param free: room that nobody holds; with a grant, room that is kept for
-        the receiver alone.
-    :param grant: number that the next :class:`StartRuns` gives back, used or
-        not; 0 for room that any entry may try for.
+    """Description and free capacity of an agent's worker.
+
+    :param open: whether runs may be started at the worker.
+    :param pool: name of the pool that the worker belongs to.
+    :param free: free capacity; with a grant, capacity that is reserved for
+        the receiver.
+    :param grant: number that the next :class:`StartRuns` returns, whether the
+        grant was used or not; 0 for capacity that any entry may request.
     :param taken: number of the receiver's last :class:`StartRuns` that
-        ``free`` counts.
-    :param entries: entries connected to the agent.
-    :param cost: expected time until a result, over that at a sound worker.
+        ``free`` accounts for.
+    :param entries: number of entries connected to the agent.
+    :param cost: expected time until a result, divided by that at a healthy
+        worker.
     """
 
     agent_incarnation: int
@@ -326,11 +331,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Want:
-    """Tasks that an entry can't place anywhere; ``count`` 0 takes it back.
+    """Demand of an entry: tasks that it can't place at any worker.
 
-    :param least: needs of the smallest of them.
-    :param slack: seconds until the most urgent should have started.
-    :param total: needs of all of them together.
+    :param count: number of the tasks; 0 withdraws an earlier demand.
+    :param least: needs of the smallest task.
+    :param slack: seconds until the most urgent task should have started.
+    :param total: sum of the needs of all the tasks.
     """
 
     count: int
@@ -340,16 +346,16 @@
 
 
 NO_WANT = Want(0, types.Needs(), 0.0, types.Needs())
-"""Nothing waits."""
+"""Demand of an entry without waiting tasks."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunSpec:
-    """One run of a task of a repeatable job.
+    """A run of a task of a repeatable job.
 
-    :param run: number of the run, from 1; a later one is higher.
+    :param run: number of the run, from 1; a later run has a higher number.
     :param name: the task's name at the worker.
-    :param expected: seconds that it is expected to take.
+    :param expected: expected duration in seconds.
     """
 
     job: str
@@ -362,7 +368,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Payload:
-    """What each task of a repeatable job is given."""
+    """Input of every task of a repeatable job."""
 
     job: str
     data: bytes
@@ -370,12 +376,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartRuns:
-    """Runs to start now.
-
-    :param number: counts these messages on one connection, from 1.
-    :param grant: number of the :class:`Room` that it answers, or 0.
-    :param want: what still waits; it replaces an earlier :class:`Want`.
-    :param payloads: of jobs whose payload the receiver doesn't have yet.
+    """Request to start runs now.
+
+    :param number: number of this message among those on the connection,
+        from 1.
+    :param grant: number of the grant in the :class:`Room` that this message
+        answers, or 0.
+    :param want: remaining demand; it replaces an earlier :class:`Want`.
+    :param payloads: payloads of the jobs for which the receiver has none yet.
     """
 
     number: int
@@ -387,7 +395,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunRef:
-    """Names one run."""
+    """Reference to a run."""
 
     job: str
     index: int
@@ -396,14 +404,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRuns:
-    """Runs to stop; each is reported once it is over."""
+    """Request to stop runs; each is reported once it has ended."""
 
     runs: tuple[RunRef, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunReport:
-    """How a run stands; ``state`` is a ``RunState``."""
+    """State of a run; ``state`` is a ``RunState``."""
 
     job: str
     index: int
@@ -417,8 +425,8 @@
 class RunReports:
     """Reports of an agent to the entry that owns the runs.
 
-    :param whole: these are all runs of the receiver that the agent knows;
-        any other is over.
+    :param whole: whether the reports cover all runs of the receiver that the
+        agent knows; any other run has ended.
     """
 
     reports: tuple[RunReport, ...]
@@ -427,9 +435,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Renewal:
-    """An agent asks an entry to renew the lease on its runs.
+    """Request of an agent to an entry to renew the lease on its runs.
 
-    :param trip: seconds from the last one until its answer.
+    :param trip: round trip time of the previous renewal, in seconds.
     """
 
     sent: float
@@ -438,9 +446,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Renewed:
-    """The lease holds, counted from when its :class:`Renewal` was sent.
+    """Renewal of a lease, which starts when its :class:`Renewal` was sent.
 
-    :param agents: agents that the entry listens to.
+    :param agents: number of agents from which the entry receives messages.
     """
 
     sent: float
@@ -483,7 +491,7 @@
 class Stamped:
     """A message with the stamp of its sender's hybrid logical clock.
 
-    :param stamp: microseconds; 0 if the sender gave none.
+    :param stamp: stamp in microseconds; 0 if the message has none.
     """
 
     message: Message
@@ -491,7 +499,7 @@
 
 
 def encode(message: Message, stamp: int = 0) -> bytes:
-    """The bytes of one message."""
+    """Return the encoded message."""
     kind: type = type(message)
     envelope = _schema().Envelope.new_message()
     envelope.stamp = stamp
@@ -500,15 +508,18 @@
 
 
 def decode(data: bytes) -> Message:
-    """The message in ``data``; raises as :func:`decode_stamped`."""
+    """Return the message in ``data``.
+
+    :raises agatepick.exceptions.BadMessage: as :func:`decode_stamped`.
+    """
     return decode_stamped(data).message
 
 
 def decode_stamped(data: bytes) -> Stamped:
-    """The message in ``data`` with its stamp.
+    """Return the message in ``data`` with its stamp.
 
-    :raises agatepick.exceptions.BadMessage: if it isn't one whole message
-        of a known kind.
+    :raises agatepick.exceptions.BadMessage: if ``data`` isn't exactly one
+        message of a known kind.
     """
     try:
         with _schema().Envelope.from_bytes(
@@ -522,10 +533,10 @@
             message = content.read(envelope._get_by_field(content.wire))
             stamp = envelope._get_by_field(_stamp_wire())
             return Stamped(typing.cast(Message, message), stamp)
-    # pycapnp raises its own and the standard errors for malformed bytes.
+    # pycapnp raises its own and standard errors for malformed bytes.
     except (capnp.KjException, ValueError, KeyError, AttributeError) as exc:
         raise exceptions.BadMessage(
-            f'not one whole message: {exc}', step='decode'
+            f'malformed message: {exc}', step='decode'
         ) from exc
 
 
@@ -549,7 +560,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Content:
-    """One kind of message in the envelope: its field, and how it is read."""
+    """Field of a kind of message in the envelope, with its reader."""
 
     wire: typing.Any
     read: _Read
@@ -576,10 +587,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Field:
-    """A field in both its forms, looked up once.
+    """A field of a message class and of its struct, looked up once.
 
-    Access through the schema's field object costs 0.3 us; by attribute
-    name it costs 1.7 us, which made up most of the codec's time.
+    Access through the schema's field object takes 0.3 us; access by attribute
+    name takes 1.7 us, which was most of the codec's time.
     """
 
     name: str
@@ -589,7 +600,7 @@
 
     @property
     def item(self) -> typing.Any:
-        """Type of the items of a list field, else ``None``."""
+        """Return the type of the items of a list field, else ``None``."""
         if isinstance(self.hint, pytypes.GenericAlias):
             return typing.get_args(self.hint)[0]
         return None
--- a/src/agatepick/net/reading.py
+++ b/src/agatepick/net/reading.py
@@ -1,27 +1,27 @@
-"""Reading from a socket where its bytes come in.
+"""Base class of protocols that read from a socket into a shared buffer.
 
-A coroutine that reads a stream takes three turns of the loop and three calls
-of the kernel for a small message; a protocol takes one of each.
+A coroutine that reads a stream takes three iterations of the event loop and
+three system calls for a small message; a protocol takes one of each.
 """
 
 import asyncio
 import typing
 
 READ_BYTES = 64 * 1024
-"""Most that is read at once: a busy peer's messages come many at a time."""
+"""Size of a read, which holds many messages of a busy peer."""
 
 
 def new_buffer() -> bytearray:
-    """Where the connections of one loop read to."""
+    """Return a buffer that the connections of one event loop share."""
     return bytearray(READ_BYTES)
 
 
 class Reader(asyncio.BufferedProtocol):
-    """One connection; whoever extends it takes what comes.
+    """Base class of a connection; subclasses handle the received bytes.
 
-    :param buffer: where bytes are read to; connections of one loop share it,
-        as nothing runs between the read and :meth:`received`.
-    :ivar transport: ``None`` before the connection has come about.
+    :param buffer: buffer that bytes are read into.  Connections of one event
+        loop share it, as nothing runs between a read and :meth:`received`.
+    :ivar transport: the transport; ``None`` before the connection is made.
     """
 
     def __init__(self, buffer: bytearray) -> None:
@@ -29,22 +29,22 @@
         self._buffer = buffer
 
     def received(self, data: bytes) -> None:
-        """Take bytes that have come."""
+        """Handle received bytes."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """End the connection, without waiting for a silent peer."""
+        """Close the connection at once, without flushing the transport."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has come about."""
+        """Store the transport of the new connection."""
         self.transport = typing.cast(asyncio.Transport, transport)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Where the next bytes go."""
+        """Return the buffer for the next read."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """So many bytes have come."""
+        """Hand ``nbytes`` received bytes to :meth:`received`."""
         self.received(bytes(memoryview(self._buffer)[:nbytes]))
--- a/src/agatepick/net/tls.py
+++ b/src/agatepick/net/tls.py
@@ -1,8 +1,9 @@
-"""TLS contexts from settings, for callers and between our processes.
+"""TLS contexts from settings, for callers and between agatepick processes.
 
-Between our processes both sides show a certificate of the same authority.
-Peers dial IP numbers, so what counts is the authority, which signs
-certificates of agatepick processes only, and not the name in them.
+Between agatepick processes both sides present a certificate of the same
+authority.  Peers dial IP addresses, so the name in a certificate isn't
+checked, only its authority, which must sign certificates of agatepick
+processes only.
 """
 
 import dataclasses
@@ -14,15 +15,15 @@
 from agatepick import exceptions
 
 Stamp = tuple[tuple[str, int, int], ...]
-"""Path, time of change and size of each file."""
+"""Path, modification time in nanoseconds and size of each file."""
 
 
 @dataclasses.dataclass(slots=True)
 class Contexts:
-    """The contexts of one process; all ``None`` when TLS is off.
+    """The TLS contexts of one process; all are ``None`` when TLS is off.
 
-    A context stays the same object when its files are read again, so
-    whoever holds it uses the new certificate for the next connection.
+    A reload updates the contexts in place, so that servers and clients that
+    hold them use the new certificate for the next connection.
     """
 
     cfg: settings.Tls = settings.Tls(enabled=False)
@@ -33,9 +34,9 @@
 
     @classmethod
     def from_config(cls, cfg: settings.Tls) -> 'Contexts':
-        """Contexts over the files that settings name.
+        """Return contexts that use the files named by the settings.
 
-        :raises agatepick.exceptions.BadSettings: if a file can't be used.
+        :raises agatepick.exceptions.BadSettings: if a file is invalid.
         """
         if not cfg.enabled:
             return cls(cfg)
@@ -52,15 +53,16 @@
     def reload(self) -> bool:
         """Read the files again if any has changed.
 
-        A file that can't be used leaves the old certificate in use: a
-        renewal caught half way would otherwise end all new connections.
+        If a file is invalid, the old certificate stays in use.  Otherwise new
+        connections would fail while a certificate is being renewed and its
+        files are partly written.
 
         :returns: whether new files were read.
-        :raises agatepick.exceptions.BadSettings: if a file can't be used.
+        :raises agatepick.exceptions.BadSettings: if a file is invalid.
         """
         if not self.cfg.enabled or _stamp(self.cfg) == self._stamp:
             return False
-        # A bad file must not spoil a live context, so it is tried apart.
+        # Loaded into new contexts first: a bad file must not affect ours.
         Contexts.from_config(self.cfg)
         self._read()
         return True
@@ -81,9 +83,10 @@
 
 
 def caller_context(authority: str = '') -> ssl.SSLContext:
-    """Context of a client of the HTTP side.
+    """Return the context of a client of the HTTP API.
 
-    :param authority: PEM file of whom to trust; empty for the system's.
+    :param authority: PEM file of the trusted authority; empty for the
+        system's authorities.
     """
     context = ssl.create_default_context()
     if authority:
@@ -103,7 +106,7 @@
         context.load_cert_chain(certificate, key, password=_no_password)
     except (OSError, ValueError) as exc:
         raise exceptions.BadSettings(
-            f'{certificate} with {key}: no certificate and key: {exc}',
+            f'{certificate} with {key}: invalid certificate or key: {exc}',
             step='tls',
         ) from exc
 
@@ -115,15 +118,15 @@
         context.load_verify_locations(authority)
     except (OSError, ValueError) as exc:
         raise exceptions.BadSettings(
-            f'{authority}: no certificate of an authority: {exc}', step='tls'
+            f'{authority}: invalid authority certificate: {exc}', step='tls'
         ) from exc
     if required:
         context.verify_mode = ssl.CERT_REQUIRED
 
 
 def _no_password() -> typing.NoReturn:
-    # Without this a locked key makes OpenSSL ask at the terminal.
-    raise ValueError('the key is locked by a password')
+    # Without this callback OpenSSL prompts for the password of a key.
+    raise ValueError('the key is encrypted with a password')
 
 
 def _stamp(cfg: settings.Tls) -> Stamp:
--- a/src/agatepick/table/__init__.py
+++ b/src/agatepick/table/__init__.py
@@ -1,1 +1,1 @@
-"""The table service, and what protects it from too many calls."""
+"""Client of the table service, with limits on its calls."""
--- a/src/agatepick/table/breaker.py
+++ b/src/agatepick/table/breaker.py
@@ -1,17 +1,18 @@
-"""Circuit breaker: stop calling what keeps failing, and probe it."""
+"""Circuit breaker for calls to a failing service."""
 
 import random
 
 
 class CircuitBreaker:
-    """Opens after ``FAILURES`` failures in a row; then lets a probe through.
-
-    Without it each call to a dead store waits for its whole deadline, and an
-    operator learns only after seconds what was known all along.  Five
-    failures are two seconds of an entry's reads: a single lost packet
-    doesn't open it.  Probes come every ``PROBE_SECONDS``, jittered so that
-    all entries don't meet a recovering store at once; a second is a third
-    of the fence, so an entry is back within one fence of the recovery.
+    """Circuit breaker that opens after ``FAILURES`` consecutive failures.
+
+    Without it each call to an unavailable store would wait for its whole
+    deadline, and an operator would learn of a known outage only after
+    seconds.  Five failures take two seconds of an entry's reads, so a single
+    lost packet doesn't open the breaker.  An open breaker allows a probe every
+    ``PROBE_SECONDS``, jittered so that the entries don't all call a recovering
+    store at once.  A second is a third of the fence, so an entry resumes
+    within one fence of the recovery.
     """
 
     FAILURES = 5
@@ -24,11 +25,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether calls are being refused."""
+        """Return whether the breaker is open, so that it refuses calls."""
         return self._failed >= self.FAILURES
 
     def allow(self, now: float) -> bool:
-        """Whether a call may go out; in the open state it is the probe."""
+        """Return whether a call may be sent; in the open state as a probe."""
         if not self.open:
             return True
         if now < self._probe_at:
@@ -37,11 +38,11 @@
         return True
 
     def succeeded(self) -> None:
-        """An answer came, whatever it said."""
+        """Record a call that the service answered, with any result."""
         self._failed = 0
 
     def failed(self, now: float) -> None:
-        """No answer came, or one that says that the service is down."""
+        """Record a call without an answer, or with one of unavailability."""
         self._failed += 1
         if self._failed == self.FAILURES:
             self._schedule(now)
--- a/src/agatepick/table/ratelimit.py
+++ b/src/agatepick/table/ratelimit.py
@@ -1,8 +1,8 @@
-"""Budgets that refill with time: rates of requests, and retries."""
+"""Limits on requests: a rate limit and a retry budget."""
 
 
 class TokenBucket:
-    """At most ``rate`` tokens a second, with ``burst`` saved up at most."""
+    """Rate limiter that adds ``rate`` tokens a second, up to ``burst``."""
 
     def __init__(self, rate: float, burst: float, now: float):
         self._rate = rate
@@ -11,7 +11,10 @@
         self._at = now
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Take a token if one is available.
+
+        :returns: whether a token was taken.
+        """
         passed = max(0.0, now - self._at)
         self._tokens = min(self._burst, self._tokens + passed * self._rate)
         self._at = max(now, self._at)
@@ -22,11 +25,11 @@
 
 
 class RetryBudget:
-    """Retries allowed in proportion to requests.
+    """Budget that limits retries to a share of the requests.
 
-    Every caller retrying a store that fails multiplies its load just when
-    it can bear the least, and keeps it down.  One retry for every ten
-    requests carries callers over a lost packet and adds a tenth at worst.
+    If every caller retried, a failing store's load would multiply when its
+    capacity is lowest, which would keep it down.  One retry for every ten
+    requests compensates for a lost packet and adds at most a tenth of load.
     """
 
     RATIO = 0.1
@@ -36,11 +39,14 @@
         self._saved = self.SAVED
 
     def earn(self) -> None:
-        """Count a first try."""
+        """Add the share of one request to the budget."""
         self._saved = min(self.SAVED, self._saved + self.RATIO)
 
     def spend(self) -> bool:
-        """Whether one more retry is allowed."""
+        """Take one retry from the budget.
+
+        :returns: whether the retry is allowed.
+        """
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
--- a/src/agatepick/table/store.py
+++ b/src/agatepick/table/store.py
@@ -1,9 +1,9 @@
-"""What agatepick asks of the platform's transactional table service.
+"""Interface of the platform's transactional table service.
 
-Rows are named by table and key and hold bytes.  A :class:`Transact` takes
+Rows are identified by table and key and hold bytes.  A :class:`Transact` takes
 effect as a whole or not at all, and only if all its conditions hold at that
-instant.  A reducer asks by the effect :class:`CallStore` and is answered by
-the event :class:`StoreAnswered` with the same id.
+instant.  A reducer sends a request by the effect :class:`CallStore` and
+receives the answer as the event :class:`StoreAnswered` with the same id.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One row."""
+    """A row of a table."""
 
     table: str
     key: str
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """The row holds exactly ``value``; ``None``: there is no such row."""
+    """Condition that a row holds ``value``, or doesn't exist if ``None``."""
 
     table: str
     key: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowName:
-    """A row to delete."""
+    """Identifier of a row to delete."""
 
     table: str
     key: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadRow:
-    """Read one row."""
+    """Request that reads one row."""
 
     table: str
     key: str
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadAfter:
-    """Read up to ``limit`` rows whose keys sort after ``after``, in order."""
+    """Request for the first ``limit`` rows, by key, after key ``after``."""
 
     table: str
     after: str
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transact:
-    """Write and delete rows if every condition holds."""
+    """Request that writes and deletes rows if every condition holds."""
 
     conditions: tuple[Condition, ...]
     puts: tuple[Row, ...]
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rows:
-    """Answer to a read: what was found."""
+    """Answer to a read: the rows that were found."""
 
     rows: tuple[Row, ...]
 
@@ -80,15 +80,18 @@
 
 
 Answer = Rows | Committed | exceptions.StoreError
-"""An error is an expected answer: ``StoreConflict`` and ``StoreUnavailable``
-mean that nothing was written, ``StoreUnknown`` that it can't be told."""
+"""Answer to a request; errors are expected answers.
+
+``StoreConflict`` and ``StoreUnavailable`` mean that nothing was written,
+``StoreUnknown`` that it is not known whether the transaction took effect.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallStore:
-    """Effect: send a request to the store.
+    """Effect that sends a request to the store.
 
-    :param timeout: seconds after which it is answered by an error.
+    :param timeout: seconds after which the answer is an error.
     """
 
     id: int
@@ -98,26 +101,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreAnswered:
-    """Event: how the :class:`CallStore` of that id ended."""
+    """Event that carries the answer to the :class:`CallStore` of that id."""
 
     id: int
     answer: Answer
 
 
 class Table(typing.Protocol):
-    """A table service that answers at once."""
+    """Interface of a local table service."""
 
     def execute(self, request: Request) -> Rows | Committed:
-        """Carry out one request.
+        """Execute one request.
 
-        :raises agatepick.exceptions.StoreError: if it can't be done.
+        :raises agatepick.exceptions.StoreError: if the request fails.
         """
         ...
 
 
 class Store(typing.Protocol):
-    """A table service behind a network."""
+    """Interface of a client of a remote table service."""
 
     async def call(self, call: CallStore) -> StoreAnswered:
-        """Carry out one call; errors are in the answer, none is raised."""
+        """Execute one call; errors are returned in the answer, not raised."""
         ...
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -1,9 +1,10 @@
 """Client of the platform's table service: JSON over HTTP.
 
-A read may be repeated.  A transaction never is, once a byte of it may have
-reached the service: after a lost answer the repetition would meet the
-conditions that its first try has broken, and report a conflict for a change
-that took effect.  Its caller gets ``StoreUnknown`` and settles it by reading.
+A read may be retried.  A transaction is never retried once a byte of it may
+have reached the service: if its answer was lost, the first attempt may have
+changed the rows that the conditions test, and the retry would report a
+conflict for a change that took effect.  The caller receives ``StoreUnknown``
+and determines the outcome by reading.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 from agatepick.table import store
 
 RETRY_PAUSES = backoff.Pauses(first=0.04, most=0.5)
-"""Longest pauses before a call is repeated."""
+"""Upper bounds of the random delays before retries, in seconds."""
 
 _PATHS: dict[type[store.Request], str] = {
     store.ReadRow: '/v1/rows/read',
@@ -34,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableSettings:
-    """How to reach the table service, and how much to ask of it.
+    """Address of the table service, and rate limits of its client.
 
     :param address: ``ip:port``.
     :param reads: reads a second that this process may send, at most.
-    :param writes: the same for transactions.
+    :param writes: transactions a second that it may send, at most.
     """
 
     address: str
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass
 class Counts:
-    """What this process sent to the service, and what it held back."""
+    """Counters of requests that were sent to the service or withheld."""
 
     reads: int = 0
     writes: int = 0
@@ -57,7 +58,7 @@
 
 
 class TableStore:
-    """The table service at one address; implements ``store.Store``."""
+    """Client of the table service; implements ``store.Store``."""
 
     def __init__(
         self,
@@ -80,7 +81,7 @@
     def from_config(
         cls, cfg: TableSettings, rng: random.Random
     ) -> 'TableStore':
-        """A client on the running event loop."""
+        """Return a client on the running event loop."""
         client = tornado.simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True
         )
@@ -88,11 +89,11 @@
         return cls(cfg, rng, client, loop.time)
 
     def close(self) -> None:
-        """Let go of the connections."""
+        """Close the connections."""
         self._client.close()
 
     async def call(self, call: store.CallStore) -> store.StoreAnswered:
-        """Carry out one call; errors are in the answer, none is raised."""
+        """Execute one call; errors are returned in the answer, not raised."""
         self._budget.earn()
         deadline = self._now() + call.timeout
         tries = 0
--- a/src/agatepick/types.py
+++ b/src/agatepick/types.py
@@ -1,4 +1,4 @@
-"""Values shared by every part: jobs, tasks, outcomes and answers.
+"""Common value types: jobs, tasks, outcomes and answers.
 
 Times are seconds since the epoch (``float``); durations are seconds.
 """
@@ -11,11 +11,11 @@
 """A job's idempotency key, a UUID in its canonical text form."""
 
 PeerName = str
-"""Name of an entry or agent, as its settings give it."""
+"""Name of an entry or agent, as set in its settings."""
 
 
 class Outcome(enum.StrEnum):
-    """How one task ended, as its caller is told."""
+    """Outcome of a task, as reported to its caller."""
 
     FINISHED = 'finished'
     FAILED = 'failed'
@@ -24,7 +24,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """What an agent knows of one task."""
+    """State of a task at an agent."""
 
     RUNNING = 'running'
     FINISHED = 'finished'
@@ -34,10 +34,10 @@
 
 
 class RunState(enum.StrEnum):
-    """What an agent knows of one run of a repeatable task.
+    """State of a run of a repeatable task at an agent.
 
-    ``OVER`` ended without a result that counts: stopped, lapsed or lost
-    with its worker.  ``REFUSED`` never started and never will.
+    An ``OVER`` run has ended without a valid result: it was stopped, its lease
+    expired, or its worker was lost.  A ``REFUSED`` run never starts.
     """
 
     RUNNING = 'running'
@@ -48,7 +48,7 @@
 
 
 class JobStatus(enum.StrEnum):
-    """State of a job as its caller is told."""
+    """State of a job, as reported to its caller."""
 
     PENDING = 'pending'
     COMPLETE = 'complete'
@@ -58,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Needs:
-    """Resources that a task takes, or that a worker has.
+    """Resources that a task requires, or that a worker has.
 
-    :param cpu: cores.
+    :param cpu: number of cores.
     :param memory_mb: memory in MiB.
-    :param accelerators: whole accelerators.
+    :param accelerators: number of accelerators.
     """
 
     cpu: float = 0.0
@@ -84,7 +84,7 @@
         )
 
     def at_most(self, other: 'Needs') -> 'Needs':
-        """The lesser of the two, for each resource."""
+        """Return the lesser of the two values of each resource."""
         return Needs(
             min(self.cpu, other.cpu),
             min(self.memory_mb, other.memory_mb),
@@ -92,7 +92,7 @@
         )
 
     def fits(self, other: 'Needs') -> bool:
-        """Whether these needs fit into ``other``."""
+        """Return whether these needs fit into ``other``."""
         return (
             self.cpu <= other.cpu
             and self.memory_mb <= other.memory_mb
@@ -102,12 +102,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """One task as its caller handed it in.
+    """A task as submitted by its caller.
 
-    :param id: the caller's own name for the task, unique in its job.
-    :param kind: names the upstream operation; estimates are kept by kind.
+    :param id: the caller's identifier of the task, unique in its job.
+    :param kind: name of the upstream operation; run times are estimated per
+        kind.
     :param payload: body for the upstream, JSON as bytes.
-    :param expected_seconds: the caller's guess of the run time; 0 is none.
+    :param expected_seconds: the caller's estimate of the run time; 0 for
+        none.
     """
 
     id: str
@@ -119,12 +121,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its caller handed it in.
+    """A job as submitted by its caller.
 
     :param deadline: instant after which the answer is of no use.
-    :param zones: availability zones the job may run in; empty for any.
-    :param digest: hash of the caller's body, to tell a resubmission from
-        another job under the same key.
+    :param zones: availability zones that the job may run in; empty for any.
+    :param digest: hash of the caller's body, which distinguishes a
+        resubmission from another job with the same key.
     """
 
     key: JobKey
@@ -138,11 +140,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskAnswer:
-    """Outcome of one task under the caller's own id.
+    """Outcome of one task under the caller's identifier.
 
     :param body: the upstream's answer, JSON as bytes; empty if none.
-    :param step: where an error arose, such as ``admit`` or ``run``.
-    :param peer: the process at which it arose.
+    :param step: step in which an error occurred, such as ``admit`` or
+        ``run``.
+    :param peer: the process at which the error occurred.
     """
 
     id: str
@@ -155,12 +158,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """What a caller is told of a job.
+    """Answer to a caller about a job.
 
     ``COMPLETE`` means that every task finished; ``NOT_RUN`` that none was
     started and none will be.
 
-    :param retry_after: seconds after which asking again may help; 0 if not.
+    :param retry_after: seconds after which a retry may succeed; 0 if a retry
+        is of no use.
     """
 
     key: JobKey
@@ -174,8 +178,8 @@
 
 
 class Clock(typing.Protocol):
-    """Source of the present instant."""
+    """Interface of a clock."""
 
     def now(self) -> float:
-        """Seconds since the epoch; never steps back."""
+        """Return the seconds since the epoch; the result never decreases."""
         ...
