--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -4,7 +4,7 @@
 from agatepick.net import links
 from agatepick.net import messages
 
-FRESH_SECONDS = 3 * links.SAMPLE_SECONDS
+SAMPLE_EXPIRY_SECONDS = 3 * links.SAMPLE_SECONDS
 """Age at which a clock sample expires and its peer is ignored.
 
 The peer's lease grants are ignored from then on, so the expiry must exceed the
@@ -21,7 +21,7 @@
     def __init__(self, margin: float):
         self._margin = margin
         self._peers: dict[str, clocks.OffsetEstimate] = {}
-        self._heard: dict[str, float] = {}
+        self._sampled_at: dict[str, float] = {}
         self._trusted = True
 
     def add(self, peer: str, pong: messages.Pong, now: float) -> None:
@@ -32,11 +32,11 @@
         sample = clocks.offset(pong.sent, pong.received, pong.replied, now)
         estimate = self._peers.setdefault(peer, clocks.OffsetEstimate())
         estimate.add(sample)
-        self._heard[peer] = now
-        for name, heard in list(self._heard.items()):
-            if heard < now - FRESH_SECONDS:
+        self._sampled_at[peer] = now
+        for name, sampled_at in list(self._sampled_at.items()):
+            if sampled_at < now - SAMPLE_EXPIRY_SECONDS:
                 self.forget(name)
-        self._judge()
+        self._update_trust()
 
     def forget(self, peer: str) -> None:
         """Discard the samples of a peer.
@@ -44,8 +44,8 @@
         The next process with the same name may have another clock.
         """
         self._peers.pop(peer, None)
-        self._heard.pop(peer, None)
-        self._judge()
+        self._sampled_at.pop(peer, None)
+        self._update_trust()
 
     def agrees(self, peer: str) -> bool:
         """Return whether a peer's offset is known and within the margin."""
@@ -66,10 +66,12 @@
         """
         return self._trusted
 
-    def _judge(self) -> None:
-        off = sum(self._surely_off(one) for one in self._peers.values())
-        self._trusted = 2 * off <= len(self._peers)
+    def _update_trust(self) -> None:
+        differing = sum(
+            self._exceeds_margin(one) for one in self._peers.values()
+        )
+        self._trusted = 2 * differing <= len(self._peers)
 
-    def _surely_off(self, estimate: clocks.OffsetEstimate) -> bool:
+    def _exceeds_margin(self, estimate: clocks.OffsetEstimate) -> bool:
         best = estimate.best
         return abs(best.seconds) - best.error > self._margin
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -18,7 +18,7 @@
 from agatepick.net import messages
 
 PRESETS = ('ordinary', 'peak', 'maintenance')
-REMOVED_KEPT_SECONDS = 600.0
+REMOVED_RETENTION_SECONDS = 600.0
 """How long a removed entry stays in the document.
 
 The owner of a job key of that age is still computed with the removed entry
@@ -334,26 +334,30 @@
         invalid field.
     """
     if row.version != config.version + 1:
-        raise _bad('version', f'{row.version} after {config.version}')
+        raise _make_field_error(
+            'version', f'{row.version} after {config.version}'
+        )
     if row.in_force_at < config.in_force_at:
-        raise _bad('in_force_at', 'before that of the version before')
+        raise _make_field_error(
+            'in_force_at', 'before that of the version before'
+        )
     base = dataclasses.replace(
         config,
         version=row.version,
         in_force_at=row.in_force_at,
-        entries=_recent(config.entries, row.in_force_at),
+        entries=_drop_expired(config.entries, row.in_force_at),
     )
-    return _changed(base, row.change, row.in_force_at)
+    return _apply_change(base, row.change, row.in_force_at)
 
 
-def _bad(field: str, why: str) -> exceptions.BadChange:
-    return exceptions.BadChange(f'{field}: {why}', step='apply')
+def _make_field_error(field: str, reason: str) -> exceptions.BadChange:
+    return exceptions.BadChange(f'{field}: {reason}', step='apply')
 
 
-def _recent(
+def _drop_expired(
     entries: tuple[messages.Member, ...], now: float
 ) -> tuple[messages.Member, ...]:
-    oldest = now - REMOVED_KEPT_SECONDS
+    oldest = now - REMOVED_RETENTION_SECONDS
     return tuple(
         one
         for one in entries
@@ -361,7 +365,9 @@
     )
 
 
-def _changed(base: ClusterConfig, change: Change, at: float) -> ClusterConfig:
+def _apply_change(
+    base: ClusterConfig, change: Change, at: float
+) -> ClusterConfig:
     match change:
         case ZoneOut(zone):
             return _with_zone(base, zone, True, at)
@@ -369,12 +375,16 @@
             return _with_zone(base, zone, False, at)
         case PresetUse(preset):
             if preset not in PRESETS:
-                raise _bad('preset', f'{preset!r} is none of {PRESETS}')
+                raise _make_field_error(
+                    'preset', f'{preset!r} is none of {PRESETS}'
+                )
             return dataclasses.replace(base, preset=preset)
         case QuotaSet(team, slots):
             return _with_quota(base, team, slots)
         case UpstreamLeaving(agent):
-            leaving = tuple(sorted({*base.leaving, _named('agent', agent)}))
+            leaving = tuple(
+                sorted({*base.leaving, _require_nonempty('agent', agent)})
+            )
             return dataclasses.replace(base, leaving=leaving)
         case UpstreamCleared(agent):
             kept = tuple(one for one in base.leaving if one != agent)
@@ -387,16 +397,16 @@
             return _with_setting(base, key, value)
 
 
-def _named(field: str, value: str) -> str:
+def _require_nonempty(field: str, value: str) -> str:
     if not value:
-        raise _bad(field, 'is empty')
+        raise _make_field_error(field, 'is empty')
     return value
 
 
 def _with_zone(
     base: ClusterConfig, name: str, out: bool, at: float
 ) -> ClusterConfig:
-    if base.zone_out(_named('zone', name)) == out:
+    if base.zone_out(_require_nonempty('zone', name)) == out:
         return base
     others = tuple(one for one in base.zones if one.name != name)
     return dataclasses.replace(base, zones=(*others, Zone(name, out, at)))
@@ -405,19 +415,19 @@
 def _with_quota(
     base: ClusterConfig, team: str, slots: int | None
 ) -> ClusterConfig:
-    _named('team', team)
+    _require_nonempty('team', team)
     kept = tuple(one for one in base.quotas if one.team != team)
     if slots is None:
         return dataclasses.replace(base, quotas=kept)
     if slots < 0:
-        raise _bad('slots', f'{slots} is negative')
+        raise _make_field_error('slots', f'{slots} is negative')
     return dataclasses.replace(base, quotas=(*kept, Quota(team, slots)))
 
 
 def _with_entry(
     base: ClusterConfig, change: EntryListed, at: float
 ) -> ClusterConfig:
-    old = base.member(_named('name', change.name))
+    old = base.member(_require_nonempty('name', change.name))
     if old is not None and old.incarnation == change.incarnation:
         return base
     if old is not None:
@@ -449,7 +459,7 @@
 def _with_setting(
     base: ClusterConfig, key: str, value: str | None
 ) -> ClusterConfig:
-    _named('key', key)
+    _require_nonempty('key', key)
     kept = tuple(one for one in base.settings if one.key != key)
     if value is None:
         return dataclasses.replace(base, settings=kept)
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -26,7 +26,7 @@
 from agatepick.net import messages
 from agatepick.table import store
 
-FETCH_ROWS = 256
+MAX_ROWS_PER_MESSAGE = 256
 """Change rows sent to a peer in one message, at most."""
 JITTER = 0.2
 
@@ -73,10 +73,10 @@
         self._writer = proposals.Writer(me, self._known, cfg.rules)
         self._members = membership.Membership(me, cfg.rules)
         self._clocks = clockwatch.ClockWatch(cfg.rules.margin)
-        self._calls: dict[int, str] = {}
+        self._pending_calls: dict[int, str] = {}
         self._last_call = 0
         self._last_write = 0
-        self._renewing: cluster.Head | None = None
+        self._pending_renewal: cluster.Head | None = None
         self._permits = permits.Permits(
             me,
             cfg.rules,
@@ -85,10 +85,10 @@
             self._writer,
             self._clocks,
         )
-        self._granted: dict[str, float] = {}
-        self._due: dict[str, float] = {}
+        self._granted_at: dict[str, float] = {}
+        self._due_at: dict[str, float] = {}
         self._dials = dials.Dials()
-        self._followed = 0
+        self._followed_version = 0
         self._listing = listing.Listing(
             me, self._known, self._members, self._writer, rng, cfg.leave
         )
@@ -190,7 +190,7 @@
 
         Answers to calls of other components are ignored.
         """
-        purpose = self._calls.pop(event.id, '')
+        purpose = self._pending_calls.pop(event.id, '')
         if purpose == 'write' and event.id != self._last_write:
             return []
         match purpose:
@@ -206,7 +206,7 @@
         self, peer: str, message: messages.Message, now: float
     ) -> list[object]:
         """Handle a message of a peer, including :class:`messages.Pong`."""
-        self._members.heard(peer, now)
+        self._members.record_message(peer, now)
         try:
             return self._on_message(peer, message, now)
         except exceptions.AgatepickError as exc:
@@ -225,49 +225,53 @@
             case messages.Intent():
                 return self._on_intent(peer, message, now)
             case messages.IntentAck():
-                self._writer.acked(peer, message)
+                self._writer.record_ack(peer, message)
                 return self._advance(now)
             case messages.Changes():
                 return self._on_changes(message, now)
             case messages.ChangesWanted():
-                return self._on_wanted(peer, message)
+                return self._on_changes_wanted(peer, message)
             case messages.Goodbye():
-                self._members.left(peer, now)
-                return self._after_evidence(now)
+                self._members.record_goodbye(peer, now)
+                return self._extend_and_advance(now)
         return []
 
     def on_peer_up(self, hello: messages.Hello, now: float) -> list[object]:
         """Handle the connection of a peer; only other entries matter."""
         if hello.role != 'entry' or hello.name == self._me.name:
             return []
-        self._members.up(hello, now)
-        effects = self._after_evidence(now)
+        self._members.record_up(hello, now)
+        effects = self._extend_and_advance(now)
         if hello.version > self.version:
-            effects.append(_wanted(hello.name, self.version))
+            effects.append(_request_changes(hello.name, self.version))
         return effects
 
     def on_peer_down(self, event: core.PeerDown, now: float) -> list[object]:
         """Handle the loss of a connection to a peer, or a failed dial."""
-        self._members.down(event.peer, event.incarnation, event.dead, now)
+        self._members.record_down(
+            event.peer, event.incarnation, event.dead, now
+        )
         if event.peer not in self._members.connected:
             self._clocks.forget(event.peer)
         connected = self._members.connected
-        effects = self._dials.let_go(event.peer, self._wanted(), connected)
-        return effects + self._after_evidence(now)
+        effects = self._dials.hang_up(
+            event.peer, self._collect_addresses(), connected
+        )
+        return effects + self._extend_and_advance(now)
 
     def on_tick(self, now: float) -> list[object]:
         """Run the periodic tasks that are due."""
         effects = self._writer.expire(now)
-        self._permits.extend(now)
+        self._permits.extend_from_peers(now)
         if self._is_due('poll', self._cfg.poll, now):
             effects += self._read()
         if self._is_due('grant', self._cfg.grant, now):
             effects += self._grant(now)
         if self._is_due('listing', self._cfg.listing, now):
-            effects += self._keep_entries(now)
+            effects += self._maintain_entries(now)
         effects += self._advance(now)
-        self._listing.check_left(now)
-        return [*effects, core.WakeAt(min(self._due.values()))]
+        self._listing.update_left(now)
+        return [*effects, core.WakeAt(min(self._due_at.values()))]
 
     def propose(
         self,
@@ -292,65 +296,67 @@
 
         :param stopped_at: instant since which this entry admits no jobs.
         """
-        self._listing.begin_to_leave(stopped_at, now)
+        self._listing.start_leaving(stopped_at, now)
         return self._advance(now)
 
     # -- the store ---------------------------------------------------------
 
-    def _call(self, purpose: str, request: store.Request) -> list[object]:
+    def _call_store(
+        self, purpose: str, request: store.Request
+    ) -> list[object]:
         self._last_call += 1
-        self._calls[self._last_call] = purpose
+        self._pending_calls[self._last_call] = purpose
         timeout = self._cfg.store_timeout
         return [store.CallStore(self._last_call, request, timeout)]
 
     def _read(self) -> list[object]:
         if self._reader.busy:
             return []
-        return self._call('read', self._reader.start())
+        return self._call_store('read', self._reader.start())
 
     def _on_read(self, answer: store.Answer, now: float) -> list[object]:
-        outcome = self._reader.answered(answer, now)
-        effects = self._versions_moved(now)
-        if isinstance(outcome, headreader.HeadSeen):
+        outcome = self._reader.handle_answer(answer, now)
+        effects = self._follow_versions(now)
+        if isinstance(outcome, headreader.HeadRead):
             self._permits.has_read = True
             return effects + self._on_head(outcome.head, now)
         if isinstance(outcome, headreader.ReadFailed):
-            effects += self._writer.read_failed(outcome.reason)
+            effects += self._writer.handle_read_failure(outcome.reason)
             return effects + self._advance(now)
-        return effects + self._call('read', outcome)
+        return effects + self._call_store('read', outcome)
 
     def _on_head(self, head: cluster.Head, now: float) -> list[object]:
         if head != headrows.NO_HEAD:
-            self._permits.read(head.stamp)
-        effects = self._writer.settle()
-        effects += self._writer.head_seen(self._peers(now), now)
+            self._permits.extend_from_store(head.stamp)
+        effects = self._writer.resolve_uncertain()
+        effects += self._writer.handle_head(self._peers(now), now)
         effects += self._advance(now)
         return effects + self._renew(now)
 
     def _renew(self, now: float) -> list[object]:
         head = self._known.head
-        doubt = self._writer.uncertain()
+        uncertain = self._writer.uncertain()
         # A renewal moves the stamp, which would fail our own transaction.
-        if self._renewing is not None or self._writer.writing:
+        if self._pending_renewal is not None or self._writer.writing:
             return []
         listed = self.latest.lists(self._me) and self._clocks.trusted
         old = listed and now - head.stamp >= self._cfg.renew
-        if not old and (doubt is None or not self._clocks.trusted):
+        if not old and (uncertain is None or not self._clocks.trusted):
             return []
         stamp = max(now, math.nextafter(head.stamp, math.inf))
-        self._renewing = cluster.Head(head.version, stamp)
-        return self._call('renew', headrows.renew(head, stamp))
+        self._pending_renewal = cluster.Head(head.version, stamp)
+        return self._call_store('renew', headrows.renew_stamp(head, stamp))
 
     def _on_renewed(self, answer: store.Answer, now: float) -> list[object]:
-        head, self._renewing = self._renewing, None
+        head, self._pending_renewal = self._pending_renewal, None
         if not isinstance(answer, store.Committed) or head is None:
             return []
-        self._known.see(head)
+        self._known.record_head(head)
         return self._on_head(head, now)
 
     def _on_written(self, answer: store.Answer, now: float) -> list[object]:
-        effects = self._writer.written(answer, now)
-        effects += self._versions_moved(now)
+        effects = self._writer.handle_write(answer, now)
+        effects += self._follow_versions(now)
         if self._writer.stage is proposals.Stage.IDLE:
             effects += self._grant(now)
         return effects + self._read() + self._advance(now)
@@ -360,51 +366,51 @@
     def _on_grant(
         self, peer: str, message: messages.Grant, now: float
     ) -> list[object]:
-        doubt = _doubt(message.uncertain)
+        uncertain = _decode_uncertain(message.uncertain)
         if not self._clocks.agrees(peer):
             # Its "sent" can't be compared with the local clock.
             return []
-        grant = readlease.PeerGrant(message.version, message.sent, doubt)
-        self._members.granted(peer, grant, now)
-        self._permits.extend(now)
+        grant = readlease.PeerGrant(message.version, message.sent, uncertain)
+        self._members.record_grant(peer, grant, now)
+        self._permits.extend_from_peers(now)
         if message.version > self.version:
-            return [_wanted(peer, self.version)]
+            return [_request_changes(peer, self.version)]
         return []
 
     def _on_intent(
         self, peer: str, message: messages.Intent, now: float
     ) -> list[object]:
-        intent = _doubt(message.change)
+        intent = _decode_uncertain(message.change)
         if intent is None:
             return []
-        if self._members.intends(peer, intent):
+        if self._members.record_intent(peer, intent):
             ack = messages.IntentAck(message.version, intent.row.attempt)
             return [core.Send(peer, ack)]
         if self.serving(now):
-            self._listing.list_for(peer, intent.row.change)
+            self._listing.list_peer(peer, intent.row.change)
         return self._advance(now)
 
     def _on_changes(
         self, message: messages.Changes, now: float
     ) -> list[object]:
         for data in message.rows:
-            self._known.take(cluster.decode(data, cluster.ChangeRow), now)
-        effects = self._versions_moved(now)
-        effects += self._writer.settle()
-        self._permits.extend(now)
+            self._known.add_row(cluster.decode(data, cluster.ChangeRow), now)
+        effects = self._follow_versions(now)
+        effects += self._writer.resolve_uncertain()
+        self._permits.extend_from_peers(now)
         return effects
 
-    def _on_wanted(
+    def _on_changes_wanted(
         self, peer: str, message: messages.ChangesWanted
     ) -> list[object]:
-        rows = self._known.since(message.since)[:FETCH_ROWS]
+        rows = self._known.since(message.since)[:MAX_ROWS_PER_MESSAGE]
         if not rows:
             return []
         data = tuple(cluster.encode(row) for row in rows)
         return [core.Send(peer, messages.Changes(message.since, data))]
 
-    def _after_evidence(self, now: float) -> list[object]:
-        self._permits.extend(now)
+    def _extend_and_advance(self, now: float) -> list[object]:
+        self._permits.extend_from_peers(now)
         return self._advance(now)
 
     def _grant(self, now: float) -> list[object]:
@@ -417,23 +423,23 @@
         for one in self._members.others:
             if not self._writer.may_grant(one.name):
                 continue
-            self._granted[one.name] = now
+            self._granted_at[one.name] = now
             effects.append(core.Send(one.name, grant))
         return effects
 
-    def _versions_moved(self, now: float) -> list[object]:
+    def _follow_versions(self, now: float) -> list[object]:
         """Update peers and dials if a new version has become known."""
-        if self._followed == self.version:
+        if self._followed_version == self.version:
             return []
-        self._followed = self.version
-        self._members.list_anew(self.latest, now)
+        self._followed_version = self.version
+        self._members.update_listed(self.latest, now)
         connected = self._members.connected
         return [
             core.note('version_known', version=self.version),
-            *self._dials.follow(self._wanted(), connected),
+            *self._dials.update(self._collect_addresses(), connected),
         ]
 
-    def _wanted(self) -> dict[str, str]:
+    def _collect_addresses(self) -> dict[str, str]:
         return {
             one.name: one.address
             for one in self._members.others
@@ -448,17 +454,19 @@
         stage = self._writer.stage
         request = self._writer.advance(self._peers(now), now)
         if request is not None:
-            effects = self._call('write', request)
+            effects = self._call_store('write', request)
             self._last_write = self._last_call
             return effects
         return self._read() if self._writer.stage is not stage else []
 
     def _peers(self, now: float) -> proposals.Peers:
         return proposals.Peers(
-            self._members.alive(), self._granted, self._may_not_write(now)
+            self._members.alive(),
+            self._granted_at,
+            self._find_write_refusal(now),
         )
 
-    def _may_not_write(self, now: float) -> str:
+    def _find_write_refusal(self, now: float) -> str:
         """Return why this entry may not write a change; empty if it may."""
         if not self._clocks.trusted:
             return "this entry's clock differs from its peers'"
@@ -470,28 +478,28 @@
             return 'this entry is not listed in force yet'
         return ''
 
-    def _keep_entries(self, now: float) -> list[object]:
-        if self.serving(now) and self._permits.reads_store(now):
+    def _maintain_entries(self, now: float) -> list[object]:
+        if self.serving(now) and self._permits.has_store_lease(now):
             self._listing.remove_lost(now)
-        return self._listing.keep() if self._permits.has_read else []
+        return self._listing.maintain() if self._permits.has_read else []
 
     def _is_due(self, name: str, seconds: float, now: float) -> bool:
-        if now < self._due.get(name, 0.0):
+        if now < self._due_at.get(name, 0.0):
             return False
         spread = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
-        self._due[name] = now + seconds * spread
+        self._due_at[name] = now + seconds * spread
         return True
 
     def _lease_source(self, now: float) -> str:
         if not self.lease_until(now):
             return 'none'
-        return 'store' if self._permits.reads_store(now) else 'peers'
+        return 'store' if self._permits.has_store_lease(now) else 'peers'
 
 
-def _doubt(data: bytes) -> cluster.Uncertain | None:
+def _decode_uncertain(data: bytes) -> cluster.Uncertain | None:
     """Return the change that a grant or intent holds, if any."""
     return cluster.decode(data, cluster.Uncertain) if data else None
 
 
-def _wanted(peer: str, version: int) -> core.Send:
+def _request_changes(peer: str, version: int) -> core.Send:
     return core.Send(peer, messages.ChangesWanted(version))
--- a/src/agatepick/config/dials.py
+++ b/src/agatepick/config/dials.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self._addresses: dict[str, str] = {}
 
-    def follow(
+    def update(
         self,
         wanted: collections.abc.Mapping[str, str],
         connected: collections.abc.Container[str],
@@ -25,10 +25,10 @@
         for name, address in wanted.items():
             effects += self._dial(name, address)
         for name in self._addresses.keys() - wanted.keys():
-            effects += self.let_go(name, wanted, connected)
+            effects += self.hang_up(name, wanted, connected)
         return effects
 
-    def let_go(
+    def hang_up(
         self,
         name: str,
         wanted: collections.abc.Container[str],
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadSeen:
+class HeadRead:
     """Outcome: the head was read, and every version up to it is known."""
 
     head: cluster.Head
@@ -28,7 +28,7 @@
     reason: str
 
 
-Outcome = HeadSeen | ReadFailed | store.Request
+Outcome = HeadRead | ReadFailed | store.Request
 """Outcome of a step; a request must be sent next."""
 
 
@@ -38,57 +38,62 @@
     def __init__(self, known: history.History):
         self._known = known
         self._head: cluster.Head | None = None
-        self._asked: store.Request | None = None
+        self._request: store.Request | None = None
 
     @property
     def busy(self) -> bool:
         """Return whether a read is in progress."""
-        return self._asked is not None
+        return self._request is not None
 
     def start(self) -> store.Request:
         """Start a read; return its first request, which reads the head."""
         self._head = None
-        return self._ask(headrows.read_head)
+        return self._set_request(headrows.read_head)
 
-    def answered(self, answer: store.Answer, now: float) -> Outcome:
+    def handle_answer(self, answer: store.Answer, now: float) -> Outcome:
         """Handle the store's answer to the last request."""
-        asked, self._asked = self._asked, None
+        request, self._request = self._request, None
         if not isinstance(answer, store.Rows):
             return ReadFailed(str(answer))
         try:
-            return self._step(asked, answer, now)
+            return self._handle_rows(request, answer, now)
         except exceptions.AgatepickError as exc:
             return ReadFailed(exc.show())
 
-    def _ask(self, request: store.Request) -> store.Request:
-        self._asked = request
+    def _set_request(self, request: store.Request) -> store.Request:
+        self._request = request
         return request
 
-    def _step(
-        self, asked: store.Request | None, rows: store.Rows, now: float
+    def _handle_rows(
+        self, request: store.Request | None, rows: store.Rows, now: float
     ) -> Outcome:
-        if asked == headrows.read_head:
-            self._head = headrows.head_of(rows)
-        elif asked == headrows.read_snapshot:
-            if not self._known.adopt(headrows.snapshot_of(rows), now):
+        if request == headrows.read_head:
+            self._head = headrows.parse_head(rows)
+        elif request == headrows.read_snapshot:
+            if not self._known.add_snapshot(
+                headrows.parse_snapshot(rows), now
+            ):
                 raise exceptions.BadMessage(
                     'snapshot is older than what is known', step='read'
                 )
         else:
-            taken = [
-                self._known.take(row, now) for row in headrows.changes_of(rows)
+            added = [
+                self._known.add_row(row, now)
+                for row in headrows.parse_changes(rows)
             ]
-            if not any(taken) and self._behind():
-                return self._ask(headrows.read_snapshot)
-        return self._next()
+            if not any(added) and self._is_behind():
+                return self._set_request(headrows.read_snapshot)
+        return self._continue()
 
-    def _behind(self) -> bool:
+    def _is_behind(self) -> bool:
         head = typing.cast(cluster.Head, self._head)
         return head.version > self._known.version
 
-    def _next(self) -> Outcome:
+    def _continue(self) -> Outcome:
         head = typing.cast(cluster.Head, self._head)
-        if self._behind():
-            return self._ask(headrows.read_changes(self._known.version))
-        self._known.see(head)
-        return HeadSeen(head)
+        if self._is_behind():
+            return self._set_request(
+                headrows.read_changes(self._known.version)
+            )
+        self._known.record_head(head)
+        return HeadRead(head)
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -25,18 +25,20 @@
 
 def read_changes(version: int) -> store.ReadAfter:
     """Return the request that reads the change rows after a version."""
-    return store.ReadAfter(CHANGE, _key(version), READ_LIMIT)
+    return store.ReadAfter(CHANGE, _format_key(version), READ_LIMIT)
 
 
-def renew(head: cluster.Head, stamp: float) -> store.Transact:
+def renew_stamp(head: cluster.Head, stamp: float) -> store.Transact:
     """Return the transaction that renews the stamp of ``head``.
 
     It takes effect only if ``head`` is still the head.
     """
-    return store.Transact((_is(head),), (_put(head.version, stamp),))
+    return store.Transact(
+        (_make_head_condition(head),), (_make_head_row(head.version, stamp),)
+    )
 
 
-def change(
+def write_change(
     head: cluster.Head,
     row: cluster.ChangeRow,
     stamp: float,
@@ -50,17 +52,17 @@
     :param after: the document that results from the change.
     """
     puts = [
-        _put(row.version, stamp),
-        store.Row(CHANGE, _key(row.version), cluster.encode(row)),
+        _make_head_row(row.version, stamp),
+        store.Row(CHANGE, _format_key(row.version), cluster.encode(row)),
     ]
     if row.version % SNAPSHOT_EVERY == 0:
         puts.append(store.Row(CLUSTER, SNAPSHOT, cluster.encode(after)))
     old = row.version - history.ROWS_KEPT
-    deletes = (store.RowName(CHANGE, _key(old)),) if old > 0 else ()
-    return store.Transact((_is(head),), tuple(puts), deletes)
+    deletes = (store.RowName(CHANGE, _format_key(old)),) if old > 0 else ()
+    return store.Transact((_make_head_condition(head),), tuple(puts), deletes)
 
 
-def head_of(rows: store.Rows) -> cluster.Head:
+def parse_head(rows: store.Rows) -> cluster.Head:
     """Return the head that was read; :data:`NO_HEAD` in an empty store.
 
     :raises agatepick.exceptions.BadMessage: if the row is malformed.
@@ -70,7 +72,7 @@
     return cluster.decode(rows.rows[0].value, cluster.Head)
 
 
-def changes_of(rows: store.Rows) -> list[cluster.ChangeRow]:
+def parse_changes(rows: store.Rows) -> list[cluster.ChangeRow]:
     """Return the change rows that were read, in order.
 
     :raises agatepick.exceptions.BadMessage: if a row is malformed.
@@ -78,7 +80,7 @@
     return [cluster.decode(row.value, cluster.ChangeRow) for row in rows.rows]
 
 
-def snapshot_of(rows: store.Rows) -> cluster.ClusterConfig:
+def parse_snapshot(rows: store.Rows) -> cluster.ClusterConfig:
     """Return the document of the snapshot that was read.
 
     :raises agatepick.exceptions.BadMessage: if there is no snapshot or it is
@@ -89,16 +91,16 @@
     return cluster.decode(rows.rows[0].value, cluster.ClusterConfig)
 
 
-def _key(version: int) -> str:
+def _format_key(version: int) -> str:
     return f'{version:012d}'
 
 
-def _is(head: cluster.Head) -> store.Condition:
+def _make_head_condition(head: cluster.Head) -> store.Condition:
     value = None if head == NO_HEAD else cluster.encode(head)
     return store.Condition(CLUSTER, HEAD, value)
 
 
-def _put(version: int, stamp: float) -> store.Row:
+def _make_head_row(version: int, stamp: float) -> store.Row:
     return store.Row(
         CLUSTER, HEAD, cluster.encode(cluster.Head(version, stamp))
     )
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -36,7 +36,7 @@
         """Return the number of the last known version."""
         return self.latest.version
 
-    def knows(self, now: float) -> bool:
+    def covers(self, now: float) -> bool:
         """Return whether the version in force at ``now`` is known."""
         return self._docs[0].in_force_at <= now
 
@@ -56,17 +56,17 @@
 
     def departure(self, zone: str, now: float) -> float:
         """Return when a pending version has ``zone`` out; infinity if none."""
-        return _first(
+        return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if doc.zone_out(zone)
         )
 
     def removal(self, me: messages.Member, now: float) -> float:
         """Return when a pending version lacks ``me``; infinity if none."""
-        return _first(
+        return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if not doc.lists(me)
         )
 
-    def take(self, row: cluster.ChangeRow, now: float) -> bool:
+    def add_row(self, row: cluster.ChangeRow, now: float) -> bool:
         """Add the row of the next version; ignore any other row.
 
         A message of a lagging peer or a reordered answer of the store holds
@@ -83,7 +83,7 @@
         self._advance(now)
         return True
 
-    def adopt(self, config: cluster.ClusterConfig, now: float) -> bool:
+    def add_snapshot(self, config: cluster.ClusterConfig, now: float) -> bool:
         """Add a whole document if it is newer than every known version.
 
         :returns: whether the document was added.
@@ -98,7 +98,7 @@
         self._advance(now)
         return True
 
-    def see(self, head: cluster.Head) -> None:
+    def record_head(self, head: cluster.Head) -> None:
         """Record a head that was read, unless a newer one is known."""
         if head.version == self.version and head.stamp > self.head.stamp:
             self.head = head
@@ -123,5 +123,5 @@
         self._docs = [doc for doc in self._docs if doc.version >= current]
 
 
-def _first(instants: collections.abc.Iterable[float]) -> float:
+def _find_earliest(instants: collections.abc.Iterable[float]) -> float:
     return min(instants, default=math.inf)
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -35,8 +35,8 @@
         self._members = members
         self._writer = writer
         self._rng = rng
-        self._leave = leave
-        self._leave_by = math.inf
+        self._leave_seconds = leave
+        self._leave_deadline = math.inf
         self._stopped_at = 0.0
         self.left = False
         """Whether this stopping entry is delisted in force or out of time."""
@@ -46,26 +46,28 @@
         """Return whether this entry is listed in the last known version."""
         return self._known.latest.lists(self._me)
 
-    def begin_to_leave(self, stopped_at: float, now: float) -> None:
+    def start_leaving(self, stopped_at: float, now: float) -> None:
         """Start to delist this entry.
 
         :param stopped_at: instant since which this entry admits no jobs.
         """
         self._stopped_at = stopped_at
-        self._leave_by = min(self._leave_by, now + self._leave)
-        self.check_left(now)
+        self._leave_deadline = min(
+            self._leave_deadline, now + self._leave_seconds
+        )
+        self.update_left(now)
         self._delist()
 
-    def check_left(self, now: float) -> None:
+    def update_left(self, now: float) -> None:
         """Update :attr:`left`."""
-        if self._leave_by == math.inf:
+        if self._leave_deadline == math.inf:
             return
         listed = self.listed or self._known.in_force(now).lists(self._me)
-        self.left = self.left or not listed or now >= self._leave_by
+        self.left = self.left or not listed or now >= self._leave_deadline
 
-    def keep(self) -> list[object]:
+    def maintain(self) -> list[object]:
         """Request this entry's listing, or its removal if it is stopping."""
-        if self._leave_by < math.inf:
+        if self._leave_deadline < math.inf:
             self._delist()
             return []
         if self.listed:
@@ -77,11 +79,11 @@
             self._me.zone,
         )
         if self._members.alive():
-            return self._ask(change)
+            return self._request_listing(change)
         self._submit(change)
         return []
 
-    def list_for(self, peer: str, change: cluster.Change) -> None:
+    def list_peer(self, peer: str, change: cluster.Change) -> None:
         """Submit the listing that an unlisted peer requests for itself."""
         if isinstance(change, cluster.EntryListed) and change.name == peer:
             self._submit(change)
@@ -91,22 +93,22 @@
         for one in self._members.lost(now):
             self._submit(cluster.EntryRemoved(one.name, one.incarnation))
 
-    def _ask(self, change: cluster.EntryListed) -> list[object]:
+    def _request_listing(self, change: cluster.EntryListed) -> list[object]:
         """Send a listed entry the request to write this entry's listing.
 
         If a new entry wrote its own listing, two listed entries that are cut
         off from the store and from the new entry could continue without it,
         and own the same new keys as the new entry.
         """
-        reached = self._members.alive() & self._members.connected.keys()
-        if not reached:
+        reachable = self._members.alive() & self._members.connected.keys()
+        if not reachable:
             return []
         version = self._known.version
         row = cluster.ChangeRow(
             version + 1, 0.0, change, self._me.name, self._me.incarnation, 0
         )
         data = cluster.encode(cluster.Uncertain(row, 0.0))
-        peer = self._rng.choice(sorted(reached))
+        peer = self._rng.choice(sorted(reachable))
         return [core.Send(peer, messages.Intent(version, data))]
 
     def _delist(self) -> None:
@@ -118,4 +120,4 @@
             )
 
     def _submit(self, change: cluster.Change) -> None:
-        self._writer.submit(proposals.INTERNAL, change, None)
+        self._writer.submit(proposals.INTERNAL_REQUEST, change, None)
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -38,7 +38,7 @@
     """State of one incarnation of an entry."""
 
     grant: readlease.PeerGrant = readlease.PeerGrant()
-    heard_at: float = 0.0
+    last_message_at: float = 0.0
     dead_at: float = 0.0
 
 
@@ -49,7 +49,7 @@
         self._me = me
         self._rules = rules
         self._peers: dict[Id, _Peer] = {}
-        self._up: dict[str, int] = {}
+        self._connected: dict[str, int] = {}
         self._others: tuple[messages.Member, ...] = ()
 
     @property
@@ -60,9 +60,9 @@
     @property
     def connected(self) -> collections.abc.Mapping[str, int]:
         """Return the incarnations of the connected entries, by name."""
-        return self._up
+        return self._connected
 
-    def list_anew(self, config: cluster.ClusterConfig, now: float) -> None:
+    def update_listed(self, config: cluster.ClusterConfig, now: float) -> None:
         """Replace the listed entries by those of a new version."""
         self._others = tuple(
             one
@@ -71,27 +71,27 @@
         )
         listed = {_id(one) for one in self._others}
         for key in listed - self._peers.keys():
-            self._peers[key] = _Peer(heard_at=now)
+            self._peers[key] = _Peer(last_message_at=now)
         for key in self._peers.keys() - listed:
             del self._peers[key]
 
-    def up(self, hello: messages.Hello, now: float) -> None:
+    def record_up(self, hello: messages.Hello, now: float) -> None:
         """Record the connection of an entry.
 
         Every other incarnation of that entry is dead.
         """
-        self._up[hello.name] = hello.incarnation
+        self._connected[hello.name] = hello.incarnation
         for key, peer in self._peers.items():
             if key[0] != hello.name:
                 continue
             if key[1] != hello.incarnation:
-                self._died(peer, now)
+                self._mark_dead(peer, now)
             else:
-                peer.heard_at = now
+                peer.last_message_at = now
                 peer.dead_at = 0.0
                 peer.grant = dataclasses.replace(peer.grant, dead=False)
 
-    def down(
+    def record_down(
         self, name: str, incarnation: int, dead: bool, now: float
     ) -> None:
         """Record the loss of a connection to a peer, or a failed dial.
@@ -99,24 +99,24 @@
         :param incarnation: 0 for a failed dial.
         :param dead: whether the process is provably dead.
         """
-        if incarnation == 0 and name in self._up:
+        if incarnation == 0 and name in self._connected:
             # The dial failed, but the peer has connected to this entry.
             return
-        if incarnation == self._up.get(name):
-            del self._up[name]
+        if incarnation == self._connected.get(name):
+            del self._connected[name]
         if not dead:
             return
         for key, peer in self._peers.items():
             if key[0] == name and incarnation in (0, key[1]):
-                self._died(peer, now)
+                self._mark_dead(peer, now)
 
-    def heard(self, name: str, now: float) -> None:
+    def record_message(self, name: str, now: float) -> None:
         """Record the arrival of a message of an entry."""
         peer = self._connected_peer(name)
         if peer is not None:
-            peer.heard_at = now
+            peer.last_message_at = now
 
-    def granted(
+    def record_grant(
         self, name: str, grant: readlease.PeerGrant, now: float
     ) -> None:
         """Record a lease grant of a peer, unless a newer one is known."""
@@ -124,11 +124,11 @@
         if peer is None or grant.sent <= peer.grant.sent:
             return
         intent = peer.grant.intent
-        if intent is not None and self._settled_by(intent, grant):
+        if intent is not None and self._is_settled_by(intent, grant):
             intent = None
         peer.grant = dataclasses.replace(grant, intent=intent)
 
-    def intends(self, name: str, intent: cluster.Uncertain) -> bool:
+    def record_intent(self, name: str, intent: cluster.Uncertain) -> bool:
         """Record that a peer is about to write a change.
 
         :returns: whether the peer is a listed entry.
@@ -139,11 +139,11 @@
         peer.grant = dataclasses.replace(peer.grant, intent=intent)
         return True
 
-    def left(self, name: str, now: float) -> None:
+    def record_goodbye(self, name: str, now: float) -> None:
         """Record the goodbye of a peer, which writes no further change."""
         peer = self._connected_peer(name)
         if peer is not None:
-            self._died(peer, now)
+            self._mark_dead(peer, now)
 
     def grants(self) -> tuple[readlease.PeerGrant, ...]:
         """Return the last grant of every other listed entry."""
@@ -179,20 +179,20 @@
             return False
         peer = self._peers[_id(member)]
         alive = sorted({self._me.name, *self.alive()} - {member.name})
-        patience = REMOVE_RANK_SECONDS * alive.index(self._me.name)
+        rank_delay = REMOVE_RANK_SECONDS * alive.index(self._me.name)
         if peer.dead_at:
-            return now >= peer.dead_at + REMOVE_DEAD_SECONDS + patience
-        return now >= peer.heard_at + REMOVE_SILENT_SECONDS + patience
+            return now >= peer.dead_at + REMOVE_DEAD_SECONDS + rank_delay
+        return now >= peer.last_message_at + REMOVE_SILENT_SECONDS + rank_delay
 
     def _connected_peer(self, name: str) -> _Peer | None:
-        return self._peers.get((name, self._up.get(name, -1)))
+        return self._peers.get((name, self._connected.get(name, -1)))
 
-    def _died(self, peer: _Peer, now: float) -> None:
+    def _mark_dead(self, peer: _Peer, now: float) -> None:
         if not peer.dead_at:
             peer.dead_at = now
-            peer.grant = peer.grant.died(now, self._rules)
+            peer.grant = peer.grant.mark_dead(now, self._rules)
 
-    def _settled_by(
+    def _is_settled_by(
         self, intent: cluster.Uncertain, grant: readlease.PeerGrant
     ) -> bool:
         # The intent was sent at least one fence before its in_force_at.
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -88,13 +88,13 @@
         self.has_read = False
         """Whether the head was read since the start of the process."""
 
-    def read(self, stamp: float) -> None:
+    def extend_from_store(self, stamp: float) -> None:
         """Extend the lease after a read of the head."""
-        end = readlease.from_stamp(stamp, self._rules)
+        end = readlease.compute_end(stamp, self._rules)
         self._store_lease = max(self._store_lease, end)
         self._lease = max(self._lease, end)
 
-    def extend(self, now: float) -> None:
+    def extend_from_peers(self, now: float) -> None:
         """Extend the lease by the peers' grants.
 
         An unlisted entry receives no intents, so it can't rely on grants.
@@ -112,27 +112,27 @@
 
     def uncertain(self) -> tuple[cluster.Uncertain, ...]:
         """Return the changes that may still take effect, ours included."""
-        doubts = self._members.unsettled()
+        changes = self._members.unsettled()
         own = self._writer.uncertain()
         if own is not None:
-            doubts.append(own)
-        return readlease.live(doubts, self._known.head)
+            changes.append(own)
+        return readlease.select_live(changes, self._known.head)
 
     def serving(self, now: float) -> bool:
         """Return whether the head was read and this entry is in force."""
         return (
             self.has_read
-            and self._known.knows(now)
+            and self._known.covers(now)
             and self._known.in_force(now).lists(self._me)
         )
 
     def lease_until(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease."""
         end = min(self._lease, self._known.removal(self._me, now))
-        holds = now < end and self.serving(now) and self._clocks.trusted
-        return end if holds else 0.0
+        valid = now < end and self.serving(now) and self._clocks.trusted
+        return end if valid else 0.0
 
-    def reads_store(self, now: float) -> bool:
+    def has_store_lease(self, now: float) -> bool:
         """Return whether the lease is from the store, not only from peers."""
         return now < self._store_lease
 
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -20,24 +20,24 @@
 from agatepick.net import messages
 from agatepick.table import store
 
-ATTEMPTS = 8
+MAX_ATTEMPTS = 8
 """Attempts to write one change, at most.
 
 Another entry renews the stamp about once a second and an attempt takes
 milliseconds, so a second attempt rarely fails as well.
 """
-GIVE_UP_SECONDS = 8.0
+PROPOSAL_TIMEOUT_SECONDS = 8.0
 """Time limit for a proposal.
 
 It exceeds two fences, since waiting for a silent peer takes one of them.
 """
-STALE_SECONDS = 0.5
+MAX_HEAD_AGE_SECONDS = 0.5
 """Age at which the head is read again before the transaction is sent.
 
 After a longer wait for silent peers another entry has renewed the stamp, and
 the transaction would fail.
 """
-INTERNAL = 0
+INTERNAL_REQUEST = 0
 """Request id of changes that no operator requested."""
 
 
@@ -56,7 +56,7 @@
 
     :param based_on: version that the operator's request is based on;
         ``None`` for any.
-    :param seen: last version that this entry knew at the time of the request.
+    :param seen: last version known at this entry at the time of the request.
     """
 
     request_id: int
@@ -71,12 +71,13 @@
 
     :param alive: names of the entries not provably dead.
     :param granted: instants of the last lease grants to them, by name.
-    :param may_write: why this entry may not write a change; empty if it may.
+    :param write_refusal: why this entry may not write a change; empty if it
+        may.
     """
 
     alive: frozenset[str]
     granted: collections.abc.Mapping[str, float]
-    may_write: str = ''
+    write_refusal: str = ''
 
 
 class Writer:
@@ -93,12 +94,12 @@
         self._known = known
         self._rules = rules
         self._queue: collections.deque[Proposal] = collections.deque()
-        self._give_up_at = 0.0
-        self._intended_at = 0.0
-        self._attempt = 0
-        self._tries = 0
+        self._deadline = 0.0
+        self._intent_at = 0.0
+        self._last_attempt = 0
+        self._proposal_attempts = 0
         self._row: cluster.ChangeRow | None = None
-        self._base = headrows.NO_HEAD
+        self._base_head = headrows.NO_HEAD
         self._acked: set[str] = set()
         self._unsettled: cluster.Uncertain | None = None
 
@@ -125,19 +126,19 @@
         """Return our own change that may have taken, or may take, effect."""
         if self._unsettled is not None:
             return self._unsettled
-        return self._doubt() if self.writing else None
+        return self._get_uncertain() if self.writing else None
 
     def submit(
         self, request_id: int, change: cluster.Change, based_on: int | None
     ) -> None:
         """Queue a change, unless it is internal and queued already."""
-        if request_id == INTERNAL and self.wants(change):
+        if request_id == INTERNAL_REQUEST and self.is_queued(change):
             return
         self._queue.append(
             Proposal(request_id, change, based_on, self._known.version)
         )
 
-    def wants(self, change: cluster.Change) -> bool:
+    def is_queued(self, change: cluster.Change) -> bool:
         """Return whether that change is queued."""
         return any(one.change == change for one in self._queue)
 
@@ -149,69 +150,69 @@
         if self.stage is not Stage.IDLE or not self._queue:
             return False
         self.stage = Stage.READ
-        self._tries = 0
-        self._give_up_at = now + GIVE_UP_SECONDS
+        self._proposal_attempts = 0
+        self._deadline = now + PROPOSAL_TIMEOUT_SECONDS
         return True
 
     def expire(self, now: float) -> list[object]:
         """End a proposal whose read of the head has timed out."""
-        if self.stage is not Stage.READ or now < self._give_up_at:
+        if self.stage is not Stage.READ or now < self._deadline:
             return []
-        return self._end('unavailable', reason='the store is too slow')
+        return self._finish('unavailable', reason='the store is too slow')
 
-    def settle(self) -> list[object]:
+    def resolve_uncertain(self) -> list[object]:
         """Resolve an uncertain change from the known versions, if possible.
 
         A transaction whose answer is outstanding is resolved by its row.
         """
         if self.stage is Stage.WRITE:
-            return self._look_for_row()
+            return self._resolve_write()
         one = self._unsettled
-        if one is None or readlease.live([one], self._known.head):
+        if one is None or readlease.select_live([one], self._known.head):
             return []
         self._unsettled = None
         row = self._known.row(one.row.version)
-        behind = self._known.version >= one.row.version and row is None
-        written = 'untold' if behind else str(row == one.row)
+        row_dropped = self._known.version >= one.row.version and row is None
+        written = 'untold' if row_dropped else str(row == one.row)
         note = core.note(
             'change_settled', version=one.row.version, written=written
         )
-        return [note, *(self._announce(one.row) if row == one.row else [])]
+        return [note, *(self._send_change(one.row) if row == one.row else [])]
 
-    def read_failed(self, reason: str) -> list[object]:
+    def handle_read_failure(self, reason: str) -> list[object]:
         """End the proposal if the head couldn't be read.
 
         Nothing was written, and nothing will be.
         """
         if self.stage is not Stage.READ:
             return []
-        return self._end('unavailable', reason=reason)
+        return self._finish('unavailable', reason=reason)
 
-    def head_seen(self, peers: Peers, now: float) -> list[object]:
+    def handle_head(self, peers: Peers, now: float) -> list[object]:
         """Handle a read of the head: send the intent, or end the proposal."""
         if self.stage is not Stage.READ or self._unsettled is not None:
             return []
         proposal = self._queue[0]
-        self._tries += 1
-        if self._tries > ATTEMPTS or now >= self._give_up_at:
-            return self._end('unavailable', reason='the head keeps moving')
-        if peers.may_write:
-            return self._end('unavailable', reason=peers.may_write)
-        rival = self._rival(proposal)
-        if rival:
-            return self._end('conflict', reason=rival)
+        self._proposal_attempts += 1
+        if self._proposal_attempts > MAX_ATTEMPTS or now >= self._deadline:
+            return self._finish('unavailable', reason='the head keeps moving')
+        if peers.write_refusal:
+            return self._finish('unavailable', reason=peers.write_refusal)
+        conflict = self._find_conflict(proposal)
+        if conflict:
+            return self._finish('conflict', reason=conflict)
         row = self._next_row(proposal, now)
         try:
             if not cluster.alters(self._known.latest, proposal.change):
-                return self._end('accepted', self._known.latest.in_force_at)
+                return self._finish('accepted', self._known.latest.in_force_at)
         except exceptions.BadChange as exc:
-            return self._end('invalid', reason=exc.message)
-        self._intended_at = now
-        return self._intend(row, peers)
+            return self._finish('invalid', reason=exc.message)
+        self._intent_at = now
+        return self._send_intent(row, peers)
 
-    def acked(self, peer: str, ack: messages.IntentAck) -> None:
+    def record_ack(self, peer: str, ack: messages.IntentAck) -> None:
         """Record that a peer acknowledged the intent of an attempt."""
-        if self.stage is Stage.INTENT and ack.attempt == self._attempt:
+        if self.stage is Stage.INTENT and ack.attempt == self._last_attempt:
             self._acked.add(peer)
 
     def advance(self, peers: Peers, now: float) -> store.Transact | None:
@@ -222,18 +223,18 @@
         row = self._row
         if self.stage is not Stage.INTENT or row is None:
             return None
-        if any(self._relies(one, peers, now) for one in peers.alive):
+        if any(self._relies_on_grant(one, peers, now) for one in peers.alive):
             return None
-        stale = now > self._intended_at + STALE_SECONDS
+        stale = now > self._intent_at + MAX_HEAD_AGE_SECONDS
         if stale or self._known.version != row.version - 1:
             self.stage = Stage.READ
             return None
         self.stage = Stage.WRITE
         after = cluster.apply(self._known.latest, row)
-        stamp = max(now, self._base.stamp)
-        return headrows.change(self._base, row, stamp, after)
+        stamp = max(now, self._base_head.stamp)
+        return headrows.write_change(self._base_head, row, stamp, after)
 
-    def written(self, answer: store.Answer, now: float) -> list[object]:
+    def handle_write(self, answer: store.Answer, now: float) -> list[object]:
         """Handle the store's answer to the transaction.
 
         After a conflict the stage returns to ``READ``.
@@ -242,33 +243,35 @@
         if self.stage is not Stage.WRITE or row is None:
             return []
         if isinstance(answer, store.Committed):
-            self._known.take(row, now)
+            self._known.add_row(row, now)
             return self._accept()
         if isinstance(answer, exceptions.StoreConflict):
             self.stage = Stage.READ
             return []
         if isinstance(answer, exceptions.StoreUnavailable):
-            return self._end('unavailable', reason=answer.show())
+            return self._finish('unavailable', reason=answer.show())
         # A retry could not distinguish "already written" from a conflict.
-        self._unsettled = self._doubt()
-        return self._end(
+        self._unsettled = self._get_uncertain()
+        return self._finish(
             'unknown',
             row.in_force_at,
             row.version,
             f"the store's answer was lost: {answer}",
         )
 
-    def _doubt(self) -> cluster.Uncertain | None:
+    def _get_uncertain(self) -> cluster.Uncertain | None:
         if self._row is None:
             return None
-        return cluster.Uncertain(self._row, self._base.stamp)
+        return cluster.Uncertain(self._row, self._base_head.stamp)
 
-    def _look_for_row(self) -> list[object]:
+    def _resolve_write(self) -> list[object]:
         """Determine the transaction's outcome from the known versions."""
-        doubt = self._doubt()
-        if doubt is None or readlease.live([doubt], self._known.head):
+        uncertain = self._get_uncertain()
+        if uncertain is None or readlease.select_live(
+            [uncertain], self._known.head
+        ):
             return []
-        if self._known.row(doubt.row.version) == doubt.row:
+        if self._known.row(uncertain.row.version) == uncertain.row:
             return self._accept()
         self.stage = Stage.READ
         return []
@@ -276,10 +279,10 @@
     def _accept(self) -> list[object]:
         row = self._row
         assert row is not None
-        effects = self._end('accepted', row.in_force_at, row.version)
-        return effects + self._announce(row)
+        effects = self._finish('accepted', row.in_force_at, row.version)
+        return effects + self._send_change(row)
 
-    def _rival(self, proposal: Proposal) -> str:
+    def _find_conflict(self, proposal: Proposal) -> str:
         latest = self._known.version
         if proposal.based_on is not None:
             if proposal.based_on == latest:
@@ -293,39 +296,41 @@
         return ''
 
     def _next_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
-        self._attempt += 1
-        self._base = self._known.head
+        self._last_attempt += 1
+        self._base_head = self._known.head
         return cluster.ChangeRow(
             version=self._known.version + 1,
             in_force_at=self._in_force_at(now),
             change=proposal.change,
             writer=self._me.name,
             incarnation=self._me.incarnation,
-            attempt=self._attempt,
+            attempt=self._last_attempt,
         )
 
     def _in_force_at(self, now: float) -> float:
-        if self._base == headrows.NO_HEAD:
+        if self._base_head == headrows.NO_HEAD:
             # No entry holds a lease for a head that was never written.
             return now
-        at = max(now, self._base.stamp) + self._rules.fence
+        at = max(now, self._base_head.stamp) + self._rules.fence
         return max(at, self._known.latest.in_force_at)
 
-    def _intend(self, row: cluster.ChangeRow, peers: Peers) -> list[object]:
+    def _send_intent(
+        self, row: cluster.ChangeRow, peers: Peers
+    ) -> list[object]:
         self.stage = Stage.INTENT
         self._row = row
         self._acked = set()
-        data = cluster.encode(cluster.Uncertain(row, self._base.stamp))
+        data = cluster.encode(cluster.Uncertain(row, self._base_head.stamp))
         intent = messages.Intent(row.version - 1, data)
         return [core.Send(peer, intent) for peer in sorted(peers.alive)]
 
-    def _relies(self, peer: str, peers: Peers, now: float) -> bool:
+    def _relies_on_grant(self, peer: str, peers: Peers, now: float) -> bool:
         if peer in self._acked:
             return False
         granted = peers.granted.get(peer)
         return granted is not None and now < granted + self._rules.fence
 
-    def _announce(self, row: cluster.ChangeRow) -> list[object]:
+    def _send_change(self, row: cluster.ChangeRow) -> list[object]:
         changes = messages.Changes(row.version - 1, (cluster.encode(row),))
         others = self._known.latest.listed()
         return [
@@ -334,7 +339,7 @@
             if one.name != self._me.name
         ]
 
-    def _end(
+    def _finish(
         self,
         verdict: str,
         in_force_at: float = 0.0,
@@ -356,7 +361,7 @@
                 reason=reason.replace(' ', '_'),
             )
         ]
-        if proposal.request_id != INTERNAL:
+        if proposal.request_id != INTERNAL_REQUEST:
             effects.append(
                 cluster.Proposed(
                     proposal.request_id, verdict, version, in_force_at, reason
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -1,4 +1,4 @@
-"""The read lease: until when an entry may use the version that it knows.
+"""The read lease: until when an entry may use the version that it holds.
 
 An entry starts tasks under version ``v`` of the cluster configuration only
 while it holds a read lease.  Two rules provide one; both are proved below.
@@ -45,8 +45,8 @@
 4. New entries.  An unlisted entry writes only if every listed entry is
    provably dead (no entry holds a lease then); otherwise a listed entry
    writes the listing for it.  A newly listed entry writes only once its
-   listing is in force, when by 1 and 2 every holder of a lease knows of it
-   and requires its grants.
+   listing is in force, when by 1 and 2 every holder of a lease holds that
+   version and requires its grants.
 """
 
 import collections.abc
@@ -94,7 +94,7 @@
         """Return the end of the lease that this grant allows."""
         return math.inf if self.dead else self.sent + rules.lease
 
-    def died(self, now: float, rules: Rules) -> 'PeerGrant':
+    def mark_dead(self, now: float, rules: Rules) -> 'PeerGrant':
         """Return this grant after its sender was observed dead at ``now``."""
         if now > self.sent + rules.lease:
             return self
@@ -111,12 +111,12 @@
         return tuple(one for one in (self.uncertain, intent) if one)
 
 
-def from_stamp(stamp: float, rules: Rules) -> float:
+def compute_end(stamp: float, rules: Rules) -> float:
     """Return the end of the lease that a head with ``stamp`` provides."""
     return stamp + rules.lease
 
 
-def live(
+def select_live(
     uncertain: collections.abc.Iterable[cluster.Uncertain], head: cluster.Head
 ) -> tuple[cluster.Uncertain, ...]:
     """Return the changes that may still take effect after a read of ``head``.
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, wall: float, boot: float):
-        self._base = wall - boot
+        self._epoch_offset = wall - boot
 
     @classmethod
     def start(cls) -> 'ProcessClock':
@@ -34,7 +34,7 @@
 
     def now(self) -> float:
         """Return the seconds since the epoch; the result never decreases."""
-        return self._base + time.clock_gettime(time.CLOCK_BOOTTIME)
+        return self._epoch_offset + time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,8 +71,10 @@
     of the rest of the round trip bounds the error, even if one direction is
     slower than the other.
     """
-    trip = max(0.0, (arrived - sent) - (replied - received))
-    return Offset(((received - sent) + (replied - arrived)) / 2, trip / 2)
+    round_trip = max(0.0, (arrived - sent) - (replied - received))
+    return Offset(
+        ((received - sent) + (replied - arrived)) / 2, round_trip / 2
+    )
 
 
 class OffsetEstimate:
--- a/src/agatepick/net/httpcalls.py
+++ b/src/agatepick/net/httpcalls.py
@@ -16,7 +16,7 @@
 
 from agatepick.net import reading
 
-CONTINUED_BELOW = 200
+FIRST_FINAL_STATUS = 200
 """Statuses below this are interim; another response follows."""
 
 
@@ -38,9 +38,9 @@
 
     def __init__(self, address: str, connections: int) -> None:
         self.address = address
-        self._free = asyncio.Semaphore(connections)
+        self._slots = asyncio.Semaphore(connections)
         self._idle: list[_Connection] = []
-        self._buffer = reading.new_buffer()
+        self._buffer = reading.make_buffer()
 
     async def call(
         self,
@@ -68,8 +68,8 @@
         head = '\r\n'.join(lines) + '\r\n\r\n'
         data = head.encode('latin-1') + body
         async with asyncio.timeout(seconds):
-            async with self._free:
-                return await self._exchange(method == 'GET', data)
+            async with self._slots:
+                return await self._send(method == 'GET', data)
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -77,26 +77,26 @@
             conn.close()
         self._idle.clear()
 
-    async def _exchange(self, repeatable: bool, data: bytes) -> Response:
-        if repeatable and self._idle:
+    async def _send(self, retryable: bool, data: bytes) -> Response:
+        if retryable and self._idle:
             # The server may have closed the idle connection meanwhile.
             try:
-                return await self._once(data)
+                return await self._call_once(data)
             except ConnectionError:
                 self.close()
-        return await self._once(data)
+        return await self._call_once(data)
 
-    async def _once(self, data: bytes) -> Response:
-        conn = await self._take()
+    async def _call_once(self, data: bytes) -> Response:
+        conn = await self._acquire()
         try:
-            return await conn.ask(data)
+            return await conn.send_request(data)
         finally:
             if conn.reusable:
                 self._idle.append(conn)
             else:
                 conn.close()
 
-    async def _take(self) -> '_Connection':
+    async def _acquire(self) -> '_Connection':
         while self._idle:
             conn = self._idle.pop()
             if conn.reusable:
@@ -119,21 +119,21 @@
         super().__init__(buffer)
         self.reusable = False
         self._parser: httptools.HttpResponseParser | None = None
-        self._parts: list[bytes] = []
-        self._answer: asyncio.Future[Response] | None = None
+        self._body_parts: list[bytes] = []
+        self._response: asyncio.Future[Response] | None = None
 
-    def ask(self, data: bytes) -> asyncio.Future[Response]:
+    def send_request(self, data: bytes) -> asyncio.Future[Response]:
         """Send a request and return the future of its response."""
         assert self.transport is not None
         self.reusable = False
         self._parser = httptools.HttpResponseParser(self)
-        self._parts = []
-        self._answer = asyncio.get_running_loop().create_future()
+        self._body_parts = []
+        self._response = asyncio.get_running_loop().create_future()
         if self.transport.is_closing():
             self._fail(ConnectionResetError('closed by the server'))
         else:
             self.transport.write(data)
-        return self._answer
+        return self._response
 
     def close(self) -> None:
         """Close the connection; its call, if any, fails."""
@@ -163,19 +163,21 @@
 
     def on_body(self, body: bytes) -> None:
         """Store a part of the response's body."""
-        self._parts.append(body)
+        self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
         """Complete the call, unless the response is interim."""
         assert self._parser is not None
         status = self._parser.get_status_code()
-        if status < CONTINUED_BELOW:
+        if status < FIRST_FINAL_STATUS:
             return
         self.reusable = self._parser.should_keep_alive()
         self._parser = None
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(Response(status, b''.join(self._parts)))
+        if self._response is not None and not self._response.done():
+            self._response.set_result(
+                Response(status, b''.join(self._body_parts))
+            )
 
     def _fail(self, exc: Exception) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(exc)
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(exc)
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -35,7 +35,7 @@
 
 The limit prevents the process from running out of memory.
 """
-HELLO_SECONDS = 5.0
+HELLO_TIMEOUT_SECONDS = 5.0
 HEARTBEAT_SECONDS = 1.0
 SILENCE_SECONDS = 5.0
 """Time without a message after which a peer is disconnected.
@@ -48,19 +48,19 @@
 
 Two clocks that drift apart by 500 ppm differ by a further 8 ms by then.
 """
-SAMPLE_TRIP_SECONDS = 0.1
+SAMPLE_ROUND_TRIP_SECONDS = 0.1
 """Longest round trip of a sample that is kept for ``SAMPLE_SECONDS``.
 
 A longer round trip makes the error bound too wide.
 """
 REDIAL_PAUSES = backoff.Pauses(first=0.075, most=1.5)
-STEADY_SECONDS = 1.0
+REDIAL_RESET_SECONDS = 1.0
 """Duration after which a connection resets the delay between dials.
 
 A peer that accepts connections and closes them at once is dialled with
 increasing delays.
 """
-YIELD_SECONDS = 0.25
+GREATER_NAME_DELAY_SECONDS = 0.25
 """Delay of a dial by the entry with the greater name.
 
 Two entries dial each other.  Without the delay both would connect at the same
@@ -79,7 +79,7 @@
 
     heartbeat: float = HEARTBEAT_SECONDS
     silence: float = SILENCE_SECONDS
-    dial: float = HELLO_SECONDS
+    dial: float = HELLO_TIMEOUT_SECONDS
 
 
 class Delay(typing.Protocol):
@@ -112,7 +112,7 @@
     bytes_in: int = 0
     by_kind: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def sent(self, message: messages.Message, size: int) -> None:
+    def count_sent(self, message: messages.Message, size: int) -> None:
         """Count an outgoing message.
 
         :param size: bytes of its frame.
@@ -122,7 +122,7 @@
         self.bytes_out += size
         self.by_kind[kind] = self.by_kind.get(kind, 0) + 1
 
-    def took(self, size: int) -> None:
+    def count_received(self, size: int) -> None:
         """Count an incoming message.
 
         :param size: bytes of its frame.
@@ -135,53 +135,59 @@
     """Connection to one peer that carries framed messages.
 
     :param buffer: as for :class:`~agatepick.net.reading.Reader`.
-    :param made: callback that is called once the connection is made.
+    :param on_made: callback that is called once the connection is made.
     """
 
     def __init__(
         self,
         traffic: Traffic,
         buffer: bytearray,
-        made: typing.Callable[['Connection'], None],
+        on_made: typing.Callable[['Connection'], None],
         stamps: Stamps | None = None,
     ):
         super().__init__(buffer)
         self.hello: messages.Hello | None = None
-        self.heard_at = 0.0
+        self.last_message_at = 0.0
         self.closed = False
         loop = asyncio.get_running_loop()
         self.lost: asyncio.Future[None] = loop.create_future()
-        self._first: asyncio.Future[messages.Message] = loop.create_future()
-        self._early: list[messages.Message] = []
-        self._take: typing.Callable[[messages.Message], None] = self._wait
+        self._first_message: asyncio.Future[messages.Message] = (
+            loop.create_future()
+        )
+        self._early_messages: list[messages.Message] = []
+        self._handler: typing.Callable[[messages.Message], None] = (
+            self._store_early
+        )
         self._sampled_at = 0.0
         self._traffic = traffic
-        self._made = made
+        self._on_made = on_made
         self._stamps = stamps
         self._unread = b''
-        self._at = 0
+        self._read_offset = 0
         self._unsent: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport and call the ``made`` callback."""
+        """Store the transport and call the ``on_made`` callback."""
         super().connection_made(transport)
-        self._made(self)
+        self._on_made(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Mark the connection as closed and lost."""
         self.closed = True
-        if not self._first.done():
-            self._first.set_exception(exc or ConnectionResetError('closed'))
+        if not self._first_message.done():
+            self._first_message.set_exception(
+                exc or ConnectionResetError('closed')
+            )
             # Retrieved here in case no caller awaits the first message.
-            self._first.exception()
+            self._first_message.exception()
         if not self.lost.done():
             self.lost.set_result(None)
 
     def received(self, data: bytes) -> None:
         """Handle each complete frame among the received bytes."""
-        self._unread = self._unread[self._at :] + data
-        self._at = 0
-        self._guard(self._take_frames)
+        self._unread = self._unread[self._read_offset :] + data
+        self._read_offset = 0
+        self._run_guarded(self._handle_frames)
 
     def send(self, message: messages.Message) -> None:
         """Queue a message; a closed connection drops it.
@@ -193,7 +199,7 @@
             return
         stamp = 0 if self._stamps is None else self._stamps.stamp()
         data = messages.encode(message, stamp)
-        self._traffic.sent(message, len(data) + HEADER.size)
+        self._traffic.count_sent(message, len(data) + HEADER.size)
         if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
         self._unsent.append(HEADER.pack(len(data)))
@@ -202,25 +208,25 @@
     def close(self) -> None:
         """Flush the queued messages, as far as possible, and close."""
         self._flush()
-        self._end()
+        self._disconnect()
 
-    async def first(self, seconds: float) -> messages.Message:
+    async def receive_first(self, seconds: float) -> messages.Message:
         """Wait for the first message of the peer and return it.
 
         :raises OSError: if the connection is lost before.
         :raises TimeoutError: if no message arrives in time.
         """
         async with asyncio.timeout(seconds):
-            return await self._first
+            return await self._first_message
 
     async def serve(
-        self, take: typing.Callable[[messages.Message], None]
+        self, handler: typing.Callable[[messages.Message], None]
     ) -> None:
-        """Pass each further message to ``take`` until the connection ends."""
-        early, self._early = self._early, []
-        self._take = take
-        for message in early:
-            self._guard(lambda: take(message))
+        """Pass further messages to ``handler`` until the connection ends."""
+        early_messages, self._early_messages = self._early_messages, []
+        self._handler = handler
+        for message in early_messages:
+            self._run_guarded(lambda: handler(message))
         await self.lost
 
     def ping(self, now: float) -> None:
@@ -229,27 +235,27 @@
 
     def needs_ping(self, now: float) -> bool:
         """Return whether the peer is silent or its clock sample is old."""
-        silent = now - self.heard_at >= HEARTBEAT_SECONDS
+        silent = now - self.last_message_at >= HEARTBEAT_SECONDS
         return silent or now - self._sampled_at >= SAMPLE_SECONDS
 
-    def sampled(self, pong: messages.Pong, now: float) -> None:
+    def record_pong(self, pong: messages.Pong, now: float) -> None:
         """Record a pong, unless it arrived too late to be a clock sample.
 
         Otherwise a peer whose first pong was late, as its process was busy
         starting, would have an unknown clock until the next sample: its lease
         grants would be ignored, and agents would refuse its starts.
         """
-        if now - pong.sent <= SAMPLE_TRIP_SECONDS:
+        if now - pong.sent <= SAMPLE_ROUND_TRIP_SECONDS:
             self._sampled_at = now
 
-    def _wait(self, message: messages.Message) -> None:
+    def _store_early(self, message: messages.Message) -> None:
         """Store a message that arrives before the connection is served."""
-        if self._first.done():
-            self._early.append(message)
+        if self._first_message.done():
+            self._early_messages.append(message)
         else:
-            self._first.set_result(message)
+            self._first_message.set_result(message)
 
-    def _guard(self, step: typing.Callable[[], None]) -> None:
+    def _run_guarded(self, step: typing.Callable[[], None]) -> None:
         """Run ``step``; an invalid message closes the connection."""
         try:
             step()
@@ -267,27 +273,27 @@
         waiting = self.transport.get_write_buffer_size()
         if waiting + len(data) > MAX_UNSENT_BYTES:
             LOG.warning('event=peer_reads_nothing unsent=%s', waiting)
-            self._end()
+            self._disconnect()
             return
         self.transport.write(data)
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         self.closed = True
         self.abort()
 
-    def _take_frames(self) -> None:
+    def _handle_frames(self) -> None:
         while not self.closed:
             data = self._next_frame()
             if data is None:
                 return
-            self._take(self._decode(data))
+            self._handler(self._decode(data))
 
     def _next_frame(self) -> bytes | None:
         """Return the message of the next complete frame, if there is one."""
-        body = self._at + HEADER.size
+        body = self._read_offset + HEADER.size
         if len(self._unread) < body:
             return None
-        (size,) = HEADER.unpack_from(self._unread, self._at)
+        (size,) = HEADER.unpack_from(self._unread, self._read_offset)
         if size > MAX_FRAME_BYTES:
             raise exceptions.BadMessage(
                 f'frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes',
@@ -295,11 +301,11 @@
             )
         if len(self._unread) < body + size:
             return None
-        self._at = body + size
-        return self._unread[body : self._at]
+        self._read_offset = body + size
+        return self._unread[body : self._read_offset]
 
     def _decode(self, data: bytes) -> messages.Message:
-        self._traffic.took(len(data) + HEADER.size)
+        self._traffic.count_received(len(data) + HEADER.size)
         stamped = messages.decode_stamped(data)
         if self._stamps is not None:
             self._stamps.merge(stamped.stamp)
@@ -337,10 +343,10 @@
         self._stamps = stamps
         self._pace = pace
         self._peers: dict[types.PeerName, Connection] = {}
-        self._open: set[Connection] = set()
+        self._connections: set[Connection] = set()
         self._dials: dict[types.PeerName, asyncio.Task[None]] = {}
-        self._waiting: dict[types.PeerName, asyncio.Event] = {}
-        self._buffer = reading.new_buffer()
+        self._lost_events: dict[types.PeerName, asyncio.Event] = {}
+        self._buffer = reading.make_buffer()
         self._tasks: set[asyncio.Task[None]] = set()
         self._sockets: list[socket.socket] = []
         self._servers: list[asyncio.Server] = []
@@ -349,13 +355,13 @@
     def begin(self) -> None:
         """Start to send heartbeats; must be called once, on the event loop."""
         loop = asyncio.get_running_loop()
-        self._heartbeat = loop.create_task(self._beat())
+        self._heartbeat = loop.create_task(self._send_heartbeats())
 
     def add_sockets(self, sockets: typing.Iterable[socket.socket]) -> None:
         """Accept connections of peers on listening sockets."""
         for sock in sockets:
             self._sockets.append(sock)
-            self._run(self._accept(sock))
+            self._start_task(self._serve_socket(sock))
 
     def end(self) -> None:
         """Close all connections and listening sockets at once."""
@@ -367,7 +373,7 @@
             sock.close()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
-        for conn in list(self._open):
+        for conn in list(self._connections):
             conn.close()
 
     def connected(self) -> tuple[types.PeerName, ...]:
@@ -391,7 +397,7 @@
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
-        self._dials[peer] = loop.create_task(self._keep(peer, address))
+        self._dials[peer] = loop.create_task(self._maintain(peer, address))
 
     def hangup(self, peer: types.PeerName) -> None:
         """Close the connection to a peer and stop dialling it."""
@@ -408,42 +414,46 @@
         if conn is not None:
             conn.close()
 
-    async def _accept(self, sock: socket.socket) -> None:
+    async def _serve_socket(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: self._connection(self._accepted),
+            lambda: self._make_connection(self._on_accepted),
             sock=sock,
             ssl=self._server_tls,
         )
         self._servers.append(server)
 
-    def _accepted(self, conn: Connection) -> None:
+    def _on_accepted(self, conn: Connection) -> None:
         assert conn.transport is not None
         address = str(conn.transport.get_extra_info('peername'))
         conn.send(self._hello())
-        self._run(self._serve_accepted(conn, address))
+        self._start_task(self._serve_accepted(conn, address))
 
     async def _serve_accepted(self, conn: Connection, address: str) -> None:
-        if await self._greet(conn, address):
+        if await self._receive_hello(conn, address):
             await self._serve(conn)
 
-    def _run(self, coroutine: typing.Coroutine[None, None, None]) -> None:
+    def _start_task(
+        self, coroutine: typing.Coroutine[None, None, None]
+    ) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _connection(
-        self, made: typing.Callable[[Connection], None]
+    def _make_connection(
+        self, on_made: typing.Callable[[Connection], None]
     ) -> Connection:
-        conn = Connection(self.traffic, self._buffer, made, self._stamps)
-        conn.heard_at = self._clock.now()
-        self._open.add(conn)
-        conn.lost.add_done_callback(lambda done: self._open.discard(conn))
+        conn = Connection(self.traffic, self._buffer, on_made, self._stamps)
+        conn.last_message_at = self._clock.now()
+        self._connections.add(conn)
+        conn.lost.add_done_callback(
+            lambda done: self._connections.discard(conn)
+        )
         return conn
 
-    async def _greet(self, conn: Connection, address: str) -> bool:
+    async def _receive_hello(self, conn: Connection, address: str) -> bool:
         try:
-            hello = await conn.first(self._pace.dial)
+            hello = await conn.receive_first(self._pace.dial)
         except (OSError, TimeoutError) as exc:
             LOG.info('event=greet_failed peer=%s reason=%r', address, exc)
             conn.close()
@@ -458,51 +468,51 @@
     async def _serve(self, conn: Connection) -> None:
         hello = conn.hello
         assert hello is not None
-        self._take_over(conn, hello)
+        self._register(conn, hello)
         await conn.serve(
-            lambda message: self._received(conn, hello.name, message)
+            lambda message: self._on_message(conn, hello.name, message)
         )
-        self._lost(conn, hello)
+        self._on_lost(conn, hello)
 
-    def _take_over(self, conn: Connection, hello: messages.Hello) -> None:
+    def _register(self, conn: Connection, hello: messages.Hello) -> None:
         old = self._peers.get(hello.name)
         self._peers[hello.name] = conn
         if old is not None and old.hello is not None:
             # The older connection is lost, possibly with some messages.
             old.close()
-            before = old.hello.incarnation
-            dead = before != hello.incarnation
-            self._feed(core.PeerDown(hello.name, before, dead))
+            old_incarnation = old.hello.incarnation
+            dead = old_incarnation != hello.incarnation
+            self._feed(core.PeerDown(hello.name, old_incarnation, dead))
         self._feed(core.PeerUp(hello))
         conn.ping(self._clock.now())
 
-    def _lost(self, conn: Connection, hello: messages.Hello) -> None:
+    def _on_lost(self, conn: Connection, hello: messages.Hello) -> None:
         if self._peers.get(hello.name) is conn:
             del self._peers[hello.name]
-            lost = self._waiting.pop(hello.name, None)
+            lost = self._lost_events.pop(hello.name, None)
             if lost is not None:
                 lost.set()
             self._feed(core.PeerDown(hello.name, hello.incarnation))
 
-    def _received(
+    def _on_message(
         self, conn: Connection, peer: str, message: messages.Message
     ) -> None:
         now = self._clock.now()
-        conn.heard_at = now
+        conn.last_message_at = now
         if isinstance(message, messages.Ping):
             conn.send(messages.Pong(message.sent, now, self._clock.now()))
             return
         if isinstance(message, messages.Pong):
-            conn.sampled(message, now)
+            conn.record_pong(message, now)
         self._feed(core.Received(peer, message))
 
-    async def _keep(self, peer: types.PeerName, address: str) -> None:
+    async def _maintain(self, peer: types.PeerName, address: str) -> None:
         redial = backoff.Backoff(REDIAL_PAUSES, self._rng)
         while True:
             began_at = self._clock.now()
-            await self._until_lost(peer)
+            await self._wait_until_lost(peer)
             served = await self._dial_once(peer, address)
-            if served and self._clock.now() >= began_at + STEADY_SECONDS:
+            if served and self._clock.now() >= began_at + REDIAL_RESET_SECONDS:
                 redial.succeeded()
             await asyncio.sleep(redial.failed())
 
@@ -511,33 +521,33 @@
 
         :returns: whether the peer was connected.
         """
-        mine = self._hello()
-        if mine.role == ENTRY and mine.name > peer:
-            await asyncio.sleep(YIELD_SECONDS)
+        own = self._hello()
+        if own.role == ENTRY and own.name > peer:
+            await asyncio.sleep(GREATER_NAME_DELAY_SECONDS)
         if peer in self._peers:
             return True
         host, _, port = address.rpartition(':')
         conn = await self._connect(peer, host, int(port))
-        if conn is None or not await self._greet(conn, address):
+        if conn is None or not await self._receive_hello(conn, address):
             return False
         self._check_name(conn, peer, address)
         name = conn.hello.name if conn.hello else ''
         if name in self._peers:
             conn.close()
-            await self._until_lost(name)
+            await self._wait_until_lost(name)
             return True
         conn.send(self._hello())
         await self._serve(conn)
         return True
 
-    async def _until_lost(self, peer: types.PeerName) -> None:
+    async def _wait_until_lost(self, peer: types.PeerName) -> None:
         if peer in self._peers:
-            await self._waiting.setdefault(peer, asyncio.Event()).wait()
+            await self._lost_events.setdefault(peer, asyncio.Event()).wait()
 
     def _check_name(self, conn: Connection, peer: str, address: str) -> None:
         # Another process has the address, so the dialled one is dead.
-        found = conn.hello.name if conn.hello else ''
-        if peer not in (address, found):
+        actual = conn.hello.name if conn.hello else ''
+        if peer not in (address, actual):
             self._feed(core.PeerDown(peer, 0, True))
 
     async def _connect(
@@ -547,7 +557,7 @@
         try:
             async with asyncio.timeout(self._pace.dial):
                 _, conn = await loop.create_connection(
-                    lambda: self._connection(lambda made: None),
+                    lambda: self._make_connection(lambda conn: None),
                     host,
                     port,
                     ssl=self._client_tls,
@@ -560,12 +570,12 @@
             return None
         return conn
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(self._pace.heartbeat)
             now = self._clock.now()
             for conn in list(self._peers.values()):
-                if now - conn.heard_at > self._pace.silence:
+                if now - conn.last_message_at > self._pace.silence:
                     conn.close()
                 elif conn.needs_ping(now):
                     conn.ping(now)
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -425,8 +425,8 @@
 class RunReports:
     """Reports of an agent to the entry that owns the runs.
 
-    :param whole: whether the reports cover all runs of the receiver that the
-        agent knows; any other run has ended.
+    :param whole: whether the reports cover all runs of the receiver at the
+        agent; any other run has ended.
     """
 
     reports: tuple[RunReport, ...]
@@ -501,9 +501,9 @@
 def encode(message: Message, stamp: int = 0) -> bytes:
     """Return the encoded message."""
     kind: type = type(message)
-    envelope = _schema().Envelope.new_message()
+    envelope = _load_schema().Envelope.new_message()
     envelope.stamp = stamp
-    _writer(kind)(envelope.init(_tags()[kind]), message)
+    _make_writer(kind)(envelope.init(_get_tags()[kind]), message)
     return typing.cast(bytes, envelope.to_bytes())
 
 
@@ -522,16 +522,16 @@
         message of a known kind.
     """
     try:
-        with _schema().Envelope.from_bytes(
+        with _load_schema().Envelope.from_bytes(
             data,
             traversal_limit_in_words=(
                 TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
             ),
             nesting_limit=MAX_NESTING,
         ) as envelope:
-            content = _contents()[envelope._which_str()]
+            content = _get_contents()[envelope._which_str()]
             message = content.read(envelope._get_by_field(content.wire))
-            stamp = envelope._get_by_field(_stamp_wire())
+            stamp = envelope._get_by_field(_get_stamp_field())
             return Stamped(typing.cast(Message, message), stamp)
     # pycapnp raises its own and standard errors for malformed bytes.
     except (capnp.KjException, ValueError, KeyError, AttributeError) as exc:
@@ -546,14 +546,14 @@
 
 
 @functools.cache
-def _schema() -> typing.Any:
+def _load_schema() -> typing.Any:
     return capnp.load(str(SCHEMA))
 
 
 @functools.cache
-def _tags() -> dict[type, str]:
+def _get_tags() -> dict[type, str]:
     return {
-        kind: _camel(kind.__name__[0].lower() + kind.__name__[1:])
+        kind: _to_camel_case(kind.__name__[0].lower() + kind.__name__[1:])
         for kind in typing.get_args(Message)
     }
 
@@ -567,20 +567,20 @@
 
 
 @functools.cache
-def _contents() -> dict[str, _Content]:
-    wires = _schema().Envelope.schema.fields
+def _get_contents() -> dict[str, _Content]:
+    wires = _load_schema().Envelope.schema.fields
     return {
-        tag: _Content(wires[tag], _reader(kind))
-        for kind, tag in _tags().items()
+        tag: _Content(wires[tag], _make_reader(kind))
+        for kind, tag in _get_tags().items()
     }
 
 
 @functools.cache
-def _stamp_wire() -> typing.Any:
-    return _schema().Envelope.schema.fields['stamp']
+def _get_stamp_field() -> typing.Any:
+    return _load_schema().Envelope.schema.fields['stamp']
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     first, *rest = name.split('_')
     return first + ''.join(part.capitalize() for part in rest)
 
@@ -606,19 +606,21 @@
         return None
 
 
-def _fields(kind: type) -> list[_Field]:
+def _get_fields(kind: type) -> list[_Field]:
     hints = typing.get_type_hints(kind)
-    wires = getattr(_schema(), kind.__name__).schema.fields
+    wires = getattr(_load_schema(), kind.__name__).schema.fields
     return [
         _Field(field.name, wire, wires[wire], hints[field.name])
         for field in dataclasses.fields(kind)
-        for wire in (_camel(field.name),)
+        for wire in (_to_camel_case(field.name),)
     ]
 
 
 @functools.cache
-def _writer(kind: type) -> _Write:
-    steps = [(field.name, _field_writer(field)) for field in _fields(kind)]
+def _make_writer(kind: type) -> _Write:
+    steps = [
+        (field.name, _make_field_writer(field)) for field in _get_fields(kind)
+    ]
 
     def write(struct: _Struct, value: typing.Any) -> None:
         for name, step in steps:
@@ -627,18 +629,18 @@
     return write
 
 
-def _field_writer(field: _Field) -> _Write:
+def _make_field_writer(field: _Field) -> _Write:
     if field.item is not None:
-        return _list_writer(field)
+        return _make_list_writer(field)
     if dataclasses.is_dataclass(field.hint):
-        write = _writer(typing.cast(type, field.hint))
+        write = _make_writer(typing.cast(type, field.hint))
         return lambda struct, value: write(
             struct._get_by_field(field.wire), value
         )
     return lambda struct, value: struct._set_by_field(field.wire, value)
 
 
-def _list_writer(field: _Field) -> _Write:
+def _make_list_writer(field: _Field) -> _Write:
     name = field.wire_name
     if not dataclasses.is_dataclass(field.item):
 
@@ -648,7 +650,7 @@
                 items[index] = value
 
         return write_values
-    write = _writer(typing.cast(type, field.item))
+    write = _make_writer(typing.cast(type, field.item))
 
     def write_structs(struct: _Struct, values: typing.Any) -> None:
         items = struct.init(name, len(values))
@@ -659,8 +661,10 @@
 
 
 @functools.cache
-def _reader(kind: type) -> _Read:
-    steps = [(field.wire, _value_reader(field)) for field in _fields(kind)]
+def _make_reader(kind: type) -> _Read:
+    steps = [
+        (field.wire, _make_value_reader(field)) for field in _get_fields(kind)
+    ]
 
     def read(struct: _Struct) -> object:
         get = struct._get_by_field
@@ -669,12 +673,12 @@
     return read
 
 
-def _value_reader(field: _Field) -> _Read:
+def _make_value_reader(field: _Field) -> _Read:
     if field.item is not None and dataclasses.is_dataclass(field.item):
-        read = _reader(typing.cast(type, field.item))
+        read = _make_reader(typing.cast(type, field.item))
         return lambda value: tuple([read(one) for one in value])
     if field.item is not None:
         return tuple
     if dataclasses.is_dataclass(field.hint):
-        return _reader(typing.cast(type, field.hint))
+        return _make_reader(typing.cast(type, field.hint))
     return typing.cast(_Read, field.hint)
--- a/src/agatepick/net/reading.py
+++ b/src/agatepick/net/reading.py
@@ -11,7 +11,7 @@
 """Size of a read, which holds many messages of a busy peer."""
 
 
-def new_buffer() -> bytearray:
+def make_buffer() -> bytearray:
     """Return a buffer that the connections of one event loop share."""
     return bytearray(READ_BYTES)
 
--- a/src/agatepick/net/tls.py
+++ b/src/agatepick/net/tls.py
@@ -14,7 +14,7 @@
 from agatepick.conf import settings
 from agatepick import exceptions
 
-Stamp = tuple[tuple[str, int, int], ...]
+FileStamps = tuple[tuple[str, int, int], ...]
 """Path, modification time in nanoseconds and size of each file."""
 
 
@@ -30,7 +30,7 @@
     http: ssl.SSLContext | None = None
     peer_server: ssl.SSLContext | None = None
     peer_client: ssl.SSLContext | None = None
-    _stamp: Stamp = ()
+    _file_stamps: FileStamps = ()
 
     @classmethod
     def from_config(cls, cfg: settings.Tls) -> 'Contexts':
@@ -40,15 +40,15 @@
         """
         if not cfg.enabled:
             return cls(cfg)
-        made = cls(
+        contexts = cls(
             cfg,
-            peer_server=_context(ssl.PROTOCOL_TLS_SERVER),
-            peer_client=_context(ssl.PROTOCOL_TLS_CLIENT),
+            peer_server=_make_context(ssl.PROTOCOL_TLS_SERVER),
+            peer_client=_make_context(ssl.PROTOCOL_TLS_CLIENT),
         )
         if cfg.http_certificate:
-            made.http = _context(ssl.PROTOCOL_TLS_SERVER)
-        made._read()
-        return made
+            contexts.http = _make_context(ssl.PROTOCOL_TLS_SERVER)
+        contexts._load_files()
+        return contexts
 
     def reload(self) -> bool:
         """Read the files again if any has changed.
@@ -60,26 +60,29 @@
         :returns: whether new files were read.
         :raises agatepick.exceptions.BadSettings: if a file is invalid.
         """
-        if not self.cfg.enabled or _stamp(self.cfg) == self._stamp:
+        if (
+            not self.cfg.enabled
+            or _read_file_stamps(self.cfg) == self._file_stamps
+        ):
             return False
         # Loaded into new contexts first: a bad file must not affect ours.
         Contexts.from_config(self.cfg)
-        self._read()
+        self._load_files()
         return True
 
-    def _read(self) -> None:
+    def _load_files(self) -> None:
         cfg = self.cfg
-        self._stamp = _stamp(cfg)
+        self._file_stamps = _read_file_stamps(cfg)
         for context, certificate, key in (
             (self.http, cfg.http_certificate, cfg.http_key),
             (self.peer_server, cfg.peer_certificate, cfg.peer_key),
             (self.peer_client, cfg.peer_certificate, cfg.peer_key),
         ):
             if context is not None:
-                _load(context, certificate, key)
+                _load_certificate(context, certificate, key)
         for context in (self.peer_server, self.peer_client):
             if context is not None:
-                _trust(context, cfg.peer_authority)
+                _load_authority(context, cfg.peer_authority)
 
 
 def caller_context(authority: str = '') -> ssl.SSLContext:
@@ -90,20 +93,22 @@
     """
     context = ssl.create_default_context()
     if authority:
-        _trust(context, authority, required=False)
+        _load_authority(context, authority, required=False)
     return context
 
 
-def _context(protocol: int) -> ssl.SSLContext:
+def _make_context(protocol: int) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.check_hostname = False
     return context
 
 
-def _load(context: ssl.SSLContext, certificate: str, key: str) -> None:
+def _load_certificate(
+    context: ssl.SSLContext, certificate: str, key: str
+) -> None:
     try:
-        context.load_cert_chain(certificate, key, password=_no_password)
+        context.load_cert_chain(certificate, key, password=_refuse_password)
     except (OSError, ValueError) as exc:
         raise exceptions.BadSettings(
             f'{certificate} with {key}: invalid certificate or key: {exc}',
@@ -111,7 +116,7 @@
         ) from exc
 
 
-def _trust(
+def _load_authority(
     context: ssl.SSLContext, authority: str, required: bool = True
 ) -> None:
     try:
@@ -124,16 +129,16 @@
         context.verify_mode = ssl.CERT_REQUIRED
 
 
-def _no_password() -> typing.NoReturn:
+def _refuse_password() -> typing.NoReturn:
     # Without this callback OpenSSL prompts for the password of a key.
     raise ValueError('the key is encrypted with a password')
 
 
-def _stamp(cfg: settings.Tls) -> Stamp:
-    found = []
+def _read_file_stamps(cfg: settings.Tls) -> FileStamps:
+    stamps = []
     for name in settings.TLS_FILES:
         path = getattr(cfg, name)
         if path and os.path.exists(path):
             info = os.stat(path)
-            found.append((path, info.st_mtime_ns, info.st_size))
-    return tuple(found)
+            stamps.append((path, info.st_mtime_ns, info.st_size))
+    return tuple(stamps)
--- a/src/agatepick/table/breaker.py
+++ b/src/agatepick/table/breaker.py
@@ -7,7 +7,7 @@
     """Circuit breaker that opens after ``FAILURES`` consecutive failures.
 
     Without it each call to an unavailable store would wait for its whole
-    deadline, and an operator would learn of a known outage only after
+    deadline, and an operator would be notified of a known outage only after
     seconds.  Five failures take two seconds of an entry's reads, so a single
     lost packet doesn't open the breaker.  An open breaker allows a probe every
     ``PROBE_SECONDS``, jittered so that the entries don't all call a recovering
@@ -20,13 +20,13 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
-        self._failed = 0
+        self._failures = 0
         self._probe_at = 0.0
 
     @property
     def open(self) -> bool:
         """Return whether the breaker is open, so that it refuses calls."""
-        return self._failed >= self.FAILURES
+        return self._failures >= self.FAILURES
 
     def allow(self, now: float) -> bool:
         """Return whether a call may be sent; in the open state as a probe."""
@@ -34,18 +34,18 @@
             return True
         if now < self._probe_at:
             return False
-        self._schedule(now)
+        self._schedule_probe(now)
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a call that the service answered, with any result."""
-        self._failed = 0
+        self._failures = 0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record a call without an answer, or with one of unavailability."""
-        self._failed += 1
-        if self._failed == self.FAILURES:
-            self._schedule(now)
+        self._failures += 1
+        if self._failures == self.FAILURES:
+            self._schedule_probe(now)
 
-    def _schedule(self, now: float) -> None:
+    def _schedule_probe(self, now: float) -> None:
         self._probe_at = now + self.PROBE_SECONDS * self._rng.uniform(0.5, 1.5)
--- a/src/agatepick/table/ratelimit.py
+++ b/src/agatepick/table/ratelimit.py
@@ -8,16 +8,16 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._at = now
+        self._refilled_at = now
 
     def take(self, now: float) -> bool:
         """Take a token if one is available.
 
         :returns: whether a token was taken.
         """
-        passed = max(0.0, now - self._at)
-        self._tokens = min(self._burst, self._tokens + passed * self._rate)
-        self._at = max(now, self._at)
+        elapsed = max(0.0, now - self._refilled_at)
+        self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
+        self._refilled_at = max(now, self._refilled_at)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -33,21 +33,21 @@
     """
 
     RATIO = 0.1
-    SAVED = 5.0
+    CAPACITY = 5.0
 
     def __init__(self) -> None:
-        self._saved = self.SAVED
+        self._tokens = self.CAPACITY
 
-    def earn(self) -> None:
+    def add_request(self) -> None:
         """Add the share of one request to the budget."""
-        self._saved = min(self.SAVED, self._saved + self.RATIO)
+        self._tokens = min(self.CAPACITY, self._tokens + self.RATIO)
 
-    def spend(self) -> bool:
+    def take(self) -> bool:
         """Take one retry from the budget.
 
         :returns: whether the retry is allowed.
         """
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -54,7 +54,7 @@
     reads: int = 0
     writes: int = 0
     retries: int = 0
-    held_back: int = 0
+    withheld: int = 0
 
 
 class TableStore:
@@ -72,7 +72,7 @@
         self._client = client
         self._now = now
         self._breaker = breaker.CircuitBreaker(rng)
-        self._budget = ratelimit.RetryBudget()
+        self._retry_budget = ratelimit.RetryBudget()
         self._reads = ratelimit.TokenBucket(cfg.reads, cfg.reads, now())
         self._writes = ratelimit.TokenBucket(cfg.writes, cfg.writes, now())
         self.counts = Counts()
@@ -94,49 +94,58 @@
 
     async def call(self, call: store.CallStore) -> store.StoreAnswered:
         """Execute one call; errors are returned in the answer, not raised."""
-        self._budget.earn()
+        self._retry_budget.add_request()
         deadline = self._now() + call.timeout
-        tries = 0
+        attempts = 0
         while True:
-            answer = await self._once(call.request, deadline - self._now())
-            tries += 1
-            pause = self._backoff(tries)
-            if not _repeatable(call.request, answer):
+            answer = await self._call_once(
+                call.request, deadline - self._now()
+            )
+            attempts += 1
+            delay = self._choose_retry_delay(attempts)
+            if not _is_retryable(call.request, answer):
                 break
-            if self._now() + pause >= deadline or not self._budget.spend():
+            if (
+                self._now() + delay >= deadline
+                or not self._retry_budget.take()
+            ):
                 break
             self.counts.retries += 1
-            await asyncio.sleep(pause)
+            await asyncio.sleep(delay)
         return store.StoreAnswered(call.id, answer)
 
-    def _backoff(self, tries: int) -> float:
-        return self._rng.uniform(0.0, RETRY_PAUSES.after(tries))
+    def _choose_retry_delay(self, attempts: int) -> float:
+        return self._rng.uniform(0.0, RETRY_PAUSES.after(attempts))
 
-    async def _once(
+    async def _call_once(
         self, request: store.Request, timeout: float
     ) -> store.Answer:
-        held = self._held_back(request)
-        if held is not None:
-            self.counts.held_back += 1
-            return held
+        refusal = self._check_limits(request)
+        if refusal is not None:
+            self.counts.withheld += 1
+            return refusal
         answer = await self._fetch(request, timeout)
         if isinstance(
             answer, exceptions.StoreUnavailable | exceptions.StoreUnknown
         ):
-            self._breaker.failed(self._now())
+            self._breaker.record_failure(self._now())
         else:
-            self._breaker.succeeded()
+            self._breaker.record_success()
         return answer
 
-    def _held_back(
+    def _check_limits(
         self, request: store.Request
     ) -> exceptions.StoreUnavailable | None:
         now = self._now()
         if not self._breaker.allow(now):
-            return self._error(exceptions.StoreUnavailable, 'circuit open')
+            return self._make_error(
+                exceptions.StoreUnavailable, 'circuit open'
+            )
         write = isinstance(request, store.Transact)
         if not (self._writes if write else self._reads).take(now):
-            return self._error(exceptions.StoreUnavailable, 'over our rate')
+            return self._make_error(
+                exceptions.StoreUnavailable, 'over our rate'
+            )
         if write:
             self.counts.writes += 1
         else:
@@ -156,30 +165,34 @@
         try:
             resp = await self._client.fetch(http, raise_error=False)
         except (OSError, tornado.httpclient.HTTPError) as exc:
-            return self._failed(request, exc)
+            return self._classify_error(request, exc)
         if resp.code == 599:
-            return self._failed(request, resp.error)
-        return self._parsed(request, resp)
+            return self._classify_error(request, resp.error)
+        return self._parse_response(request, resp)
 
-    def _parsed(
+    def _parse_response(
         self, request: store.Request, resp: tornado.httpclient.HTTPResponse
     ) -> store.Answer:
         if resp.code == 409:
-            return self._error(exceptions.StoreConflict, 'condition failed')
+            return self._make_error(
+                exceptions.StoreConflict, 'condition failed'
+            )
         if resp.code in (429, 503):
-            return self._error(
+            return self._make_error(
                 exceptions.StoreUnavailable, f'status {resp.code}'
             )
         if resp.code != 200:
-            return self._error(exceptions.StoreUnknown, f'status {resp.code}')
+            return self._make_error(
+                exceptions.StoreUnknown, f'status {resp.code}'
+            )
         if isinstance(request, store.Transact):
             return store.Committed()
         try:
             return msgspec.json.decode(resp.body, type=store.Rows)
         except msgspec.MsgspecError as exc:
-            return self._error(exceptions.StoreUnknown, str(exc))
+            return self._make_error(exceptions.StoreUnknown, str(exc))
 
-    def _failed(
+    def _classify_error(
         self, request: store.Request, exc: BaseException | None
     ) -> exceptions.StoreError:
         refused = isinstance(exc, OSError) and exc.errno in (
@@ -188,16 +201,16 @@
             errno.ENETUNREACH,
         )
         if refused or not isinstance(request, store.Transact):
-            return self._error(exceptions.StoreUnavailable, repr(exc))
-        return self._error(exceptions.StoreUnknown, repr(exc))
+            return self._make_error(exceptions.StoreUnavailable, repr(exc))
+        return self._make_error(exceptions.StoreUnknown, repr(exc))
 
     _Error = typing.TypeVar('_Error', bound=exceptions.StoreError)
 
-    def _error(self, kind: type[_Error], why: str) -> _Error:
-        return kind(why, step='store', peer=self._cfg.address)
+    def _make_error(self, kind: type[_Error], reason: str) -> _Error:
+        return kind(reason, step='store', peer=self._cfg.address)
 
 
-def _repeatable(request: store.Request, answer: store.Answer) -> bool:
+def _is_retryable(request: store.Request, answer: store.Answer) -> bool:
     return isinstance(answer, exceptions.StoreUnavailable) and not isinstance(
         request, store.Transact
     )
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,8 +1,8 @@
 from agatepick.net import clocks
 
 
-def test_the_clock_counts_on_from_its_start_and_ignores_steps(monkeypatch):
-    """A time daemon steps the wall clock; leases must not notice."""
+def test_the_clock_advances_from_its_start_and_ignores_steps(monkeypatch):
+    """A time daemon steps the wall clock, which must not affect leases."""
     boot = iter([7.5, 8.0])
     monkeypatch.setattr(clocks.time, 'clock_gettime', lambda which: next(boot))
     clock = clocks.ProcessClock(1000.0, 7.0)
@@ -11,7 +11,7 @@
 
 
 def test_four_instants_give_the_offset_and_bound_its_error():
-    """The way there takes 10 ms, the way back 30 ms; the peer is 2 s ahead."""
+    """The ping takes 10 ms, the pong 30 ms; the peer is 2 s ahead."""
     found = clocks.offset(100.0, 102.01, 102.02, 100.05)
     assert abs(found.seconds - 1.99) < 1e-9
     assert abs(found.error - 0.02) < 1e-9
@@ -19,8 +19,11 @@
     assert not found.within(1.0) and found.within(2.1)
 
 
-def test_an_offset_is_unknown_until_measured_and_old_samples_age_out():
-    """A peer's clock drifts away after one very good measurement."""
+def test_an_offset_is_unknown_until_sampled_and_old_samples_expire():
+    """A peer's clock drifts after one very precise sample.
+
+    If that sample were kept, the drift would not be detected.
+    """
     estimate = clocks.OffsetEstimate()
     assert not estimate.best.within(1e9)
     estimate.add(clocks.Offset(0.0, 0.001))
--- a/tests/test_clockwatch.py
+++ b/tests/test_clockwatch.py
@@ -9,18 +9,18 @@
 
 
 def pong(at, trip=0.001, offset=0.0):
-    """An answer that came at ``at``, by a peer's clock off by ``offset``."""
+    """Return a pong that arrived at ``at`` from a peer with a clock offset."""
     sent = at - trip
     there = sent + trip / 2 + offset
     return messages.Pong(sent, there, there)
 
 
-def test_a_sample_counts_until_the_links_renew_it():
-    """Messages flow between two entries, so their links send few pings.
+def test_a_sample_is_valid_until_the_links_renew_it():
+    """Two entries exchange messages, so their links rarely send pings.
 
-    Were the sample dropped before the next one, each would stop counting
-    the other's lease grants: in an outage of the store all starts end, and
-    callers are refused for want of a lease.
+    If a sample expired before the next one, each entry would ignore the
+    other's lease grants: in an outage of the store all leases would expire,
+    and callers' jobs would be refused.
     """
     watch = clockwatch.ClockWatch(MARGIN)
     watch.add('e1', pong(NOW), NOW)
@@ -29,7 +29,7 @@
     assert watch.agrees('e1')
 
 
-def test_a_peer_that_is_gone_loses_its_vote():
+def test_a_lost_peer_does_not_count_in_the_trust_of_the_clock():
     watch = clockwatch.ClockWatch(MARGIN)
     watch.add('e1', pong(NOW, offset=9.0), NOW)
     watch.add('a1', pong(NOW), NOW)
@@ -38,26 +38,26 @@
     watch.forget('a1')
     watch.forget('a2')
     assert not watch.trusted
-    late = NOW + clockwatch.FRESH_SECONDS + 1
+    late = NOW + clockwatch.SAMPLE_EXPIRY_SECONDS + 1
     watch.add('a1', pong(late), late)
     assert watch.trusted
 
 
-def test_a_late_answer_is_asked_again_soon():
-    """A process was busy while it started and answered its first ping late.
+def test_a_late_pong_is_followed_by_another_ping():
+    """A process that is busy starting answers its first ping late.
 
-    Its clock is known too roughly to rely on; without a second ping soon,
-    its grants and starts would be refused for as long as a sample is kept.
+    The sample's error bound is too wide.  Without another ping, the grants
+    and starts of that process would be refused until the sample is renewed.
     """
 
     async def main():
         conn = links.Connection(links.Traffic(), bytearray(), print)
-        conn.heard_at = NOW
-        conn.sampled(pong(NOW, trip=0.5), NOW)
+        conn.last_message_at = NOW
+        conn.record_pong(pong(NOW, trip=0.5), NOW)
         assert conn.needs_ping(NOW)
-        conn.sampled(pong(NOW, trip=0.01), NOW)
+        conn.record_pong(pong(NOW, trip=0.01), NOW)
         assert not conn.needs_ping(NOW + 0.5)
-        conn.heard_at = NOW + links.SAMPLE_SECONDS
+        conn.last_message_at = NOW + links.SAMPLE_SECONDS
         assert conn.needs_ping(NOW + links.SAMPLE_SECONDS)
 
     asyncio.run(main())
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -8,15 +8,15 @@
     return cluster.ChangeRow(version, at, change, 'e1', 1, 0)
 
 
-def applied(*changes):
+def apply_all(*changes):
     config = cluster.ClusterConfig()
     for number, change in enumerate(changes, 1):
         config = cluster.apply(config, row(number, change, 10.0 * number))
     return config
 
 
-def test_each_change_is_seen_in_the_document():
-    config = applied(
+def test_each_change_modifies_the_document():
+    config = apply_all(
         cluster.ZoneOut('a'),
         cluster.PresetUse('peak'),
         cluster.QuotaSet('books', 3),
@@ -33,20 +33,20 @@
     assert (config.version, config.in_force_at) == (6, 60.0)
 
 
-def test_a_new_incarnation_removes_the_old_one_but_keeps_it_on_record():
-    config = applied(
+def test_a_new_incarnation_removes_the_old_one_but_keeps_its_record():
+    config = apply_all(
         cluster.EntryListed('e1', 1, '127.0.0.1:1', 'a'),
         cluster.EntryListed('e1', 2, '127.0.0.1:1', 'a'),
     )
     old, new = config.entries
     assert (old.incarnation, old.removed_at) == (1, 20.0)
     assert config.listed() == (new,) and config.member('e1') == new
-    late = cluster.apply(config, row(3, cluster.ZoneOut('a'), 700.0))
-    assert late.entries == (new,)
+    later = cluster.apply(config, row(3, cluster.ZoneOut('a'), 700.0))
+    assert later.entries == (new,)
 
 
-def test_a_return_is_dated_and_a_repeated_departure_changes_nothing():
-    config = applied(cluster.ZoneOut('a'), cluster.ZoneIn('a'))
+def test_a_zone_return_has_an_instant_and_a_repeated_one_changes_nothing():
+    config = apply_all(cluster.ZoneOut('a'), cluster.ZoneIn('a'))
     assert config.zone('a') == cluster.Zone('a', False, 20.0)
     assert not cluster.alters(config, cluster.ZoneIn('a'))
     assert cluster.alters(config, cluster.ZoneOut('a'))
@@ -62,18 +62,18 @@
         (row(2, cluster.QuotaSet('t', -1)), 'slots'),
     ],
 )
-def test_a_bad_change_is_refused_and_its_field_named(bad, field):
-    config = applied(cluster.ZoneOut('b'))
+def test_an_invalid_change_is_refused_and_its_field_named(bad, field):
+    config = apply_all(cluster.ZoneOut('b'))
     with pytest.raises(exceptions.BadChange, match=f'^{field}: '):
         cluster.apply(config, bad)
 
 
-def test_json_names_the_field_at_fault_and_survives_a_round_trip():
+def test_json_errors_name_the_field_and_values_survive_a_round_trip():
     with pytest.raises(exceptions.BadChange, match='zone'):
         cluster.change_from_json(b'{"kind": "zone_out", "zone": 4}')
     with pytest.raises(exceptions.BadMessage, match='Head'):
         cluster.decode(b'\xff', cluster.Head)
-    config = applied(cluster.EntryListed('e', 1, 'x', 'a'))
+    config = apply_all(cluster.EntryListed('e', 1, 'x', 'a'))
     data = cluster.encode(config)
     assert cluster.decode(data, cluster.ClusterConfig) == config
     changed = row(1, cluster.QuotaSet('t', None))
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -1,4 +1,4 @@
-"""Random interleavings of faults, with the promises checked all along."""
+"""Random interleavings of faults, with the invariants checked throughout."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -49,11 +49,11 @@
 
 
 def act(world, action):
-    """Carry out one action; those that make no sense now do nothing."""
+    """Execute an action, unless it doesn't apply to the present state."""
     match action:
         case ('propose', name, change):
             if isinstance(change, cluster.QuotaSet):
-                # Of its own, to be told from every other in the store.
+                # A unique number of slots identifies the change in the store.
                 slots = 100 + world.propose_count()
                 change = cluster.QuotaSet(change.team, slots)
             return world.propose(name, change), name, change
@@ -76,14 +76,14 @@
 
 
 def run(world, seconds, step=virtual_cluster.STEP):
-    """Let time pass, with the promises checked all along."""
+    """Advance the time and check the invariants after every step."""
     for _ in range(max(1, round(seconds / step))):
         world.run(min(seconds, step))
-        world.watch()
+        world.check_invariants()
 
 
 def recover(world):
-    """End every fault and give the entries time to settle."""
+    """End every fault and let the entries settle."""
     world.heal()
     for name, node in world.nodes.items():
         if node.paused:
@@ -94,21 +94,23 @@
     run(world, 40.0, 1.0)
 
 
-def check_verdicts(world, asked):
-    """What was accepted is in the store, what was refused is not."""
+def check_verdicts(world, requests):
+    """Check that accepted changes are in the store and refused ones aren't."""
     rows = world.rows()
-    for number, name, change in asked:
+    for number, name, change in requests:
         found = world.proposed.get(number)
         if found is None or found.verdict == 'unknown':
             continue
         if found.verdict == 'accepted':
             changed = [row.change for row in rows[: found.version]]
-            assert change in changed or _was_so(change, rows, found.version)
+            assert change in changed or _is_in_effect(
+                change, rows, found.version
+            )
         elif isinstance(change, cluster.QuotaSet):
             assert change not in [row.change for row in rows]
 
 
-def _was_so(change, rows, version):
+def _is_in_effect(change, rows, version):
     doc = cluster.ClusterConfig()
     for row in rows[:version]:
         doc = cluster.apply(doc, row)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""What an entry does as store, peers and clocks fail one by one."""
+"""Behaviour of entries when the store, peers or clocks fail."""
 
 import pytest
 
@@ -8,23 +8,23 @@
 from tests import virtual_cluster
 
 RULES = virtual_cluster.RULES
-OUT = cluster.ZoneOut('a')
+ZONE_A_OUT = cluster.ZoneOut('a')
 
 
 @pytest.fixture
 def world():
-    """Three entries, listed and settled."""
-    made = virtual_cluster.Cluster()
-    run(made, 10.0)
-    assert made.leases() == ['x', 'y', 'z']
-    return made
+    """Return a cluster of three listed and settled entries."""
+    simulation = virtual_cluster.Cluster()
+    run(simulation, 10.0)
+    assert simulation.leases() == ['x', 'y', 'z']
+    return simulation
 
 
 def run(world, seconds):
-    """Let time pass, with the promises checked all along."""
+    """Advance the time and check the invariants after every step."""
     for _ in range(round(seconds / virtual_cluster.STEP)):
         world.run(virtual_cluster.STEP)
-        world.watch()
+        world.check_invariants()
     world.check_permits()
 
 
@@ -44,28 +44,34 @@
     return conf(world, name).start_before(zone, world.clock(name)) > 0.0
 
 
-def test_a_zone_departs_everywhere_at_one_instant(world):
-    number = world.propose('x', OUT)
+def test_a_zone_goes_out_everywhere_at_one_instant(world):
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 1.0)
-    done = world.proposed[number]
-    assert done.verdict == 'accepted'
-    assert done.in_force_at <= world.now + RULES.fence
+    outcome = world.proposed[number]
+    assert outcome.verdict == 'accepted'
+    assert outcome.in_force_at <= world.now + RULES.fence
     for name in 'xyz':
-        assert conf(world, name).version == done.version
+        assert conf(world, name).version == outcome.version
         now = world.clock(name)
-        assert conf(world, name).start_before('a', now) <= done.in_force_at
-    run(world, done.in_force_at - world.now + 0.1)
+        assert conf(world, name).start_before('a', now) <= outcome.in_force_at
+    run(world, outcome.in_force_at - world.now + 0.1)
     assert [zone_open(world, name) for name in 'xyz'] == [False] * 3
     assert zone_open(world, 'x', 'b')
 
 
 def test_a_departure_and_a_return_in_quick_succession(world):
-    """An operator takes a zone out, back in, and asks for both again.
+    """An operator takes a zone out, returns it, and repeats both requests.
 
-    The repetitions change nothing and say where the zone already stands.
+    The repetitions change nothing and report the version in which the zone is
+    in that state already.
     """
     versions = []
-    for change in (OUT, OUT, cluster.ZoneIn('a'), cluster.ZoneIn('a')):
+    for change in (
+        ZONE_A_OUT,
+        ZONE_A_OUT,
+        cluster.ZoneIn('a'),
+        cluster.ZoneIn('a'),
+    ):
         number = world.propose('x', change)
         run(world, 0.5)
         versions.append(world.proposed[number].version)
@@ -74,10 +80,11 @@
     assert [zone_open(world, name) for name in 'xyz'] == [True] * 3
 
 
-def test_of_two_operators_at_two_entries_one_wins(world):
-    """Both saw version 3; one takes the zone out, the other wants it in.
+def test_of_two_concurrent_changes_only_one_is_accepted(world):
+    """Two operators request different presets, both based on version 3.
 
-    The loser learns which version won, and nothing of his change is done.
+    One receives a conflict with the version that was written instead, and
+    the other's change is the only one that takes effect.
     """
     run(world, 0.0)
     one = world.propose('x', cluster.PresetUse('peak'), 3)
@@ -85,21 +92,22 @@
     run(world, 5.0)
     verdicts = sorted([world.verdict(one), world.verdict(other)])
     assert verdicts == ['accepted', 'conflict']
-    lost = one if world.verdict(one) == 'conflict' else other
-    assert world.proposed[lost].version == 4
+    refused = one if world.verdict(one) == 'conflict' else other
+    assert world.proposed[refused].version == 4
     assert len(world.rows()) == 4
     assert len({document(world, name).preset for name in 'xyz'}) == 1
 
 
 def test_changes_of_different_subjects_do_not_conflict(world):
-    """Operators who name no version lose only to a change of the same thing.
+    """A change that isn't based on a version conflicts only by its subject.
 
-    Otherwise an upstream that announces its leaving would fail a departure.
+    Otherwise an upstream that announces its leaving would fail an operator's
+    request to take a zone out.
     """
     numbers = [
-        world.propose('x', OUT),
+        world.propose('x', ZONE_A_OUT),
         world.propose('y', cluster.UpstreamLeaving('w1')),
-        world.propose('z', OUT),
+        world.propose('z', ZONE_A_OUT),
     ]
     run(world, 5.0)
     verdicts = [world.verdict(one) for one in numbers]
@@ -108,7 +116,7 @@
     assert len(world.rows()) == 5
 
 
-def test_an_invalid_change_is_refused_by_its_field(world):
+def test_a_refused_invalid_change_names_its_field(world):
     number = world.propose('x', cluster.PresetUse('fast'))
     run(world, 0.1)
     assert world.verdict(number) == 'invalid'
@@ -118,10 +126,11 @@
 def test_starts_go_on_while_the_store_is_down_even_if_an_entry_is_killed(
     world,
 ):
-    """The store is down for a minute, and an entry's process dies in it.
+    """The store is down for a minute, and an entry's process dies meanwhile.
 
-    Callers notice nothing: the others extend their leases by the grants of
-    one another, and the dead process can write nothing.
+    The other entries must keep their leases, which they extend by each
+    other's grants, as a dead process writes no change.  Otherwise callers'
+    jobs would be refused during the outage.
     """
     world.set_store('refuse', 'refuse')
     for _ in range(20):
@@ -132,7 +141,7 @@
     for _ in range(40):
         run(world, 1.0)
         assert world.leases() == ['x', 'y']
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 0.1)
     assert world.verdict(number) == 'unavailable'
     world.heal()
@@ -142,7 +151,10 @@
 
 
 def test_a_restart_during_an_outage_waits_for_the_store(world):
-    """A new process can't know what changed before it was there."""
+    """A new process hasn't read the last changes during an outage.
+
+    Without a lease it must not start tasks, or it would use an old version.
+    """
     world.set_store('refuse', 'refuse')
     world.kill('z')
     run(world, 1.0)
@@ -156,11 +168,14 @@
 
 
 def test_an_entry_cut_off_from_the_store_then_from_its_peers_stops(world):
-    """It can't know what operators change, so callers get a "not run"."""
+    """An entry without store and peers doesn't receive operators' changes.
+
+    It must start no more tasks, and its callers receive "not run".
+    """
     world.cut_from_store.add('z')
     run(world, 20.0)
     assert status(world, 'z').lease_source == 'peers'
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 5.0)
     assert world.verdict(number) == 'accepted'
     assert not zone_open(world, 'z')
@@ -175,19 +190,19 @@
 
 
 def test_a_lost_answer_is_unknown_until_a_read_settles_it(world):
-    """The write took effect, but its answer was lost, and reads fail too.
+    """A write takes effect, but its answer is lost, and reads fail too.
 
-    The operator is told "unknown".  The zone takes no starts anywhere from
-    then on, since it may be out; other zones go on.
+    The operator receives "unknown".  From then on no entry starts tasks in
+    the zone, since it may be out; starts in other zones continue.
     """
     world.set_store('ok', 'lose')
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     while len(world.rows()) < 4:
         world.run(0.001)
     world.set_store('refuse', 'refuse')
     run(world, 6.0)
     assert world.verdict(number) == 'unknown'
-    assert status(world, 'x').uncertain[0].change == OUT
+    assert status(world, 'x').uncertain[0].change == ZONE_A_OUT
     assert [zone_open(world, name) for name in 'xyz'] == [False] * 3
     assert zone_open(world, 'y', 'b')
     assert document(world, 'x').version == 3
@@ -197,16 +212,23 @@
     assert document(world, 'x').zone_out('a')
 
 
-def test_a_lost_answer_is_made_good_by_the_next_read(world):
-    """Reads work, so the operator learns the truth within a second."""
+def test_a_lost_answer_is_resolved_by_the_next_read(world):
+    """An answer is lost while reads work.
+
+    The operator must receive the actual verdict within a second instead of
+    "unknown".
+    """
     world.set_store('ok', 'lose')
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 2.0)
     assert world.verdict(number) == 'accepted'
 
 
 def test_an_uncertain_preset_stops_starts_until_a_read_settles_it(world):
-    """Under two possible presets no entry may follow either."""
+    """The outcome of a preset change is unknown, so two presets are possible.
+
+    No entry may start tasks under either preset until a read resolves it.
+    """
     world.set_store('ok', 'hold')
     number = world.propose('x', cluster.PresetUse('peak'))
     run(world, 0.1)
@@ -219,14 +241,14 @@
     assert world.leases() == ['x', 'y', 'z']
 
 
-def test_a_write_held_up_on_its_way_fails_after_a_renewal(world):
-    """A change reaches the store long after its in_force_at has passed.
+def test_a_delayed_write_fails_after_a_renewal(world):
+    """A change reaches the store long after its ``in_force_at``.
 
     If it took effect then, entries that had just read the head would start
-    tasks in a zone that was out already.
+    tasks in a zone that was already out.
     """
     world.set_store('ok', 'hold_changes')
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 12.0)
     assert world.verdict(number) == 'unavailable'
     assert len(world.held) > 1
@@ -236,31 +258,31 @@
     assert zone_open(world, 'x')
 
 
-def test_a_write_held_up_with_all_renewals_leaves_no_lease_behind(world):
-    """Reads go on, but no write arrives; then the held change does.
+def test_a_write_delayed_with_all_renewals_leaves_no_lease(world):
+    """Reads succeed while all writes are delayed; then a change arrives.
 
-    A lease counted from the read would be good here, and one entry would
-    follow the old preset seconds after the new one came into force.  Counted
-    from the stamp it has ended.
+    A lease that started at the read would still be valid, and an entry would
+    use the old preset seconds after the new one came into force.  A lease
+    that starts at the stamp has expired.
     """
     world.set_store('ok', 'hold')
     world.propose('x', cluster.PresetUse('peak'))
     run(world, 1.0)
     world.kill('x')
     run(world, 8.0)
-    assert release_change(world)
+    assert deliver_change(world)
     for _ in range(5):
         world.run(0.05)
-        world.watch()
+        world.check_invariants()
     assert len(world.rows()) == 4
 
 
 def test_a_writer_waits_for_peers_that_rely_on_its_grants(world):
-    """A cut keeps its intent from its peers, then it dies.
+    """A partition keeps a writer's intent from its peers; then it dies.
 
-    They see it dead while its last grants are good and count on it for the
-    rest of an outage.  Had it written without waiting for them, its held-up
-    change would come into force behind their backs.
+    Its peers observe its death while its last grants are valid and keep their
+    leases for the rest of an outage.  If the writer hadn't waited for them,
+    its delayed change would come into force without their knowledge.
     """
     world.set_store('ok', 'hold')
     world.cut('x', 'y')
@@ -272,22 +294,25 @@
     world.set_store('refuse', 'hold')
     run(world, 8.0)
     assert world.leases() == ['y', 'z']
-    assert not release_change(world)
+    assert not deliver_change(world)
 
 
-def release_change(world):
-    """Let the first held-up change through; whether there is one."""
+def deliver_change(world):
+    """Deliver the first delayed change; return whether there is one."""
     for _, step in world.held:
         if len(step.request.puts) > 1:
             step()
-            world.watch()
+            world.check_invariants()
             return True
     return False
 
 
 def test_a_change_accepted_as_its_writer_dies_is_kept(world):
-    """The answer reaches the writer, which dies before telling a peer."""
-    number = world.propose('x', OUT)
+    """A writer dies after the store's answer, before it sends the change.
+
+    The other entries must read the accepted change from the store.
+    """
+    number = world.propose('x', ZONE_A_OUT)
     while world.verdict(number) is None:
         world.run(0.001)
     world.kill('x')
@@ -297,12 +322,13 @@
 
 
 def test_a_writer_that_dies_in_an_outage_leaves_its_change_uncertain(world):
-    """Its write is still on its way, and nobody can read the store.
+    """A writer's transaction is delayed, and no entry can read the store.
 
-    The others know of its intent, so they start nothing in that zone.
+    The other entries hold its intent, so they must not start tasks in that
+    zone.
     """
     world.set_store('ok', 'hold')
-    world.propose('x', OUT)
+    world.propose('x', ZONE_A_OUT)
     run(world, 0.3)
     world.set_store('refuse', 'hold')
     world.kill('x')
@@ -314,11 +340,11 @@
     assert status(world, 'y').settled
 
 
-def test_a_silent_writer_that_dies_late_counts_as_granting_no_longer(world):
-    """It was cut off long enough to write without asking, then killed.
+def test_the_grant_of_a_silent_writer_that_dies_late_expires(world):
+    """A writer is killed after a partition that outlasted its grants.
 
-    Its death proves that it writes nothing more, but not that it wrote
-    nothing before.
+    By then it may write without acknowledgements.  Its death proves that it
+    writes no more changes, but not that it wrote none before.
     """
     world.cut('x', 'y')
     world.cut('x', 'z')
@@ -339,9 +365,13 @@
 
 
 def test_a_paused_entry_resumes_without_a_lease(world):
-    """SIGSTOP for seconds across a departure, with grants in its buffers."""
+    """A process is stopped for seconds, while a zone goes out.
+
+    The grants in its buffers must not restore its lease, or it would start
+    tasks in that zone.
+    """
     world.pause('z')
-    number = world.propose('x', OUT)
+    number = world.propose('x', ZONE_A_OUT)
     run(world, 8.0)
     assert world.verdict(number) == 'accepted'
     world.set_store('refuse', 'refuse')
@@ -355,20 +385,23 @@
     assert not zone_open(world, 'z')
 
 
-def test_a_silent_entry_is_removed_and_lists_itself_anew(world):
-    """A paused entry's jobs need a new owner; it must not own them again."""
+def test_a_silent_entry_is_removed_and_listed_again_later(world):
+    """A paused entry's jobs get a new owner.
+
+    The resumed entry must not own them again, so it needs a new listing.
+    """
     world.pause('z')
     run(world, 20.0)
     assert not document(world, 'x').lists(_member(world, 'z'))
     world.resume('z')
     run(world, 12.0)
-    again = document(world, 'x').member('z')
-    assert again.incarnation == 1 and again.listed_at > world.now - 12.0
+    member = document(world, 'x').member('z')
+    assert member.incarnation == 1 and member.listed_at > world.now - 12.0
     assert world.leases() == ['x', 'y', 'z']
 
 
 def test_all_entries_are_replaced_one_by_one(world):
-    """A rolling update: each leaves, goes, and a new process comes."""
+    """A rolling update stops each entry gracefully and starts a new one."""
     for name in 'xyz':
         world.feed(name, lambda conf, now: conf.leave(now, now))
         run(world, 5.0)
@@ -381,7 +414,10 @@
 
 
 def test_all_entries_die_at_once_and_new_ones_take_over(world):
-    """No listed entry is left that could list a new one."""
+    """No listed entry is alive that could list the new processes.
+
+    They must list themselves, or the cluster would never serve again.
+    """
     for name in 'xyz':
         world.kill(name)
     run(world, 1.0)
@@ -397,9 +433,9 @@
     ]
 
 
-def test_messages_of_an_old_version_do_not_turn_the_version_back(world):
-    """A row and a grant arrive again, from a peer that lags behind."""
-    world.propose('x', OUT)
+def test_messages_of_an_old_version_do_not_revert_the_version(world):
+    """An old row, an old grant and a malformed row arrive from a peer."""
+    world.propose('x', ZONE_A_OUT)
     run(world, 5.0)
     old = cluster.ChangeRow(3, 1.0, cluster.PresetUse('peak'), 'x', 1, 9)
     for message in (
@@ -415,30 +451,31 @@
     assert 'bad_peer_message' in notes
 
 
-def test_a_clock_that_is_off_costs_its_own_entry_the_lease(world):
-    """One entry's clock runs ahead by a second.
+def test_an_entry_with_a_wrong_clock_loses_its_lease(world):
+    """An entry's clock is ahead by a second.
 
-    Its stamps and grants would let others start tasks past a fence, and
-    theirs would let it.  Its peers outvote it.  This is beyond what the
-    promises assume, so they aren't watched here.
+    Its stamps and grants would extend the others' leases beyond a fence, and
+    theirs would extend its own.  It must distrust its clock, as most peers
+    differ from it.  The invariants assume correct clocks, so they aren't
+    checked here.
     """
     world.nodes['z'].offset = 1.0
     world.run(12.0)
     assert world.leases() == ['x', 'y']
-    number = world.propose('z', OUT)
+    number = world.propose('z', ZONE_A_OUT)
     world.run(1.0)
     assert world.verdict(number) == 'unavailable'
     assert 'clock' in world.proposed[number].reason
 
 
-def test_a_removed_entry_is_dialled_no_more_once_it_is_gone(world):
+def test_a_removed_dead_entry_is_not_dialled(world):
     dials = world.nodes['x'].dials
     world.kill('z')
     run(world, 10.0)
     assert 'z' not in dials and 'y' in dials
 
 
-def test_a_peer_that_is_behind_is_sent_what_it_lacks(world):
+def test_a_lagging_peer_is_sent_the_changes_that_it_lacks(world):
     wanted = messages.ChangesWanted(1)
     effects = conf(world, 'x').on_message('y', wanted, world.now)
     (sent,) = [one for one in effects if isinstance(one, core.Send)]
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Hostile bytes at the ports: no crash, no event, and the next one served."""
+"""Arbitrary bytes at the ports: no crash, no event, and service goes on."""
 
 import asyncio
 import json
@@ -43,11 +43,15 @@
 HEADERS = (
     b'POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: ' + b'%d\r\n\r\n'
 )
-FEW = hypothesis.settings(derandomize=True, deadline=None, max_examples=30)
-MANY = hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
+FEW_EXAMPLES = hypothesis.settings(
+    derandomize=True, deadline=None, max_examples=30
+)
+MANY_EXAMPLES = hypothesis.settings(
+    derandomize=True, deadline=None, max_examples=200
+)
 
 
-@MANY
+@MANY_EXAMPLES
 @hypothesis.given(
     strategies.dictionaries(MEMBERS, VALUES, max_size=2),
     strategies.dictionaries(TASK_MEMBERS, VALUES, max_size=2),
@@ -69,7 +73,7 @@
     assert messages.decode(messages.encode(start)) == start
 
 
-@FEW
+@FEW_EXAMPLES
 @hypothesis.given(
     strategies.binary(max_size=300)
     | strategies.binary(max_size=200).map(
@@ -105,7 +109,7 @@
 )
 
 
-@FEW
+@FEW_EXAMPLES
 @hypothesis.given(FRAMES, strategies.booleans())
 def test_bytes_at_the_peers_port_are_no_messages(data, greets):
     """Something that is no agatepick process connects to the peers' port.
@@ -166,7 +170,7 @@
     return True
 
 
-def test_the_body_that_is_varied_is_a_whole_job():
+def test_the_unmodified_body_of_the_fuzz_tests_is_a_valid_job():
     job = job_bodies.job_spec(
         json.dumps({'team': 't', 'tasks': [TASK]}).encode(),
         KEY,
--- a/tests/test_httpcalls.py
+++ b/tests/test_httpcalls.py
@@ -1,4 +1,4 @@
-"""Calls over connections that stay open, against a server that misbehaves."""
+"""Calls over persistent connections to a server with faults."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 
 
 class Server:
-    """Answers each request by what the test gives it.
+    """Server that answers requests with the given responses.
 
-    :ivar answers: bytes for each further request; ``None`` for silence, and
-        an empty text for a closed connection.
-    :ivar heard: what was asked for, by connection.
+    :ivar answers: bytes of the response to each further request; ``None`` for
+        no response, and empty bytes for a closed connection.
+    :ivar requests: lists of the requests' paths and bodies, by connection.
     """
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.heard = []
+        self.requests = []
         self.address = ''
         self._writers = []
 
@@ -34,14 +34,14 @@
         for writer in self._writers:
             writer.close()
 
-    def hang_up(self):
+    def close_connections(self):
         for writer in self._writers:
             writer.close()
 
     async def _serve(self, reader, writer):
         self._writers.append(writer)
-        asked = []
-        self.heard.append(asked)
+        requests = []
+        self.requests.append(requests)
         try:
             while head := await reader.readuntil(b'\r\n\r\n'):
                 length = 0
@@ -49,7 +49,7 @@
                     if line.startswith(b'content-length:'):
                         length = int(line.partition(b':')[2])
                 body = await reader.readexactly(length)
-                asked.append((head.split(b' ')[1].decode(), body))
+                requests.append((head.split(b' ')[1].decode(), body))
                 answer = self.answers.pop(0)
                 if answer is None:
                     await asyncio.sleep(30.0)
@@ -58,7 +58,7 @@
                     return
                 writer.write(answer)
         except (asyncio.IncompleteReadError, OSError):
-            # The client has hung up.
+            # The client has closed the connection.
             pass
 
 
@@ -66,14 +66,14 @@
     asyncio.run(main())
 
 
-def test_calls_in_a_row_use_one_connection():
+def test_successive_calls_use_one_connection():
     async def main():
         async with Server(OK, OK, OK) as server:
             client = httpcalls.Client(server.address, 4)
             for name in ('/a', '/b', '/c'):
-                found = await client.call('POST', name, 10.0, b'body')
-                assert found == httpcalls.Response(200, b'ok')
-            assert server.heard == [
+                response = await client.call('POST', name, 10.0, b'body')
+                assert response == httpcalls.Response(200, b'ok')
+            assert server.requests == [
                 [('/a', b'body'), ('/b', b'body'), ('/c', b'body')]
             ]
             client.close()
@@ -81,24 +81,24 @@
     run(main)
 
 
-def test_calls_at_a_time_use_no_more_connections_than_allowed():
+def test_concurrent_calls_use_no_more_connections_than_allowed():
     async def main():
         async with Server(*[OK] * 8) as server:
             client = httpcalls.Client(server.address, 2)
             calls = [client.call('GET', '/x', 10.0) for _ in range(8)]
-            found = await asyncio.gather(*calls)
-            assert [one.status for one in found] == [200] * 8
-            assert len(server.heard) <= 2
+            responses = await asyncio.gather(*calls)
+            assert [one.status for one in responses] == [200] * 8
+            assert len(server.requests) <= 2
             client.close()
 
     run(main)
 
 
-def test_an_answer_that_does_not_come_ends_the_call_and_its_connection():
-    """A worker leaves an order without an answer.
+def test_a_call_that_times_out_closes_its_connection():
+    """A worker doesn't answer a request in time.
 
-    Were its connection used again, the late answer would be taken for that
-    to the next order.
+    If the connection were reused, the late response would be taken as that to
+    the next request.
     """
 
     async def main():
@@ -106,18 +106,18 @@
             client = httpcalls.Client(server.address, 1)
             with pytest.raises(TimeoutError):
                 await client.call('POST', '/a', 0.05, b'x')
-            found = await client.call('POST', '/b', 10.0, b'x')
-            assert found.status == 200
-            assert [len(asked) for asked in server.heard] == [1, 1]
+            response = await client.call('POST', '/b', 10.0, b'x')
+            assert response.status == 200
+            assert [len(requests) for requests in server.requests] == [1, 1]
             client.close()
 
     run(main)
 
 
 def test_a_call_that_changes_something_is_never_sent_twice():
-    """The server takes an order and closes the connection.
+    """The server reads a request and closes the connection.
 
-    The order may have been carried out, so only the caller can tell whether
+    The request may have been executed, so only the caller can decide whether
     to send it again.
     """
 
@@ -127,20 +127,20 @@
             await client.call('POST', '/a', 10.0, b'x')
             with pytest.raises(OSError):
                 await client.call('POST', '/b', 10.0, b'x')
-            asked = [name for one in server.heard for name, _ in one]
-            assert asked == ['/a', '/b']
+            requests = [name for one in server.requests for name, _ in one]
+            assert requests == ['/a', '/b']
             client.close()
 
     run(main)
 
 
-def test_a_read_meets_a_connection_that_is_being_closed_and_is_sent_again():
+def test_a_read_on_a_connection_that_the_server_closes_is_sent_again():
     async def main():
         async with Server(OK, b'', OK) as server:
             client = httpcalls.Client(server.address, 1)
             await client.call('GET', '/a', 10.0)
-            found = await client.call('GET', '/b', 10.0)
-            assert found.status == 200
+            response = await client.call('GET', '/b', 10.0)
+            assert response.status == 200
             client.close()
 
     run(main)
@@ -151,16 +151,16 @@
         async with Server(OK, OK) as server:
             client = httpcalls.Client(server.address, 1)
             await client.call('POST', '/a', 10.0, b'x')
-            server.hang_up()
+            server.close_connections()
             await asyncio.sleep(0.05)
-            found = await client.call('POST', '/b', 10.0, b'x')
-            assert found.status == 200
+            response = await client.call('POST', '/b', 10.0, b'x')
+            assert response.status == 200
             client.close()
 
     run(main)
 
 
-def test_nothing_listening_is_told_apart():
+def test_a_closed_port_raises_a_connection_refused_error():
     async def main():
         async with Server() as server:
             address = server.address
@@ -179,7 +179,7 @@
         b'',
     ],
 )
-def test_what_is_no_answer_is_an_error(answer):
+def test_an_invalid_response_is_an_error(answer):
     async def main():
         async with Server(answer) as server:
             client = httpcalls.Client(server.address, 1)
@@ -189,16 +189,16 @@
     run(main)
 
 
-def test_an_answer_that_ends_the_connection_is_the_last_on_it():
+def test_a_response_with_connection_close_is_the_last_on_it():
     close = b'HTTP/1.1 200 OK\r\nConnection: close\r\n' + OK[17:]
 
     async def main():
         async with Server(close, OK) as server:
             client = httpcalls.Client(server.address, 1)
             for name in ('/a', '/b'):
-                found = await client.call('POST', name, 10.0, b'x')
-                assert found.body == b'ok'
-            assert len(server.heard) == 2
+                response = await client.call('POST', name, 10.0, b'x')
+                assert response.body == b'ok'
+            assert len(server.requests) == 2
             client.close()
 
     run(main)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -39,18 +39,18 @@
         self.links.add_sockets(sockets)
         return sockets[0].getsockname()[1]
 
-    async def wait_for(self, kind: type, where=lambda event: True):
+    async def wait_for(self, kind: type, matches=lambda event: True):
         async with asyncio.timeout(10):
             while True:
                 for event in self.events:
-                    if isinstance(event, kind) and where(event):
+                    if isinstance(event, kind) and matches(event):
                         return event
                 self.changed.clear()
                 await self.changed.wait()
 
 
-class Transport:
-    """Notes what is written."""
+class RecordingTransport:
+    """Transport that records what is written."""
 
     def __init__(self, transport, writes):
         self._transport = transport
@@ -64,8 +64,8 @@
         self._transport.write(data)
 
 
-async def connected():
-    """Two nodes, ``a`` and ``b``, with a connection."""
+async def connect_nodes():
+    """Return two connected nodes, ``a`` and ``b``."""
     left, right = Node('a'), Node('b')
     port = right.listen()
     left.links.dial('b', f'127.0.0.1:{port}')
@@ -80,13 +80,13 @@
 
 def test_messages_go_both_ways_over_one_connection():
     async def main():
-        left, right = await connected()
+        left, right = await connect_nodes()
         left.links.send('b', messages.Goodbye('x'))
         right.links.send('a', messages.Ask(3))
-        got = await right.wait_for(
+        received = await right.wait_for(
             core.Received, lambda e: isinstance(e.message, messages.Goodbye)
         )
-        assert got == core.Received('a', messages.Goodbye('x'))
+        assert received == core.Received('a', messages.Goodbye('x'))
         await left.wait_for(
             core.Received, lambda e: e.message == messages.Ask(3)
         )
@@ -96,17 +96,17 @@
     run(main)
 
 
-def test_a_refused_connection_tells_that_the_peer_is_dead():
-    """A process was killed and its port closed.
+def test_a_refused_connection_shows_that_the_peer_is_dead():
+    """A process is killed, which closes its port.
 
-    Peers must learn that it is gone for certain, not only silent, or an
-    outage of the store would stop all starts.
+    Its peers must detect that it is dead and not only silent, or an outage of
+    the store would stop all starts.
     """
 
     async def main():
-        gone = Node('b')
-        port = gone.listen()
-        gone.links.end()
+        dead_node = Node('b')
+        port = dead_node.listen()
+        dead_node.links.end()
         node = Node('a')
         node.links.dial('b', f'127.0.0.1:{port}')
         down = await node.wait_for(core.PeerDown)
@@ -116,10 +116,10 @@
     run(main)
 
 
-def test_another_name_at_an_address_tells_that_the_peer_is_dead():
-    """A process died and another one was given its address.
+def test_another_name_at_an_address_shows_that_the_peer_is_dead():
+    """A process dies and another process gets its address.
 
-    The new one answers there, so the old one can't be running.
+    As the new process answers there, the old one can't be running.
     """
 
     async def main():
@@ -136,14 +136,14 @@
 
 
 @pytest.mark.parametrize('data', [b'\xff' * 64, b'\0\0\0\1x', b'\0' * 64])
-def test_bytes_that_are_no_frame_end_only_their_connection(data):
-    """Something that isn't a peer connects and sends rubbish.
+def test_invalid_frames_close_only_their_connection(data):
+    """A client that isn't a peer connects and sends arbitrary bytes.
 
-    Its connection ends; the others go on and nothing is fed.
+    Its connection must be closed without an event, while peers can connect.
     """
 
     async def main():
-        node, good = Node('a'), Node('b')
+        node, peer = Node('a'), Node('b')
         port = node.listen()
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(data)
@@ -151,39 +151,39 @@
             while await reader.read(65536):
                 pass
         assert node.events == []
-        good.links.dial('a', f'127.0.0.1:{port}')
+        peer.links.dial('a', f'127.0.0.1:{port}')
         await node.wait_for(core.PeerUp)
         writer.close()
-        good.links.end()
+        peer.links.end()
         node.links.end()
 
     run(main)
 
 
-def test_what_is_sent_in_one_turn_leaves_by_one_write():
+def test_messages_sent_in_one_loop_iteration_take_one_write():
     """An entry with fifty agents answers hundreds of messages a second.
 
-    With a write and two reads for each, a third of its time goes to calls
-    of the kernel, and its callers wait.
+    With a write and two reads for each of them, system calls take a third of
+    its time, and its callers wait longer.
     """
 
     async def main():
-        left, right = await connected()
+        left, right = await connect_nodes()
         writes = []
         conn = left.links._peers['b']
-        conn.transport = Transport(conn.transport, writes)
+        conn.transport = RecordingTransport(conn.transport, writes)
         for number in range(20):
             left.links.send('b', messages.Ask(number))
         await right.wait_for(
             core.Received, lambda e: e.message == messages.Ask(19)
         )
-        asked = [
+        values = [
             event.message.want
             for event in right.events
             if isinstance(event, core.Received)
             and isinstance(event.message, messages.Ask)
         ]
-        assert asked == list(range(20))
+        assert values == list(range(20))
         frames = [messages.encode(messages.Ask(one)) for one in range(20)]
         assert writes[0] == b''.join(
             links.HEADER.pack(len(frame)) + frame for frame in frames
@@ -194,14 +194,14 @@
     run(main)
 
 
-def test_what_was_sent_before_a_hangup_arrives():
-    """A process says goodbye and hangs up at once.
+def test_messages_sent_before_a_hangup_arrive():
+    """A process sends a goodbye and hangs up at once.
 
-    Its peer must learn of it, or it waits for a process that is gone.
+    Its peer must receive the goodbye, or it waits for a dead process.
     """
 
     async def main():
-        left, right = await connected()
+        left, right = await connect_nodes()
         left.links.send('b', messages.Goodbye('x'))
         left.links.hangup('b')
         await right.wait_for(
@@ -214,15 +214,15 @@
 
 
 def test_a_message_takes_one_read():
-    """An entry hears hundreds of small messages a second, one at a time.
+    """An entry receives hundreds of small messages a second, one at a time.
 
-    A coroutine that reads a stream takes three reads and three turns of the
-    loop for each: 165 to 185 us of processor time for a message sent and
+    A coroutine that reads a stream takes three reads and three iterations of
+    the event loop for each: 165 to 185 us of CPU time for a message sent and
     received, and 92 to 107 us with one of each.
     """
 
     async def main():
-        left, right = await connected()
+        left, right = await connect_nodes()
         left.links.send('b', messages.Ask(99))
         await right.wait_for(
             core.Received, lambda e: e.message == messages.Ask(99)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,7 +10,7 @@
 from agatepick import types
 
 
-def test_every_kind_of_message_survives_the_codec():
+def test_messages_survive_encoding_and_decoding():
     task = messages.StartTask(
         'j', 1, 2, 'k', 't', b'{}', types.Needs(1.5, 10, 1), 9.5
     )
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize('data', [b'', b'x', b'\0' * 8, b'\xff' * 64])
-def test_bytes_that_are_no_message_are_refused(data):
+def test_malformed_messages_are_refused(data):
     with pytest.raises(exceptions.BadMessage):
         messages.decode(data)
 
@@ -45,9 +45,9 @@
 
 @pytest.mark.parametrize('sample', SAMPLES)
 def test_large_messages_stay_within_the_reader_s_limit(sample):
-    """A lost owner's thousand tasks are reported in one message.
+    """The thousand tasks of a lost owner are reported in one message.
 
-    A limit meant for hostile messages must not cut off a whole one.
+    The limit that guards against hostile messages must not refuse it.
     """
     lists = [
         name
@@ -59,8 +59,8 @@
     assert messages.decode(messages.encode(large)) == large
 
 
-# An ``Orphans`` with one report, altered to claim a list of empty items.
-CLAIMS_A_MILLION = bytes.fromhex(
+# An ``Orphans`` with one report, modified to declare a list of empty items.
+DECLARES_A_MILLION_ITEMS = bytes.fromhex(
     '000000001a000000000000000200010009000000000000000000000000000000'
     '0000000002000200010000000000000001000000000000000500000012000000'
     '050000003f000000650000000000010000004000000000000400000002000500'
@@ -72,14 +72,14 @@
 )
 
 
-def test_a_message_that_claims_a_million_items_is_refused():
-    """A peer sends 240 bytes that claim a list of a million.
+def test_a_message_that_declares_a_million_items_is_refused():
+    """A peer sends 240 bytes that declare a list of a million items.
 
-    Read as it claims, such a message stopped its receiver for seconds, and
-    every lease and task on it would have lapsed.
+    Reading such a message blocked its receiver for seconds, in which the
+    leases and tasks of the receiver would have expired.
     """
     with pytest.raises(exceptions.BadMessage):
-        messages.decode(CLAIMS_A_MILLION)
+        messages.decode(DECLARES_A_MILLION_ITEMS)
 
 
 def damaged(seed):
@@ -91,7 +91,7 @@
 
 
 def items(value):
-    """How many values a message holds, its lists included."""
+    """Return the number of values in a message, including its lists."""
     if isinstance(value, tuple):
         return len(value) + sum(map(items, value))
     if dataclasses.is_dataclass(value):
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -6,62 +6,66 @@
 RULES = readlease.Rules(fence=3.0, margin=0.25)
 
 
-def uncertain(change, stamp=90.0, at=103.0):
+def uncertain_change(change, stamp=90.0, at=103.0):
     row = cluster.ChangeRow(6, at, change, 'w', 1, 1)
     return cluster.Uncertain(row, stamp)
 
 
-def extended(*peers, lease=101.0, doubts=()):
-    return readlease.extend(lease, 100.0, 5, peers, doubts, RULES)
+def extend_lease(*peers, lease=101.0, changes=()):
+    return readlease.extend(lease, 100.0, 5, peers, changes, RULES)
 
 
-def test_a_lease_reaches_as_far_as_the_oldest_grant():
+def test_a_lease_is_extended_up_to_the_end_of_the_oldest_grant():
     newer = readlease.PeerGrant(5, 99.5)
     older = readlease.PeerGrant(4, 99.0)
-    assert extended(newer, older) == 101.75
-    assert extended(newer, readlease.PeerGrant()) == 101.0
+    assert extend_lease(newer, older) == 101.75
+    assert extend_lease(newer, readlease.PeerGrant()) == 101.0
 
 
-def test_a_lease_never_reaches_past_a_fence_from_now():
-    """The only listed entry has no peer to ask, and may write itself."""
-    assert extended() == 102.75
+def test_a_lease_ends_within_a_fence_from_now():
+    """The only listed entry needs no grants, but may write a change itself."""
+    assert extend_lease() == 102.75
 
 
-def test_a_lease_that_ran_out_is_not_restored_by_peers():
-    """A paused process wakes up and finds fresh grants in its buffers."""
-    assert extended(readlease.PeerGrant(5, 100.0), lease=100.0) == 100.0
+def test_an_expired_lease_is_not_restored_by_peers():
+    """A resumed process reads recent grants from its buffers."""
+    assert extend_lease(readlease.PeerGrant(5, 100.0), lease=100.0) == 100.0
 
 
-def test_a_peer_that_knows_more_extends_nothing():
-    assert extended(readlease.PeerGrant(6, 100.0)) == 101.0
+def test_a_grant_of_a_newer_version_does_not_extend_the_lease():
+    assert extend_lease(readlease.PeerGrant(6, 100.0)) == 101.0
 
 
-def test_a_peer_counts_for_ever_only_if_it_died_while_its_grant_was_good():
-    """A killed process stops nobody; one that was silent before might."""
+def test_a_grant_never_expires_only_if_its_peer_died_while_it_was_valid():
+    """A dead process writes no change, but a silent one may have written one.
+
+    The death of a process must not end the others' leases, unless its grant
+    had expired before.
+    """
     grant = readlease.PeerGrant(5, 90.0)
-    assert grant.died(92.75, RULES).until(RULES) == math.inf
-    assert grant.died(92.76, RULES).until(RULES) == 92.75
+    assert grant.mark_dead(92.75, RULES).until(RULES) == math.inf
+    assert grant.mark_dead(92.76, RULES).until(RULES) == 92.75
 
 
 def test_the_intent_of_a_dead_peer_is_unsettled():
-    """A writer dies just after its peers acknowledged what it would write."""
-    doubt = uncertain(cluster.PresetUse('peak'))
-    grant = readlease.PeerGrant(5, 99.0, intent=doubt)
+    """A writer dies after its peers acknowledged its intent."""
+    change = uncertain_change(cluster.PresetUse('peak'))
+    grant = readlease.PeerGrant(5, 99.0, intent=change)
     assert grant.unsettled() == ()
-    assert grant.died(99.5, RULES).unsettled() == (doubt,)
+    assert grant.mark_dead(99.5, RULES).unsettled() == (change,)
 
 
-def test_an_uncertain_preset_ends_starts_an_uncertain_departure_its_zone():
-    preset = uncertain(cluster.PresetUse('peak'), at=102.0)
-    assert extended(doubts=[preset]) == 101.75
-    departure = uncertain(cluster.ZoneOut('a'), at=102.0)
-    assert extended(doubts=[departure]) == 102.75
+def test_an_uncertain_preset_limits_the_lease_and_a_departure_its_zone():
+    preset = uncertain_change(cluster.PresetUse('peak'), at=102.0)
+    assert extend_lease(changes=[preset]) == 101.75
+    departure = uncertain_change(cluster.ZoneOut('a'), at=102.0)
+    assert extend_lease(changes=[departure]) == 102.75
     assert readlease.zone_bound('a', [departure]) == 102.0
     assert readlease.zone_bound('b', [departure]) == math.inf
 
 
-def test_a_newer_stamp_or_version_settles_an_uncertain_change():
-    doubt = uncertain(cluster.ZoneOut('a'))
-    assert readlease.live([doubt], cluster.Head(5, 90.0)) == (doubt,)
-    assert readlease.live([doubt], cluster.Head(5, 90.1)) == ()
-    assert readlease.live([doubt], cluster.Head(6, 90.0)) == ()
+def test_a_newer_stamp_or_version_resolves_an_uncertain_change():
+    change = uncertain_change(cluster.ZoneOut('a'))
+    assert readlease.select_live([change], cluster.Head(5, 90.0)) == (change,)
+    assert readlease.select_live([change], cluster.Head(5, 90.1)) == ()
+    assert readlease.select_live([change], cluster.Head(6, 90.0)) == ()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -29,7 +29,7 @@
 
 
 class Authority:
-    """Signs certificates into a directory."""
+    """Certificate authority that writes certificates into a directory."""
 
     def __init__(self, path, name):
         self.path = path
@@ -40,7 +40,7 @@
         self.file.write_bytes(cert)
 
     def settings(self, name, **changes):
-        """Settings of a process whose certificate is of this authority."""
+        """Return the settings of a process with a new certificate."""
         key = ec.generate_private_key(ec.SECP256R1())
         cert_file = self.path / 'peer.pem'
         key_file = self.path / 'peer.key'
@@ -80,8 +80,8 @@
     return x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, text)])
 
 
-async def name_shown(server, client):
-    """Common name that a server with one context shows to a client."""
+async def fetch_presented_name(server, client):
+    """Return the common name that a server presents to a client."""
 
     async def serve(reader, writer):
         writer.write(await reader.read(1))
@@ -108,20 +108,20 @@
     return Authority(tmp_path / 'ours', 'ours')
 
 
-def test_a_renewed_certificate_is_shown_without_a_restart(ours):
+def test_a_renewed_certificate_is_presented_without_a_restart(ours):
     contexts = tls.Contexts.from_config(ours.settings('first'))
     server, client = contexts.peer_server, contexts.peer_client
-    assert asyncio.run(name_shown(server, client)) == 'first'
+    assert asyncio.run(fetch_presented_name(server, client)) == 'first'
     assert not contexts.reload()
     ours.settings('second')
     assert contexts.reload()
-    assert asyncio.run(name_shown(server, client)) == 'second'
+    assert asyncio.run(fetch_presented_name(server, client)) == 'second'
 
 
-def test_a_peer_of_another_authority_is_turned_away(ours, tmp_path):
-    """Someone who can reach a peers' port has a certificate of their own.
+def test_a_peer_of_another_authority_is_rejected(ours, tmp_path):
+    """A client of a peer port has a certificate of another authority.
 
-    The connection ends in the handshake, before any message is read.
+    Its connection must fail in the handshake, before any message is read.
     """
     (tmp_path / 'theirs').mkdir()
     theirs = Authority(tmp_path / 'theirs', 'theirs')
@@ -129,13 +129,14 @@
     bad = tls.Contexts.from_config(theirs.settings('bad'))
     bad.peer_client.load_verify_locations(str(ours.file))
     with pytest.raises((ssl.SSLError, ConnectionError, AssertionError)):
-        asyncio.run(name_shown(good.peer_server, bad.peer_client))
+        asyncio.run(fetch_presented_name(good.peer_server, bad.peer_client))
 
 
-def test_a_half_written_renewal_leaves_the_old_certificate_in_use(ours):
-    """A renewal is caught when the new file is only partly written.
+def test_a_partly_written_renewal_leaves_the_old_certificate_in_use(ours):
+    """The files are reloaded while a new certificate is partly written.
 
-    Peers go on connecting with the old certificate; an error is logged.
+    Peers must be able to connect with the old certificate, and the reload
+    must raise an error, which the process logs.
     """
     cfg = ours.settings('first')
     contexts = tls.Contexts.from_config(cfg)
@@ -143,24 +144,24 @@
         file.truncate(40)
     with pytest.raises(exceptions.BadSettings, match='peer.pem'):
         contexts.reload()
-    shown = name_shown(contexts.peer_server, contexts.peer_client)
+    shown = fetch_presented_name(contexts.peer_server, contexts.peer_client)
     assert asyncio.run(shown) == 'first'
 
 
 @pytest.fixture
 def secured(ours):
-    """Settings of an entry and an agent with TLS on all sides."""
+    """Return a builder of settings of an entry and an agent with TLS."""
     cfg = ours.settings('agatepick')
     cfg = dataclasses.replace(
         cfg, http_certificate=cfg.peer_certificate, http_key=cfg.peer_key
     )
-    anywhere = '127.0.0.1:0'
+    any_port = '127.0.0.1:0'
 
     def build(table):
         entry = settings.EntrySettings(
             process=settings.Process('entry-1', 'z'),
-            http=settings.Http(anywhere),
-            peers=settings.Peers(anywhere),
+            http=settings.Http(any_port),
+            peers=settings.Peers(any_port),
             store=settings.Store(f'http://{table.address}'),
             tokens=settings.Tokens('x' * 16),
             tls=cfg,
@@ -170,7 +171,7 @@
             return settings.AgentSettings(
                 process=settings.Process('agent-1', 'z'),
                 entries=settings.Entries((seed,)),
-                upstream=settings.Upstreams(anywhere),
+                upstream=settings.Upstreams(any_port),
                 tls=cfg,
             )
 
@@ -179,22 +180,24 @@
     return build
 
 
-def test_a_job_goes_all_the_way_under_tls(ours, secured):
+def test_a_job_completes_under_tls(ours, secured):
     async def main():
         table = await standin_table.TableServer.start()
         entry_cfg, agent_cfg = secured(table)
         contexts = tls.Contexts.from_config(entry_cfg.tls)
         entry = processes.EntryProcess.from_settings(entry_cfg)
         await entry.start(contexts)
-        made = []
+        upstreams = []
 
         def runner(feed):
             offer = upstream.Announced(
                 's', ('k',), 2, types.Needs(1.0, 1), '', 5.0
             )
             worker = standin_upstream.StandIn()
-            made.append(standin_upstream.LocalUpstream(worker, feed, offer))
-            return made[0]
+            upstreams.append(
+                standin_upstream.LocalUpstream(worker, feed, offer)
+            )
+            return upstreams[0]
 
         outside = processes.Outside(
             clocks.ProcessClock.start(), random.Random(1), runner=runner
@@ -203,7 +206,7 @@
             agent_cfg(entry.member.address), outside
         )
         await agent.start(contexts)
-        made[0].begin()
+        upstreams[0].begin()
         caller = client.Client(
             [f'https://{entry.http_address}'],
             tls=tls.caller_context(str(ours.file)),
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -1,7 +1,7 @@
-"""Several Configuration components over a network and a store in virtual time.
+"""Simulation of several Configuration components in virtual time.
 
-A fake at the interfaces only: messages, connections, store calls and clocks.
-``Cluster.watch`` checks the promises after every step.
+It fakes only the interfaces: messages, connections, store calls and clocks.
+``Cluster.check_invariants`` checks the invariants after every step.
 """
 
 import dataclasses
@@ -27,7 +27,7 @@
 
 
 class Node:
-    """One entry's process: crashes, pauses, and keeps its own clock."""
+    """Process of one entry, which can crash or pause and has its own clock."""
 
     def __init__(self, name, zone, offset):
         self.name = name
@@ -44,10 +44,11 @@
 
 @dataclasses.dataclass
 class StoreMode:
-    """How the store treats requests.
+    """Behaviour of the store for reads and for writes.
 
-    ``ok``, ``refuse``, ``hold`` (they arrive once the mode is another),
-    ``lose`` (the answer) or, for writes, ``hold_changes``: stamps pass.
+    ``ok``, ``refuse``, ``hold`` (requests arrive once the mode changes),
+    ``lose`` (answers are lost) or, for writes only, ``hold_changes`` (as
+    ``hold``, but renewals of the stamp pass).
     """
 
     reads: str = 'ok'
@@ -55,7 +56,7 @@
 
 
 class Cluster:
-    """The virtual world."""
+    """Simulated cluster with its network and store."""
 
     def __init__(self, names='xyz', seed=0, offsets=()):
         self.now = START
@@ -64,7 +65,7 @@
         self.mode = StoreMode()
         self.cut_from_store = set()
         self.partitions = {}
-        self.up = {}
+        self.connections = {}
         self.backlog = {}
         self.held = []
         self.proposed = {}
@@ -75,7 +76,7 @@
         self._heap = []
         self._order = itertools.count()
         self._proposals = 0
-        self._fifo = {}
+        self._last_arrivals = {}
         offsets = itertools.chain(offsets, itertools.repeat(0.0))
         self.nodes = {
             name: Node(name, ZONES[place % 2], offset)
@@ -83,12 +84,12 @@
         }
         for name in self.nodes:
             self.start(name)
-        self.at(0.0, self._beat)
+        self.schedule(0.0, self._send_pings)
 
-    # what a scenario does
+    # Actions of a scenario
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
             self.now, _, step = heapq.heappop(self._heap)
@@ -96,7 +97,7 @@
         self.now = until
 
     def propose(self, name, change, based_on=None):
-        """Ask a node for a change; gives the number of the request."""
+        """Request a change at a node and return the number of the request."""
         self._proposals += 1
         number = self._proposals
         self.feed(
@@ -106,11 +107,11 @@
         return number
 
     def propose_count(self):
-        """How many changes were asked for."""
+        """Return the number of requested changes."""
         return self._proposals
 
     def verdict(self, number):
-        """How a request ended, or ``None``."""
+        """Return the verdict of a request, or ``None`` if it has none yet."""
         found = self.proposed.get(number)
         return found.verdict if found else None
 
@@ -133,18 +134,18 @@
         self._tick(name, node.incarnation)
 
     def kill(self, name):
-        """End a node's process at once."""
+        """Kill a node's process."""
         node = self.nodes[name]
         node.alive = False
-        for pair in [one for one in self.up if name in one]:
-            self._break(pair)
+        for pair in [one for one in self.connections if name in one]:
+            self._disconnect(pair)
 
     def pause(self, name):
-        """Stop a process, as SIGSTOP does."""
+        """Pause a node's process, as SIGSTOP does."""
         self.nodes[name].paused = True
 
     def resume(self, name):
-        """Let a stopped process go on with what has gathered."""
+        """Resume a paused process, which then handles its buffered steps."""
         node = self.nodes[name]
         node.paused = False
         buffer, node.buffer = node.buffer, []
@@ -152,45 +153,45 @@
             self.feed(name, step)
 
     def cut(self, one, other):
-        """Lose all packets between two nodes."""
+        """Drop all packets between two nodes."""
         pair = frozenset((one, other))
         if pair in self.partitions:
             return
         self.partitions[pair] = since = self.now
 
-        def silent():
+        def disconnect():
             if self.partitions.get(pair) == since:
-                self._break(pair)
+                self._disconnect(pair)
 
-        self.at(SILENCE, silent)
+        self.schedule(SILENCE, disconnect)
 
     def heal(self):
         """End all faults of network and store; held requests arrive."""
         for pair in list(self.partitions):
             del self.partitions[pair]
             for deliver in self.backlog.pop(pair, []):
-                self.at(0.001, deliver)
+                self.schedule(0.001, deliver)
         self.cut_from_store.clear()
         self.set_store('ok', 'ok')
 
     def set_store(self, reads, writes):
-        """Set how the store treats reads and writes."""
+        """Set the store's mode for reads and for writes."""
         self.mode = StoreMode(reads, writes)
         held, self.held = self.held, []
         for kind, step in held:
             if getattr(self.mode, kind).startswith('hold'):
                 self.held.append((kind, step))
             else:
-                self.at(self.rng.uniform(0.0, 0.01), step)
+                self.schedule(self.rng.uniform(0.0, 0.01), step)
 
-    # what a test asks
+    # Queries of a test
 
     def clock(self, name):
-        """A node's own clock."""
+        """Return the time of a node's own clock."""
         return self.now + self.nodes[name].offset
 
     def rows(self):
-        """The committed change rows."""
+        """Return the committed change rows."""
         if self._rows is None:
             self._rows = self._read_rows()
         return self._rows
@@ -202,7 +203,7 @@
         ]
 
     def leases(self):
-        """Names of the nodes that hold a read lease."""
+        """Return the names of the nodes that hold a read lease."""
         return [
             node.name
             for node in self.nodes.values()
@@ -211,19 +212,19 @@
             and node.conf.lease_until(self.clock(node.name))
         ]
 
-    def watch(self):
-        """Check the promises for this instant."""
+    def check_invariants(self):
+        """Check the invariants at this instant."""
         rows = self.rows()
         for node in self.nodes.values():
             if not node.alive:
                 continue
-            assert node.conf.version >= node.version, 'version went back'
+            assert node.conf.version >= node.version, 'the version decreased'
             node.version = node.conf.version
-            assert node.version <= len(rows), 'uncommitted version known'
+            assert node.version <= len(rows), 'an uncommitted version is known'
         for name in self.leases():
-            self._watch_holder(self.nodes[name], rows)
+            self._check_holder(self.nodes[name], rows)
 
-    def _watch_holder(self, node, rows):
+    def _check_holder(self, node, rows):
         now = self.clock(node.name)
         doc = node.conf.in_force(now)
         assert doc.in_force_at <= now
@@ -239,7 +240,7 @@
                 self.permits.append((zone, now, until, node.name))
 
     def check_permits(self):
-        """No permit reaches into the time its zone was out."""
+        """Check that no permit overlaps an outage of its zone."""
         for zone in ZONES:
             for begin, end in self._outages(zone):
                 for place, now, until, name in self.permits:
@@ -257,16 +258,16 @@
         if begin is not None:
             yield begin, float('inf')
 
-    # the works
+    # Implementation
 
-    def at(self, seconds, step):
-        """Do something later."""
+    def schedule(self, seconds, step):
+        """Schedule a step after a delay."""
         heapq.heappush(
             self._heap, (self.now + seconds, next(self._order), step)
         )
 
     def feed(self, name, step):
-        """Run ``step(conf, now)`` in a node and carry out its effects."""
+        """Run ``step(conf, now)`` in a node and execute its effects."""
         node = self.nodes[name]
         if not node.alive:
             return
@@ -286,7 +287,7 @@
             case core.Hangup(peer):
                 node.dials.pop(peer, None)
             case store.CallStore():
-                self._call(node, effect)
+                self._call_store(node, effect)
             case cluster.Proposed():
                 self.proposed[effect.request_id] = effect
             case core.Note():
@@ -298,13 +299,13 @@
             return
         if not node.paused:
             self.feed(name, lambda conf, now: conf.on_tick(now))
-        self.at(0.25, lambda: self._tick(name, incarnation))
+        self.schedule(0.25, lambda: self._tick(name, incarnation))
 
-    def _beat(self):
-        for one, other in list(self.up):
+    def _send_pings(self):
+        for one, other in list(self.connections):
             self._ping(one, other)
             self._ping(other, one)
-        self.at(1.0, self._beat)
+        self.schedule(1.0, self._send_pings)
 
     def _ping(self, one, other):
         sent = self.clock(one)
@@ -328,22 +329,22 @@
 
     def _transmit(self, sender, peer, step):
         pair = frozenset((sender, peer))
-        epoch = self.up.get(pair)
+        epoch = self.connections.get(pair)
         if epoch is None:
             return
         arrival = self.now + self.rng.uniform(0.0005, 0.02)
-        arrival = max(arrival, self._fifo.get((sender, peer), 0.0))
-        self._fifo[sender, peer] = arrival
+        arrival = max(arrival, self._last_arrivals.get((sender, peer), 0.0))
+        self._last_arrivals[sender, peer] = arrival
 
         def deliver():
-            if self.up.get(pair) != epoch:
+            if self.connections.get(pair) != epoch:
                 return
             if pair in self.partitions:
                 self.backlog.setdefault(pair, []).append(deliver)
                 return
             self.feed(peer, step)
 
-        self.at(arrival - self.now, deliver)
+        self.schedule(arrival - self.now, deliver)
 
     def _redial(self, name, incarnation, peer):
         node = self.nodes[name]
@@ -354,16 +355,16 @@
         pair = frozenset((name, peer))
         other = self.nodes[peer]
         reachable = pair not in self.partitions
-        if pair not in self.up and reachable and not node.paused:
+        if pair not in self.connections and reachable and not node.paused:
             if not other.alive:
                 down = core.PeerDown(peer, 0, True)
                 self.feed(name, lambda conf, now: conf.on_peer_down(down, now))
             elif not other.paused:
                 self._connect(pair)
-        self.at(0.2, lambda: self._redial(name, incarnation, peer))
+        self.schedule(0.2, lambda: self._redial(name, incarnation, peer))
 
     def _connect(self, pair):
-        self.up[pair] = next(self._order)
+        self.connections[pair] = next(self._order)
         for name, peer in itertools.permutations(pair):
             other = self.nodes[peer]
             hello = messages.Hello(
@@ -374,8 +375,8 @@
             )
             self._ping(name, peer)
 
-    def _break(self, pair):
-        if self.up.pop(pair, None) is None:
+    def _disconnect(self, pair):
+        if self.connections.pop(pair, None) is None:
             return
         self.backlog.pop(pair, None)
         for name, peer in itertools.permutations(pair):
@@ -384,7 +385,7 @@
                 name, lambda conf, now, ev=down: conf.on_peer_down(ev, now)
             )
 
-    def _call(self, node, call):
+    def _call_store(self, node, call):
         write = isinstance(call.request, store.Transact)
         kind = 'writes' if write else 'reads'
         mode = getattr(self.mode, kind)
@@ -398,8 +399,8 @@
         def timed_out():
             if not state['answered']:
                 state['answered'] = True
-                lost = exceptions.StoreUnknown('timeout')
-                answer = lost if write else _unavailable()
+                error = exceptions.StoreUnknown('timeout')
+                answer = error if write else _unavailable()
                 self._answer(node, call.id, 0.0, answer)
 
         def execute():
@@ -412,19 +413,19 @@
             if mode == 'lose':
                 return
 
-            def back():
+            def deliver_answer():
                 state['answered'] = True
                 self._answer(node, call.id, 0.0, answer)
 
-            # An answer that comes after the timeout is for nobody.
-            self.at(self.rng.uniform(0.001, 0.01), back)
+            # The node ignores an answer after the timeout.
+            self.schedule(self.rng.uniform(0.001, 0.01), deliver_answer)
 
         execute.request = call.request
-        self.at(call.timeout, timed_out)
+        self.schedule(call.timeout, timed_out)
         if mode == 'hold':
             self.held.append((kind, execute))
         else:
-            self.at(self.rng.uniform(0.001, 0.01), execute)
+            self.schedule(self.rng.uniform(0.001, 0.01), execute)
 
     def _answer(self, node, number, seconds, answer):
         incarnation = node.incarnation
@@ -436,7 +437,7 @@
                     node.name, lambda conf, now: conf.on_store(event, now)
                 )
 
-        self.at(seconds, deliver)
+        self.schedule(seconds, deliver)
 
 
 def _unavailable():
