--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -370,9 +370,9 @@
 ) -> ClusterConfig:
     match change:
         case ZoneOut(zone):
-            return _with_zone(base, zone, True, at)
+            return _set_zone(base, zone, True, at)
         case ZoneIn(zone):
-            return _with_zone(base, zone, False, at)
+            return _set_zone(base, zone, False, at)
         case PresetUse(preset):
             if preset not in PRESETS:
                 raise _make_field_error(
@@ -380,7 +380,7 @@
                 )
             return dataclasses.replace(base, preset=preset)
         case QuotaSet(team, slots):
-            return _with_quota(base, team, slots)
+            return _set_quota(base, team, slots)
         case UpstreamLeaving(agent):
             leaving = tuple(
                 sorted({*base.leaving, _require_nonempty('agent', agent)})
@@ -390,11 +390,11 @@
             kept = tuple(one for one in base.leaving if one != agent)
             return dataclasses.replace(base, leaving=kept)
         case EntryListed():
-            return _with_entry(base, change, at)
+            return _list_entry(base, change, at)
         case EntryRemoved(name, incarnation, stopped_at):
-            return _without_entry(base, name, incarnation, at, stopped_at)
+            return _remove_entry(base, name, incarnation, at, stopped_at)
         case SettingSet(key, value):
-            return _with_setting(base, key, value)
+            return _set_setting(base, key, value)
 
 
 def _require_nonempty(field: str, value: str) -> str:
@@ -403,7 +403,7 @@
     return value
 
 
-def _with_zone(
+def _set_zone(
     base: ClusterConfig, name: str, out: bool, at: float
 ) -> ClusterConfig:
     if base.zone_out(_require_nonempty('zone', name)) == out:
@@ -412,7 +412,7 @@
     return dataclasses.replace(base, zones=(*others, Zone(name, out, at)))
 
 
-def _with_quota(
+def _set_quota(
     base: ClusterConfig, team: str, slots: int | None
 ) -> ClusterConfig:
     _require_nonempty('team', team)
@@ -424,21 +424,21 @@
     return dataclasses.replace(base, quotas=(*kept, Quota(team, slots)))
 
 
-def _with_entry(
+def _list_entry(
     base: ClusterConfig, change: EntryListed, at: float
 ) -> ClusterConfig:
     old = base.member(_require_nonempty('name', change.name))
     if old is not None and old.incarnation == change.incarnation:
         return base
     if old is not None:
-        base = _without_entry(base, old.name, old.incarnation, at)
+        base = _remove_entry(base, old.name, old.incarnation, at)
     member = messages.Member(
         change.name, change.incarnation, change.address, change.zone, at
     )
     return dataclasses.replace(base, entries=(*base.entries, member))
 
 
-def _without_entry(
+def _remove_entry(
     base: ClusterConfig,
     name: str,
     incarnation: int,
@@ -456,7 +456,7 @@
     return dataclasses.replace(base, entries=entries)
 
 
-def _with_setting(
+def _set_setting(
     base: ClusterConfig, key: str, value: str | None
 ) -> ClusterConfig:
     _require_nonempty('key', key)
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -169,7 +169,7 @@
             version_in_force=doc.version,
             in_force_at=doc.in_force_at,
             preset=doc.preset,
-            lease_source=self._lease_source(now),
+            lease_source=self._find_lease_source(now),
             lease_seconds=max(0.0, self.lease_until(now) - now),
             serving=self.serving(now),
             settled=self.settled(now),
@@ -329,7 +329,7 @@
         if head != headrows.NO_HEAD:
             self._permits.extend_from_store(head.stamp)
         effects = self._writer.resolve_uncertain()
-        effects += self._writer.handle_head(self._peers(now), now)
+        effects += self._writer.handle_head(self._make_peers(now), now)
         effects += self._advance(now)
         return effects + self._renew(now)
 
@@ -452,14 +452,14 @@
         if self._writer.start(now):
             return self._read()
         stage = self._writer.stage
-        request = self._writer.advance(self._peers(now), now)
+        request = self._writer.advance(self._make_peers(now), now)
         if request is not None:
             effects = self._call_store('write', request)
             self._last_write = self._last_call
             return effects
         return self._read() if self._writer.stage is not stage else []
 
-    def _peers(self, now: float) -> proposals.Peers:
+    def _make_peers(self, now: float) -> proposals.Peers:
         return proposals.Peers(
             self._members.alive(),
             self._granted_at,
@@ -490,7 +490,7 @@
         self._due_at[name] = now + seconds * spread
         return True
 
-    def _lease_source(self, now: float) -> str:
+    def _find_lease_source(self, now: float) -> str:
         if not self.lease_until(now):
             return 'none'
         return 'store' if self._permits.has_store_lease(now) else 'peers'
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -67,9 +67,9 @@
         self._others = tuple(
             one
             for one in config.listed()
-            if (one.name, one.incarnation) != _id(self._me)
+            if (one.name, one.incarnation) != _get_id(self._me)
         )
-        listed = {_id(one) for one in self._others}
+        listed = {_get_id(one) for one in self._others}
         for key in listed - self._peers.keys():
             self._peers[key] = _Peer(last_message_at=now)
         for key in self._peers.keys() - listed:
@@ -112,7 +112,7 @@
 
     def record_message(self, name: str, now: float) -> None:
         """Record the arrival of a message of an entry."""
-        peer = self._connected_peer(name)
+        peer = self._find_connected(name)
         if peer is not None:
             peer.last_message_at = now
 
@@ -120,11 +120,11 @@
         self, name: str, grant: readlease.PeerGrant, now: float
     ) -> None:
         """Record a lease grant of a peer, unless a newer one is known."""
-        peer = self._connected_peer(name)
+        peer = self._find_connected(name)
         if peer is None or grant.sent <= peer.grant.sent:
             return
         intent = peer.grant.intent
-        if intent is not None and self._is_settled_by(intent, grant):
+        if intent is not None and self._is_resolved_by(intent, grant):
             intent = None
         peer.grant = dataclasses.replace(grant, intent=intent)
 
@@ -133,7 +133,7 @@
 
         :returns: whether the peer is a listed entry.
         """
-        peer = self._connected_peer(name)
+        peer = self._find_connected(name)
         if peer is None:
             return False
         peer.grant = dataclasses.replace(peer.grant, intent=intent)
@@ -141,17 +141,19 @@
 
     def record_goodbye(self, name: str, now: float) -> None:
         """Record the goodbye of a peer, which writes no further change."""
-        peer = self._connected_peer(name)
+        peer = self._find_connected(name)
         if peer is not None:
             self._mark_dead(peer, now)
 
     def grants(self) -> tuple[readlease.PeerGrant, ...]:
         """Return the last grant of every other listed entry."""
-        return tuple(self._peers[_id(one)].grant for one in self._others)
+        return tuple(self._peers[_get_id(one)].grant for one in self._others)
 
-    def unsettled(self) -> list[cluster.Uncertain]:
+    def uncertain_changes(self) -> list[cluster.Uncertain]:
         """Return the changes that peers reported and may have written."""
-        return [one for grant in self.grants() for one in grant.unsettled()]
+        return [
+            one for grant in self.grants() for one in grant.uncertain_changes()
+        ]
 
     def alive(self) -> frozenset[str]:
         """Return the names of the other listed entries not provably dead."""
@@ -167,7 +169,7 @@
         """
         if member.name == self._me.name:
             return True
-        return self._peers[_id(member)].dead_at > 0.0
+        return self._peers[_get_id(member)].dead_at > 0.0
 
     def lost(self, now: float) -> list[messages.Member]:
         """Return the listed entries that this entry should now remove."""
@@ -177,14 +179,14 @@
         if member.name == self._me.name:
             # The listing of this process removes its older incarnation.
             return False
-        peer = self._peers[_id(member)]
+        peer = self._peers[_get_id(member)]
         alive = sorted({self._me.name, *self.alive()} - {member.name})
         rank_delay = REMOVE_RANK_SECONDS * alive.index(self._me.name)
         if peer.dead_at:
             return now >= peer.dead_at + REMOVE_DEAD_SECONDS + rank_delay
         return now >= peer.last_message_at + REMOVE_SILENT_SECONDS + rank_delay
 
-    def _connected_peer(self, name: str) -> _Peer | None:
+    def _find_connected(self, name: str) -> _Peer | None:
         return self._peers.get((name, self._connected.get(name, -1)))
 
     def _mark_dead(self, peer: _Peer, now: float) -> None:
@@ -192,12 +194,12 @@
             peer.dead_at = now
             peer.grant = peer.grant.mark_dead(now, self._rules)
 
-    def _is_settled_by(
+    def _is_resolved_by(
         self, intent: cluster.Uncertain, grant: readlease.PeerGrant
     ) -> bool:
         # The intent was sent at least one fence before its in_force_at.
         return grant.sent > intent.row.in_force_at - self._rules.fence
 
 
-def _id(member: messages.Member) -> Id:
+def _get_id(member: messages.Member) -> Id:
     return (member.name, member.incarnation)
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -42,7 +42,7 @@
         """Return when ``zone`` will or may go out; 0 if it is out already."""
         bound = self._bounds.get(zone)
         if bound is None:
-            bound = self._bounds[zone] = self._zone_bound(zone)
+            bound = self._bounds[zone] = self._compute_zone_bound(zone)
         return bound
 
     def start_before(self, zone: str) -> float:
@@ -55,7 +55,7 @@
         bound = self.zone_bound(zone)
         return min(self.lease, bound) if bound > self._now else 0.0
 
-    def _zone_bound(self, zone: str) -> float:
+    def _compute_zone_bound(self, zone: str) -> float:
         if self._document.zone_out(zone):
             return 0.0
         departures = [
@@ -112,7 +112,7 @@
 
     def uncertain(self) -> tuple[cluster.Uncertain, ...]:
         """Return the changes that may still take effect, ours included."""
-        changes = self._members.unsettled()
+        changes = self._members.uncertain_changes()
         own = self._writer.uncertain()
         if own is not None:
             changes.append(own)
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -70,13 +70,13 @@
     """State of the other listed entries that the writer depends on.
 
     :param alive: names of the entries not provably dead.
-    :param granted: instants of the last lease grants to them, by name.
+    :param granted_at: instants of the last lease grants to them, by name.
     :param write_refusal: why this entry may not write a change; empty if it
         may.
     """
 
     alive: frozenset[str]
-    granted: collections.abc.Mapping[str, float]
+    granted_at: collections.abc.Mapping[str, float]
     write_refusal: str = ''
 
 
@@ -101,7 +101,7 @@
         self._row: cluster.ChangeRow | None = None
         self._base_head = headrows.NO_HEAD
         self._acked: set[str] = set()
-        self._unsettled: cluster.Uncertain | None = None
+        self._uncertain: cluster.Uncertain | None = None
 
     @property
     def writing(self) -> bool:
@@ -124,9 +124,9 @@
 
     def uncertain(self) -> cluster.Uncertain | None:
         """Return our own change that may have taken, or may take, effect."""
-        if self._unsettled is not None:
-            return self._unsettled
-        return self._get_uncertain() if self.writing else None
+        if self._uncertain is not None:
+            return self._uncertain
+        return self._make_uncertain() if self.writing else None
 
     def submit(
         self, request_id: int, change: cluster.Change, based_on: int | None
@@ -167,10 +167,10 @@
         """
         if self.stage is Stage.WRITE:
             return self._resolve_write()
-        one = self._unsettled
+        one = self._uncertain
         if one is None or readlease.select_live([one], self._known.head):
             return []
-        self._unsettled = None
+        self._uncertain = None
         row = self._known.row(one.row.version)
         row_dropped = self._known.version >= one.row.version and row is None
         written = 'untold' if row_dropped else str(row == one.row)
@@ -190,7 +190,7 @@
 
     def handle_head(self, peers: Peers, now: float) -> list[object]:
         """Handle a read of the head: send the intent, or end the proposal."""
-        if self.stage is not Stage.READ or self._unsettled is not None:
+        if self.stage is not Stage.READ or self._uncertain is not None:
             return []
         proposal = self._queue[0]
         self._proposal_attempts += 1
@@ -201,7 +201,7 @@
         conflict = self._find_conflict(proposal)
         if conflict:
             return self._finish('conflict', reason=conflict)
-        row = self._next_row(proposal, now)
+        row = self._make_row(proposal, now)
         try:
             if not cluster.alters(self._known.latest, proposal.change):
                 return self._finish('accepted', self._known.latest.in_force_at)
@@ -251,7 +251,7 @@
         if isinstance(answer, exceptions.StoreUnavailable):
             return self._finish('unavailable', reason=answer.show())
         # A retry could not distinguish "already written" from a conflict.
-        self._unsettled = self._get_uncertain()
+        self._uncertain = self._make_uncertain()
         return self._finish(
             'unknown',
             row.in_force_at,
@@ -259,14 +259,14 @@
             f"the store's answer was lost: {answer}",
         )
 
-    def _get_uncertain(self) -> cluster.Uncertain | None:
+    def _make_uncertain(self) -> cluster.Uncertain | None:
         if self._row is None:
             return None
         return cluster.Uncertain(self._row, self._base_head.stamp)
 
     def _resolve_write(self) -> list[object]:
         """Determine the transaction's outcome from the known versions."""
-        uncertain = self._get_uncertain()
+        uncertain = self._make_uncertain()
         if uncertain is None or readlease.select_live(
             [uncertain], self._known.head
         ):
@@ -295,19 +295,19 @@
                 return f'version {version} changed {about} first'
         return ''
 
-    def _next_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
+    def _make_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
         self._last_attempt += 1
         self._base_head = self._known.head
         return cluster.ChangeRow(
             version=self._known.version + 1,
-            in_force_at=self._in_force_at(now),
+            in_force_at=self._choose_in_force_at(now),
             change=proposal.change,
             writer=self._me.name,
             incarnation=self._me.incarnation,
             attempt=self._last_attempt,
         )
 
-    def _in_force_at(self, now: float) -> float:
+    def _choose_in_force_at(self, now: float) -> float:
         if self._base_head == headrows.NO_HEAD:
             # No entry holds a lease for a head that was never written.
             return now
@@ -327,8 +327,8 @@
     def _relies_on_grant(self, peer: str, peers: Peers, now: float) -> bool:
         if peer in self._acked:
             return False
-        granted = peers.granted.get(peer)
-        return granted is not None and now < granted + self._rules.fence
+        granted_at = peers.granted_at.get(peer)
+        return granted_at is not None and now < granted_at + self._rules.fence
 
     def _send_change(self, row: cluster.ChangeRow) -> list[object]:
         changes = messages.Changes(row.version - 1, (cluster.encode(row),))
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -100,7 +100,7 @@
             return self
         return dataclasses.replace(self, dead=True)
 
-    def unsettled(self) -> tuple[cluster.Uncertain, ...]:
+    def uncertain_changes(self) -> tuple[cluster.Uncertain, ...]:
         """Return the changes of this peer that may still take effect.
 
         The intent of a live peer doesn't count: the peer sends no newer grant
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -91,7 +91,10 @@
 
 
 class Stamps(typing.Protocol):
-    """Interface of the logical clock that stamps messages for the timeline."""
+    """Interface of the logical clock of the timeline.
+
+    Its stamps on messages order causes before their effects.
+    """
 
     def stamp(self) -> int:
         """Return the stamp of an outgoing message."""
@@ -283,12 +286,12 @@
 
     def _handle_frames(self) -> None:
         while not self.closed:
-            data = self._next_frame()
+            data = self._read_frame()
             if data is None:
                 return
             self._handler(self._decode(data))
 
-    def _next_frame(self) -> bytes | None:
+    def _read_frame(self) -> bytes | None:
         """Return the message of the next complete frame, if there is one."""
         body = self._read_offset + HEADER.size
         if len(self._unread) < body:
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -54,7 +54,7 @@
         case ('propose', name, change):
             if isinstance(change, cluster.QuotaSet):
                 # A unique number of slots identifies the change in the store.
-                slots = 100 + world.propose_count()
+                slots = 100 + world.count_proposals()
                 change = cluster.QuotaSet(change.team, slots)
             return world.propose(name, change), name, change
         case ('cut', one, other) if one != other:
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -51,8 +51,8 @@
     """A writer dies after its peers acknowledged its intent."""
     change = uncertain_change(cluster.PresetUse('peak'))
     grant = readlease.PeerGrant(5, 99.0, intent=change)
-    assert grant.unsettled() == ()
-    assert grant.mark_dead(99.5, RULES).unsettled() == (change,)
+    assert grant.uncertain_changes() == ()
+    assert grant.mark_dead(99.5, RULES).uncertain_changes() == (change,)
 
 
 def test_an_uncertain_preset_limits_the_lease_and_a_departure_its_zone():
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -106,7 +106,7 @@
         )
         return number
 
-    def propose_count(self):
+    def count_proposals(self):
         """Return the number of requested changes."""
         return self._proposals
 
@@ -242,12 +242,12 @@
     def check_permits(self):
         """Check that no permit overlaps an outage of its zone."""
         for zone in ZONES:
-            for begin, end in self._outages(zone):
+            for begin, end in self._find_outages(zone):
                 for place, now, until, name in self.permits:
                     late = place == zone and now < end and until > begin
                     assert not late, f'{name} starts in {zone} until {until}'
 
-    def _outages(self, zone):
+    def _find_outages(self, zone):
         begin = None
         for row in self.rows():
             if row.change == cluster.ZoneOut(zone) and begin is None:
@@ -275,9 +275,9 @@
             node.buffer.append(step)
             return
         for effect in step(node.conf, self.clock(name)):
-            self._carry_out(node, effect)
+            self._execute_effect(node, effect)
 
-    def _carry_out(self, node, effect):
+    def _execute_effect(self, node, effect):
         match effect:
             case core.Send(peer, message):
                 self._send(node.name, peer, message)
@@ -392,7 +392,7 @@
         if mode == 'hold_changes':
             mode = 'hold' if len(call.request.puts) > 1 else 'ok'
         if mode == 'refuse' or node.name in self.cut_from_store:
-            self._answer(node, call.id, 0.001, _unavailable())
+            self._answer(node, call.id, 0.001, _make_unavailable())
             return
         state = {'answered': False}
 
@@ -400,7 +400,7 @@
             if not state['answered']:
                 state['answered'] = True
                 error = exceptions.StoreUnknown('timeout')
-                answer = error if write else _unavailable()
+                answer = error if write else _make_unavailable()
                 self._answer(node, call.id, 0.0, answer)
 
         def execute():
@@ -440,5 +440,5 @@
         self.schedule(seconds, deliver)
 
 
-def _unavailable():
+def _make_unavailable():
     return exceptions.StoreUnavailable('down')
