--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -237,7 +237,7 @@
         return []
 
     def on_peer_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Handle the connection of a peer; only other entries matter."""
+        """Handle the connection of a peer; only entries are relevant."""
         if hello.role != 'entry' or hello.name == self._me.name:
             return []
         self._members.record_up(hello, now)
