--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -28,7 +28,7 @@
 
 MAX_ROWS_PER_MESSAGE = 256
 """Change rows sent to a peer in one message, at most."""
-JITTER = 0.2
+JITTER_FRACTION = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -486,7 +486,9 @@
     def _is_due(self, name: str, seconds: float, now: float) -> bool:
         if now < self._due_at.get(name, 0.0):
             return False
-        spread = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
+        spread = self._rng.uniform(
+            1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION
+        )
         self._due_at[name] = now + seconds * spread
         return True
 
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadRead:
-    """Outcome: the head was read, and every version up to it is known."""
+    """Outcome of a read after which every version up to the head is known."""
 
     head: cluster.Head
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """Outcome: the store couldn't be read."""
+    """Outcome of a read that failed."""
 
     reason: str
 
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -15,8 +15,8 @@
 CHANGE = 'change'
 HEAD = 'head'
 SNAPSHOT = 'snapshot'
-SNAPSHOT_EVERY = 256
-READ_LIMIT = 512
+VERSIONS_PER_SNAPSHOT = 256
+MAX_ROWS_PER_READ = 512
 NO_HEAD = cluster.Head(0, 0.0)
 
 read_head = store.ReadRow(CLUSTER, HEAD)
@@ -25,7 +25,7 @@
 
 def read_changes(version: int) -> store.ReadAfter:
     """Return the request that reads the change rows after a version."""
-    return store.ReadAfter(CHANGE, _format_key(version), READ_LIMIT)
+    return store.ReadAfter(CHANGE, _format_key(version), MAX_ROWS_PER_READ)
 
 
 def renew_stamp(head: cluster.Head, stamp: float) -> store.Transact:
@@ -55,7 +55,7 @@
         _make_head_row(row.version, stamp),
         store.Row(CHANGE, _format_key(row.version), cluster.encode(row)),
     ]
-    if row.version % SNAPSHOT_EVERY == 0:
+    if row.version % VERSIONS_PER_SNAPSHOT == 0:
         puts.append(store.Row(CLUSTER, SNAPSHOT, cluster.encode(after)))
     old = row.version - history.ROWS_KEPT
     deletes = (store.RowName(CHANGE, _format_key(old)),) if old > 0 else ()
--- a/src/agatepick/core.py
+++ b/src/agatepick/core.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Received:
-    """Event: a message arrived from a peer that has sent its Hello."""
+    """Event that a message arrived from a peer that has sent its Hello."""
 
     peer: types.PeerName
     message: messages.Message
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUp:
-    """Event: a connection to a peer is ready for messages."""
+    """Event that a connection to a peer is ready for messages."""
 
     hello: messages.Hello
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerDown:
-    """Event: the last connection to a peer ended, or a dial to it failed.
+    """Event that the last connection to a peer ended, or a dial failed.
 
     :param incarnation: incarnation of the peer; 0 for a failed dial.
     :param dead: whether the process is provably dead: its address refused the
@@ -44,12 +44,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Event: time has passed; sent at least every tick interval."""
+    """Event that time has passed, sent at least every tick interval."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Event: a graceful stop of the process was requested."""
+    """Event that a graceful stop of the process was requested."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exit:
-    """Effect: the graceful stop is complete; the process may exit."""
+    """Effect that lets the process exit after a graceful stop."""
 
 
 Handler = typing.Callable[[typing.Any, float], list[object]]
--- a/src/agatepick/exceptions.py
+++ b/src/agatepick/exceptions.py
@@ -32,21 +32,21 @@
 
 
 class BadMessage(AgatepickError):
-    """A peer sent an invalid message, or one that it may not send."""
+    """Error for an invalid message, or one that its sender may not send."""
 
 
 class BadKey(AgatepickError):
-    """An idempotency key isn't a UUIDv7 in canonical form."""
+    """Error for an idempotency key that isn't a UUIDv7 in canonical form."""
 
 
 class BadSettings(AgatepickError):
-    """A settings file is invalid; the message lists every fault in it."""
+    """Error for an invalid settings file; the message lists every fault."""
 
     exit_status = 2
 
 
 class BadChange(AgatepickError):
-    """A change can't be applied to the cluster configuration.
+    """Error for a change that can't be applied to the configuration.
 
     The message names the invalid field.
     """
@@ -55,56 +55,56 @@
 
 
 class TooManyCalls(AgatepickError):
-    """The limit of open requests is reached; the request had no effect."""
+    """Error at the limit of open requests; the request had no effect."""
 
 
 class Unreachable(AgatepickError):
-    """No answer arrived, so it is not known whether a job ran."""
+    """Error for a missing answer; it is not known whether a job ran."""
 
     exit_status = 6
 
 
 class BadUsage(AgatepickError):
-    """A command was called with invalid arguments."""
+    """Error for a command with invalid arguments."""
 
     exit_status = 2
 
 
 class Rejected(AgatepickError):
-    """A request was refused and had no effect."""
+    """Error for a request that was refused and had no effect."""
 
     exit_status = 3
 
 
 class Conflict(Rejected):
-    """A concurrent change was written first; nothing else was written."""
+    """Error for a change that wasn't written, due to a concurrent change."""
 
     exit_status = 7
 
 
 class Unauthorised(Rejected):
-    """The bearer token is missing or wrong."""
+    """Error for a missing or wrong bearer token."""
 
     exit_status = 8
 
 
 class OutcomeUnknown(AgatepickError):
-    """The answer was lost; the change may or may not have taken effect."""
+    """Error for a lost answer; the change may have taken effect or not."""
 
     exit_status = 5
 
 
 class StoreError(AgatepickError):
-    """The table service couldn't execute a request."""
+    """Error for a request that the table service couldn't execute."""
 
 
 class StoreConflict(StoreError):
-    """A condition of a transaction failed; nothing was written."""
+    """Error for a failed condition of a transaction; nothing was written."""
 
 
 class StoreUnavailable(StoreError):
-    """The table service was unavailable; nothing was written."""
+    """Error for an unavailable table service; nothing was written."""
 
 
 class StoreUnknown(StoreError):
-    """The answer was lost; the transaction may or may not have committed."""
+    """Error for a lost answer; the transaction may be committed or not."""
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -94,5 +94,5 @@
         """Add a sample and update :attr:`best`."""
         self._samples.append(sample)
         del self._samples[:-SAMPLES_KEPT]
-        # Cached, since it is read at every start of a task.
+        # The minimum is stored, as each start of a task reads it.
         self.best = min(self._samples, key=lambda one: one.error)
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -181,7 +181,7 @@
             self._first_message.set_exception(
                 exc or ConnectionResetError('closed')
             )
-            # Retrieved here in case no caller awaits the first message.
+            # This marks the exception as retrieved, as no caller may await it.
             self._first_message.exception()
         if not self.lost.done():
             self.lost.set_result(None)
@@ -244,9 +244,10 @@
     def record_pong(self, pong: messages.Pong, now: float) -> None:
         """Record a pong, unless it arrived too late to be a clock sample.
 
-        Otherwise a peer whose first pong was late, as its process was busy
-        starting, would have an unknown clock until the next sample: its lease
-        grants would be ignored, and agents would refuse its starts.
+        A process that is busy starting may send its first pong late.  If that
+        pong counted as a sample, its clock would be unknown until the next
+        sample: its lease grants would be ignored, and agents would refuse its
+        starts.
         """
         if now - pong.sent <= SAMPLE_ROUND_TRIP_SECONDS:
             self._sampled_at = now
--- a/src/agatepick/net/tls.py
+++ b/src/agatepick/net/tls.py
@@ -65,7 +65,7 @@
             or _read_file_stamps(self.cfg) == self._file_stamps
         ):
             return False
-        # Loaded into new contexts first: a bad file must not affect ours.
+        # An invalid file must not affect the contexts that are in use.
         Contexts.from_config(self.cfg)
         self._load_files()
         return True
