--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -27,7 +27,7 @@
 milliseconds, so a second attempt rarely fails as well.
 """
 PROPOSAL_TIMEOUT_SECONDS = 8.0
-"""Time limit for a proposal.
+"""Time limit for a proposal, for which an operator waits at most.
 
 It exceeds two fences, since waiting for a silent peer takes one of them.
 """
