--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -1,9 +1,9 @@
-"""How the cluster configuration lies in the table service's rows.
+"""Layout of the cluster configuration in the table service's rows.
 
-``cluster/head`` is the :class:`~agatepick.config.cluster.Head`,
-``change/VERSION`` one :class:`~agatepick.config.cluster.ChangeRow` each, and
-``cluster/snapshot`` the whole document as of some version not long past, so
-that a new process reads a few hundred rows at most.  All functions are pure.
+``cluster/head`` holds the :class:`~agatepick.config.cluster.Head`, each
+``change/VERSION`` one :class:`~agatepick.config.cluster.ChangeRow`, and
+``cluster/snapshot`` the whole document as of a recent version, so that a new
+process reads a few hundred rows at most.  All functions are pure.
 """
 
 from agatepick.config import cluster
@@ -15,8 +15,8 @@
 CHANGE = 'change'
 HEAD = 'head'
 SNAPSHOT = 'snapshot'
-SNAPSHOT_EVERY = 256
-READ_LIMIT = 512
+VERSIONS_PER_SNAPSHOT = 256
+MAX_ROWS_PER_READ = 512
 NO_HEAD = cluster.Head(0, 0.0)
 
 read_head = store.ReadRow(CLUSTER, HEAD)
@@ -24,38 +24,46 @@
 
 
 def read_changes(version: int) -> store.ReadAfter:
-    """Reads the change rows after a version."""
-    return store.ReadAfter(CHANGE, _key(version), READ_LIMIT)
+    """Return the request that reads the change rows after a version."""
+    return store.ReadAfter(CHANGE, _format_key(version), MAX_ROWS_PER_READ)
 
 
-def renew(head: cluster.Head, stamp: float) -> store.Transact:
-    """Moves the stamp of ``head``, if it is still the head."""
-    return store.Transact((_is(head),), (_put(head.version, stamp),))
+def renew_stamp(head: cluster.Head, stamp: float) -> store.Transact:
+    """Return the transaction that renews the stamp of ``head``.
 
+    It takes effect only if ``head`` is still the head.
+    """
+    return store.Transact(
+        (_make_head_condition(head),), (_make_head_row(head.version, stamp),)
+    )
 
-def change(
+
+def write_change(
     head: cluster.Head,
     row: cluster.ChangeRow,
     stamp: float,
     after: cluster.ClusterConfig,
 ) -> store.Transact:
-    """Adds a change, if ``head`` is still the head.
+    """Return the transaction that writes a change.
+
+    It takes effect only if ``head`` is still the head.
 
-    :param after: the document that the change makes.
+    :param stamp: stamp of the new head.
+    :param after: the document that results from the change.
     """
     puts = [
-        _put(row.version, stamp),
-        store.Row(CHANGE, _key(row.version), cluster.encode(row)),
+        _make_head_row(row.version, stamp),
+        store.Row(CHANGE, _format_key(row.version), cluster.encode(row)),
     ]
-    if row.version % SNAPSHOT_EVERY == 0:
+    if row.version % VERSIONS_PER_SNAPSHOT == 0:
         puts.append(store.Row(CLUSTER, SNAPSHOT, cluster.encode(after)))
     old = row.version - history.ROWS_KEPT
-    deletes = (store.RowName(CHANGE, _key(old)),) if old > 0 else ()
-    return store.Transact((_is(head),), tuple(puts), deletes)
+    deletes = (store.RowName(CHANGE, _format_key(old)),) if old > 0 else ()
+    return store.Transact((_make_head_condition(head),), tuple(puts), deletes)
 
 
-def head_of(rows: store.Rows) -> cluster.Head:
-    """The head that was read; :data:`NO_HEAD` in an empty store.
+def parse_head(rows: store.Rows) -> cluster.Head:
+    """Return the head that was read; :data:`NO_HEAD` in an empty store.
 
     :raises agatepick.exceptions.BadMessage: if the row is malformed.
     """
@@ -64,34 +72,35 @@
     return cluster.decode(rows.rows[0].value, cluster.Head)
 
 
-def changes_of(rows: store.Rows) -> list[cluster.ChangeRow]:
-    """The change rows that were read, in order.
+def parse_changes(rows: store.Rows) -> list[cluster.ChangeRow]:
+    """Return the change rows that were read, in order.
 
     :raises agatepick.exceptions.BadMessage: if a row is malformed.
     """
     return [cluster.decode(row.value, cluster.ChangeRow) for row in rows.rows]
 
 
-def snapshot_of(rows: store.Rows) -> cluster.ClusterConfig:
-    """The document that was read.
+def parse_snapshot(rows: store.Rows) -> cluster.ClusterConfig:
+    """Return the document of the snapshot that was read.
 
-    :raises agatepick.exceptions.BadMessage: if there is none.
+    :raises agatepick.exceptions.BadMessage: if there is no snapshot or it is
+        malformed.
     """
     if not rows.rows:
         raise exceptions.BadMessage('no snapshot', step='read snapshot')
     return cluster.decode(rows.rows[0].value, cluster.ClusterConfig)
 
 
-def _key(version: int) -> str:
+def _format_key(version: int) -> str:
     return f'{version:012d}'
 
 
-def _is(head: cluster.Head) -> store.Condition:
+def _make_head_condition(head: cluster.Head) -> store.Condition:
     value = None if head == NO_HEAD else cluster.encode(head)
     return store.Condition(CLUSTER, HEAD, value)
 
 
-def _put(version: int, stamp: float) -> store.Row:
+def _make_head_row(version: int, stamp: float) -> store.Row:
     return store.Row(
         CLUSTER, HEAD, cluster.encode(cluster.Head(version, stamp))
     )
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -1,9 +1,9 @@
-"""Writes changes to the store, one at a time, by the rules of the lease.
+"""Writer of configuration changes, which writes one change at a time.
 
-Stages of an attempt: read the head; stop granting leases and tell the other
-entries of the intent; wait until each acknowledged it or can't rely on us
-any more; send the transaction.  :mod:`agatepick.config.readlease` has the
-proof.
+An attempt has these stages: the writer reads the head; it stops granting
+leases and sends the intent to the other entries; it waits until each of them
+has acknowledged the intent or its grant has expired; it sends the transaction.
+The proof of safety is in :mod:`agatepick.config.readlease`.
 """
 
 import collections
@@ -20,21 +20,29 @@
 from agatepick.net import messages
 from agatepick.table import store
 
-ATTEMPTS = 8
-"""Attempts at one change.  Another entry moves the stamp about once a
-second and an attempt takes milliseconds, so the second rarely fails too."""
-GIVE_UP_SECONDS = 8.0
-"""How long an operator waits for a verdict; over two fences, since a silent
-peer alone takes one."""
-STALE_SECONDS = 0.5
-"""After a longer wait for silent peers the head is read anew, since its
-stamp has been moved meanwhile and the transaction would only fail."""
-INTERNAL = 0
-"""Request id of changes that no operator asked for."""
+MAX_ATTEMPTS = 8
+"""Attempts to write one change, at most.
+
+Another entry renews the stamp about once a second and an attempt takes
+milliseconds, so a second attempt rarely fails as well.
+"""
+PROPOSAL_TIMEOUT_SECONDS = 8.0
+"""Time limit for a proposal, for which an operator waits at most.
+
+It exceeds two fences, since waiting for a silent peer takes one of them.
+"""
+MAX_HEAD_AGE_SECONDS = 0.5
+"""Age at which the head is read again before the transaction is sent.
+
+After a longer wait for silent peers another entry has renewed the stamp, and
+the transaction would fail.
+"""
+INTERNAL_REQUEST = 0
+"""Request id of changes that no operator requested."""
 
 
 class Stage(enum.Enum):
-    """What the current attempt waits for."""
+    """Stage of the current attempt."""
 
     IDLE = 'idle'
     READ = 'read'
@@ -44,10 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that somebody wants.
+    """A requested change.
 
-    :param based_on: version that the operator saw; ``None`` for any.
-    :param seen: last version known here when it was proposed.
+    :param based_on: version that the operator's request is based on;
+        ``None`` for any.
+    :param seen: last version known at this entry at the time of the request.
     """
 
     request_id: int
@@ -58,20 +67,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peers:
-    """The other listed entries, as the writer must know them.
+    """State of the other listed entries that the writer depends on.
 
-    :param alive: names of those not provably dead.
-    :param granted: when we last gave each a lease grant.
-    :param may_write: empty, or why this entry may not write a change.
+    :param alive: names of the entries not provably dead.
+    :param granted_at: instants of the last lease grants to them, by name.
+    :param write_refusal: why this entry may not write a change; empty if it
+        may.
     """
 
     alive: frozenset[str]
-    granted: collections.abc.Mapping[str, float]
-    may_write: str = ''
+    granted_at: collections.abc.Mapping[str, float]
+    write_refusal: str = ''
 
 
 class Writer:
-    """The proposals of one entry and the attempt under way."""
+    """The queued proposals of one entry and the current attempt."""
 
     def __init__(
         self,
@@ -84,175 +94,184 @@
         self._known = known
         self._rules = rules
         self._queue: collections.deque[Proposal] = collections.deque()
-        self._give_up_at = 0.0
-        self._intended_at = 0.0
-        self._attempt = 0
-        self._tries = 0
+        self._deadline = 0.0
+        self._intent_at = 0.0
+        self._last_attempt = 0
+        self._proposal_attempts = 0
         self._row: cluster.ChangeRow | None = None
-        self._base = headrows.NO_HEAD
+        self._base_head = headrows.NO_HEAD
         self._acked: set[str] = set()
-        self._unsettled: cluster.Uncertain | None = None
+        self._uncertain: cluster.Uncertain | None = None
 
     @property
     def writing(self) -> bool:
-        """Whether an attempt is past the read of the head."""
+        """Return whether the current attempt has read the head."""
         return self.stage in (Stage.INTENT, Stage.WRITE)
 
     def may_grant(self, peer: str) -> bool:
-        """Whether a peer may be given a lease grant now.
+        """Return whether a lease grant may be sent to a peer now.
 
-        Grants name the change under way as uncertain.  A peer that holds no
-        intent of it yet gets none, so that the wait for it comes to an end.
+        Grants contain the current change as uncertain.  A peer that hasn't
+        acknowledged the intent receives no grant, so that its last grant
+        expires and the wait for it ends.
         """
         return self.stage is not Stage.INTENT or peer in self._acked
 
     @property
     def idle(self) -> bool:
-        """Whether no proposal waits."""
+        """Return whether no proposal is queued."""
         return not self._queue
 
     def uncertain(self) -> cluster.Uncertain | None:
-        """Our own change that may have been, or may yet be, written."""
-        if self._unsettled is not None:
-            return self._unsettled
-        return self._doubt() if self.writing else None
+        """Return our own change that may have taken, or may take, effect."""
+        if self._uncertain is not None:
+            return self._uncertain
+        return self._make_uncertain() if self.writing else None
 
     def submit(
         self, request_id: int, change: cluster.Change, based_on: int | None
     ) -> None:
-        """Queue a change."""
-        if request_id == INTERNAL and self.wants(change):
+        """Queue a change, unless it is internal and queued already."""
+        if request_id == INTERNAL_REQUEST and self.is_queued(change):
             return
         self._queue.append(
             Proposal(request_id, change, based_on, self._known.version)
         )
 
-    def wants(self, change: cluster.Change) -> bool:
-        """Whether that change is queued already."""
+    def is_queued(self, change: cluster.Change) -> bool:
+        """Return whether that change is queued."""
         return any(one.change == change for one in self._queue)
 
     def start(self, now: float) -> bool:
-        """Begin the next proposal; whether a read of the head is needed."""
+        """Start the next proposal if the writer is idle.
+
+        :returns: whether the head must be read.
+        """
         if self.stage is not Stage.IDLE or not self._queue:
             return False
         self.stage = Stage.READ
-        self._tries = 0
-        self._give_up_at = now + GIVE_UP_SECONDS
+        self._proposal_attempts = 0
+        self._deadline = now + PROPOSAL_TIMEOUT_SECONDS
         return True
 
     def expire(self, now: float) -> list[object]:
-        """Give up a proposal that has waited too long for a read."""
-        if self.stage is not Stage.READ or now < self._give_up_at:
+        """End a proposal whose read of the head has timed out."""
+        if self.stage is not Stage.READ or now < self._deadline:
             return []
-        return self._end('unavailable', reason='the store is too slow')
+        return self._finish('unavailable', reason='the store is too slow')
 
-    def settle(self) -> list[object]:
-        """Decide an uncertain change by what is known now, if it can be.
+    def resolve_uncertain(self) -> list[object]:
+        """Resolve an uncertain change from the known versions, if possible.
 
-        A transaction whose answer is awaited may show by its row, too.
+        A transaction whose answer is outstanding is resolved by its row.
         """
         if self.stage is Stage.WRITE:
-            return self._look_for_row()
-        one = self._unsettled
-        if one is None or readlease.live([one], self._known.head):
+            return self._resolve_write()
+        one = self._uncertain
+        if one is None or readlease.select_live([one], self._known.head):
             return []
-        self._unsettled = None
+        self._uncertain = None
         row = self._known.row(one.row.version)
-        behind = self._known.version >= one.row.version and row is None
-        written = 'untold' if behind else str(row == one.row)
+        row_dropped = self._known.version >= one.row.version and row is None
+        written = 'untold' if row_dropped else str(row == one.row)
         note = core.note(
             'change_settled', version=one.row.version, written=written
         )
-        return [note, *(self._announce(one.row) if row == one.row else [])]
+        return [note, *(self._send_change(one.row) if row == one.row else [])]
+
+    def handle_read_failure(self, reason: str) -> list[object]:
+        """End the proposal if the head couldn't be read.
 
-    def read_failed(self, reason: str) -> list[object]:
-        """The head couldn't be read: nothing was or will be written."""
+        Nothing was written, and nothing will be.
+        """
         if self.stage is not Stage.READ:
             return []
-        return self._end('unavailable', reason=reason)
+        return self._finish('unavailable', reason=reason)
 
-    def head_seen(self, peers: Peers, now: float) -> list[object]:
-        """The head was just read; declare the intent, or end."""
-        if self.stage is not Stage.READ or self._unsettled is not None:
+    def handle_head(self, peers: Peers, now: float) -> list[object]:
+        """Handle a read of the head: send the intent, or end the proposal."""
+        if self.stage is not Stage.READ or self._uncertain is not None:
             return []
         proposal = self._queue[0]
-        self._tries += 1
-        if self._tries > ATTEMPTS or now >= self._give_up_at:
-            return self._end('unavailable', reason='the head keeps moving')
-        if peers.may_write:
-            return self._end('unavailable', reason=peers.may_write)
-        rival = self._rival(proposal)
-        if rival:
-            return self._end('conflict', reason=rival)
-        row = self._next_row(proposal, now)
+        self._proposal_attempts += 1
+        if self._proposal_attempts > MAX_ATTEMPTS or now >= self._deadline:
+            return self._finish('unavailable', reason='the head keeps moving')
+        if peers.write_refusal:
+            return self._finish('unavailable', reason=peers.write_refusal)
+        conflict = self._find_conflict(proposal)
+        if conflict:
+            return self._finish('conflict', reason=conflict)
+        row = self._make_row(proposal, now)
         try:
             if not cluster.alters(self._known.latest, proposal.change):
-                return self._end('accepted', self._known.latest.in_force_at)
+                return self._finish('accepted', self._known.latest.in_force_at)
         except exceptions.BadChange as exc:
-            return self._end('invalid', reason=exc.message)
-        self._intended_at = now
-        return self._intend(row, peers)
+            return self._finish('invalid', reason=exc.message)
+        self._intent_at = now
+        return self._send_intent(row, peers)
 
-    def acked(self, peer: str, ack: messages.IntentAck) -> None:
-        """A peer holds the intent of an attempt."""
-        if self.stage is Stage.INTENT and ack.attempt == self._attempt:
+    def record_ack(self, peer: str, ack: messages.IntentAck) -> None:
+        """Record that a peer acknowledged the intent of an attempt."""
+        if self.stage is Stage.INTENT and ack.attempt == self._last_attempt:
             self._acked.add(peer)
 
     def advance(self, peers: Peers, now: float) -> store.Transact | None:
-        """The transaction, once no peer relies on an old grant any more.
+        """Return the transaction once no peer relies on an earlier grant.
 
-        After too long a wait the stage is ``READ`` again instead.
+        After too long a wait the stage returns to ``READ`` instead.
         """
         row = self._row
         if self.stage is not Stage.INTENT or row is None:
             return None
-        if any(self._relies(one, peers, now) for one in peers.alive):
+        if any(self._relies_on_grant(one, peers, now) for one in peers.alive):
             return None
-        stale = now > self._intended_at + STALE_SECONDS
+        stale = now > self._intent_at + MAX_HEAD_AGE_SECONDS
         if stale or self._known.version != row.version - 1:
             self.stage = Stage.READ
             return None
         self.stage = Stage.WRITE
         after = cluster.apply(self._known.latest, row)
-        stamp = max(now, self._base.stamp)
-        return headrows.change(self._base, row, stamp, after)
+        stamp = max(now, self._base_head.stamp)
+        return headrows.write_change(self._base_head, row, stamp, after)
 
-    def written(self, answer: store.Answer, now: float) -> list[object]:
-        """Take the store's answer to the transaction.
+    def handle_write(self, answer: store.Answer, now: float) -> list[object]:
+        """Handle the store's answer to the transaction.
 
-        After a conflict the stage is ``READ`` again.
+        After a conflict the stage returns to ``READ``.
         """
         row = self._row
         if self.stage is not Stage.WRITE or row is None:
             return []
         if isinstance(answer, store.Committed):
-            self._known.take(row, now)
+            self._known.add_row(row, now)
             return self._accept()
         if isinstance(answer, exceptions.StoreConflict):
             self.stage = Stage.READ
             return []
         if isinstance(answer, exceptions.StoreUnavailable):
-            return self._end('unavailable', reason=answer.show())
-        # Repeating it could not tell "already written" from "lost a race".
-        self._unsettled = self._doubt()
-        return self._end(
+            return self._finish('unavailable', reason=answer.show())
+        # A retry could not distinguish "already written" from a conflict.
+        self._uncertain = self._make_uncertain()
+        return self._finish(
             'unknown',
             row.in_force_at,
             row.version,
             f"the store's answer was lost: {answer}",
         )
 
-    def _doubt(self) -> cluster.Uncertain | None:
+    def _make_uncertain(self) -> cluster.Uncertain | None:
         if self._row is None:
             return None
-        return cluster.Uncertain(self._row, self._base.stamp)
-
-    def _look_for_row(self) -> list[object]:
-        """Find out by what was read how the transaction ended."""
-        doubt = self._doubt()
-        if doubt is None or readlease.live([doubt], self._known.head):
+        return cluster.Uncertain(self._row, self._base_head.stamp)
+
+    def _resolve_write(self) -> list[object]:
+        """Determine the transaction's outcome from the known versions."""
+        uncertain = self._make_uncertain()
+        if uncertain is None or readlease.select_live(
+            [uncertain], self._known.head
+        ):
             return []
-        if self._known.row(doubt.row.version) == doubt.row:
+        if self._known.row(uncertain.row.version) == uncertain.row:
             return self._accept()
         self.stage = Stage.READ
         return []
@@ -260,10 +279,10 @@
     def _accept(self) -> list[object]:
         row = self._row
         assert row is not None
-        effects = self._end('accepted', row.in_force_at, row.version)
-        return effects + self._announce(row)
+        effects = self._finish('accepted', row.in_force_at, row.version)
+        return effects + self._send_change(row)
 
-    def _rival(self, proposal: Proposal) -> str:
+    def _find_conflict(self, proposal: Proposal) -> str:
         latest = self._known.version
         if proposal.based_on is not None:
             if proposal.based_on == latest:
@@ -276,40 +295,42 @@
                 return f'version {version} changed {about} first'
         return ''
 
-    def _next_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
-        self._attempt += 1
-        self._base = self._known.head
+    def _make_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
+        self._last_attempt += 1
+        self._base_head = self._known.head
         return cluster.ChangeRow(
             version=self._known.version + 1,
-            in_force_at=self._in_force_at(now),
+            in_force_at=self._choose_in_force_at(now),
             change=proposal.change,
             writer=self._me.name,
             incarnation=self._me.incarnation,
-            attempt=self._attempt,
+            attempt=self._last_attempt,
         )
 
-    def _in_force_at(self, now: float) -> float:
-        if self._base == headrows.NO_HEAD:
-            # Nobody holds a lease for a head that was never written.
+    def _choose_in_force_at(self, now: float) -> float:
+        if self._base_head == headrows.NO_HEAD:
+            # No entry holds a lease for a head that was never written.
             return now
-        at = max(now, self._base.stamp) + self._rules.fence
+        at = max(now, self._base_head.stamp) + self._rules.fence
         return max(at, self._known.latest.in_force_at)
 
-    def _intend(self, row: cluster.ChangeRow, peers: Peers) -> list[object]:
+    def _send_intent(
+        self, row: cluster.ChangeRow, peers: Peers
+    ) -> list[object]:
         self.stage = Stage.INTENT
         self._row = row
         self._acked = set()
-        data = cluster.encode(cluster.Uncertain(row, self._base.stamp))
+        data = cluster.encode(cluster.Uncertain(row, self._base_head.stamp))
         intent = messages.Intent(row.version - 1, data)
         return [core.Send(peer, intent) for peer in sorted(peers.alive)]
 
-    def _relies(self, peer: str, peers: Peers, now: float) -> bool:
+    def _relies_on_grant(self, peer: str, peers: Peers, now: float) -> bool:
         if peer in self._acked:
             return False
-        granted = peers.granted.get(peer)
-        return granted is not None and now < granted + self._rules.fence
+        granted_at = peers.granted_at.get(peer)
+        return granted_at is not None and now < granted_at + self._rules.fence
 
-    def _announce(self, row: cluster.ChangeRow) -> list[object]:
+    def _send_change(self, row: cluster.ChangeRow) -> list[object]:
         changes = messages.Changes(row.version - 1, (cluster.encode(row),))
         others = self._known.latest.listed()
         return [
@@ -318,7 +339,7 @@
             if one.name != self._me.name
         ]
 
-    def _end(
+    def _finish(
         self,
         verdict: str,
         in_force_at: float = 0.0,
@@ -340,7 +361,7 @@
                 reason=reason.replace(' ', '_'),
             )
         ]
-        if proposal.request_id != INTERNAL:
+        if proposal.request_id != INTERNAL_REQUEST:
             effects.append(
                 cluster.Proposed(
                     proposal.request_id, verdict, version, in_force_at, reason
--- a/src/agatepick/exceptions.py
+++ b/src/agatepick/exceptions.py
@@ -1,14 +1,16 @@
-"""The one tree of errors; each knows where it arose and how to show itself."""
+"""Exceptions of agatepick; each records the step and peer of its error."""
 
 import typing
 
 
 class AgatepickError(Exception):
-    """Base of every error that agatepick raises.
+    """Base class of the errors that agatepick raises.
 
-    :param message: what went wrong, for a person.
-    :param step: what was being done, such as ``decode`` or ``admit``.
-    :param peer: the process or address at which it arose; empty if here.
+    :param message: description of the error, for people.
+    :param step: step in which the error occurred, such as ``decode`` or
+        ``admit``.
+    :param peer: the process or address at which the error occurred; empty for
+        the local process.
     """
 
     exit_status: typing.ClassVar[int] = 1
@@ -20,7 +22,7 @@
         self.peer = peer
 
     def show(self) -> str:
-        """One line for a person."""
+        """Return the error as one line of text."""
         where = ' '.join(
             f'{name}={value}'
             for name, value in (('step', self.step), ('peer', self.peer))
@@ -30,79 +32,79 @@
 
 
 class BadMessage(AgatepickError):
-    """A peer sent what isn't a message, or not one it may send."""
+    """Error for an invalid message, or one that its sender may not send."""
 
 
 class BadKey(AgatepickError):
-    """An idempotency key isn't one that agatepick can serve."""
+    """Error for an idempotency key that isn't a UUIDv7 in canonical form."""
 
 
 class BadSettings(AgatepickError):
-    """A settings file can't be used; lists every fault in it."""
+    """Error for an invalid settings file; the message lists every fault."""
 
     exit_status = 2
 
 
 class BadChange(AgatepickError):
-    """A change can't be applied to the cluster configuration.
+    """Error for a change that can't be applied to the configuration.
 
-    The message names the field at fault.
+    The message names the invalid field.
     """
 
     exit_status = 2
 
 
 class TooManyCalls(AgatepickError):
-    """More requests are open than the process holds; nothing was done."""
+    """Error at the limit of open requests; the request had no effect."""
 
 
 class Unreachable(AgatepickError):
-    """No answer came, so whether a job ran is not known."""
+    """Error for a missing answer; it is not known whether a job ran."""
 
     exit_status = 6
 
 
 class BadUsage(AgatepickError):
-    """A command was given what it doesn't take."""
+    """Error for a command with invalid arguments."""
 
     exit_status = 2
 
 
 class Rejected(AgatepickError):
-    """A request was refused, and did nothing."""
+    """Error for a request that was refused and had no effect."""
 
     exit_status = 3
 
 
 class Conflict(Rejected):
-    """Another change of the configuration won; nothing was written."""
+    """Error for a change that wasn't written, due to a concurrent change."""
 
     exit_status = 7
 
 
 class Unauthorised(Rejected):
-    """The bearer token is missing or wrong."""
+    """Error for a missing or wrong bearer token."""
 
     exit_status = 8
 
 
 class OutcomeUnknown(AgatepickError):
-    """The answer was lost on its way: the change may or may not hold."""
+    """Error for a lost answer; the change may have taken effect or not."""
 
     exit_status = 5
 
 
 class StoreError(AgatepickError):
-    """The table service could not do what was asked."""
+    """Error for a request that the table service couldn't execute."""
 
 
 class StoreConflict(StoreError):
-    """A condition of a transaction didn't hold; nothing was written."""
+    """Error for a failed condition of a transaction; nothing was written."""
 
 
 class StoreUnavailable(StoreError):
-    """The request didn't reach the table service; nothing was written."""
+    """Error for an unavailable table service; nothing was written."""
 
 
 class StoreUnknown(StoreError):
-    """The answer was lost: the transaction may or may not have happened."""
+    """Error for a lost answer; the transaction may be committed or not."""
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -1,10 +1,11 @@
-"""Connections to peers: Cap'n Proto messages, framed, over TCP.
+"""Connections to peers: framed Cap'n Proto messages over TCP.
 
 A frame is a big-endian 32-bit length and one encoded message.  Both sides
 first send a :class:`~agatepick.net.messages.Hello`, the accepting side before
-the dialling one: so a dialler that finds it already has a connection to that
-peer goes away unnoticed.  One connection serves both ways; when a peer dials
-again, it has lost the older connection, and the newer takes over.
+the dialling side, so that a dialler that already has a connection to that peer
+can close the new one before the peer registers it.  A connection carries
+messages in both directions.  A peer that dials again has lost the older
+connection, and the new one replaces it.
 """
 
 import asyncio
@@ -28,65 +29,85 @@
 ENTRY = 'entry'
 HEADER = struct.Struct('>I')
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""The largest frame taken: a job of 130 tasks with 100 kB bodies fits."""
+"""Largest accepted frame: a job of 130 tasks with 100 kB bodies fits."""
 MAX_UNSENT_BYTES = 64 * 1024 * 1024
-"""A peer that reads nothing is cut off here, before memory runs out."""
-HELLO_SECONDS = 5.0
+"""Size of the write buffer at which a peer that doesn't read is disconnected.
+
+The limit prevents the process from running out of memory.
+"""
+HELLO_TIMEOUT_SECONDS = 5.0
 HEARTBEAT_SECONDS = 1.0
 SILENCE_SECONDS = 5.0
-"""Five missed heartbeats: longer than a garbage collection or a busy loop,
-shorter than what a caller waits."""
+"""Time without a message after which a peer is disconnected.
+
+Five heartbeats last longer than a garbage collection or a busy event loop, and
+less than a caller waits.
+"""
 SAMPLE_SECONDS = 15.0
-"""Age at which a clock sample is renewed where messages flow anyway.  Two
-clocks that drift apart by 500 parts in a million differ by 8 ms more then."""
-SAMPLE_TRIP_SECONDS = 0.1
-"""A sample with a longer round trip is too wide to be kept that long."""
+"""Age at which a clock sample is renewed on a connection in use.
+
+Two clocks that drift apart by 500 ppm differ by a further 8 ms by then.
+"""
+SAMPLE_ROUND_TRIP_SECONDS = 0.1
+"""Longest round trip of a sample that is kept for ``SAMPLE_SECONDS``.
+
+A longer round trip makes the error bound too wide.
+"""
 REDIAL_PAUSES = backoff.Pauses(first=0.075, most=1.5)
-STEADY_SECONDS = 1.0
-"""A connection that has lasted this long counts as a success: a peer that
-takes connections and ends them at once is dialled with growing pauses."""
-YIELD_SECONDS = 0.25
-"""Two entries dial each other.  The one with the greater name waits so long
-first; else both would connect at once and each end the other's connection."""
+REDIAL_RESET_SECONDS = 1.0
+"""Duration after which a connection resets the delay between dials.
+
+A peer that accepts connections and closes them at once is dialled with
+increasing delays.
+"""
+GREATER_NAME_DELAY_SECONDS = 0.25
+"""Delay of a dial by the entry with the greater name.
+
+Two entries dial each other.  Without the delay both would connect at the same
+time, and each would close the other's connection.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """How soon a silent peer is noticed, in seconds.
+    """Intervals and timeouts of the connections, in seconds.
 
-    :param heartbeat: pause between looks at all connections.
-    :param silence: a peer that says nothing for so long is cut off.
-    :param dial: how long a connection may take to come about.
+    :param heartbeat: interval between checks of all connections.
+    :param silence: time without a message after which a peer is disconnected.
+    :param dial: timeout for a connection to open, and for the peer's Hello.
     """
 
     heartbeat: float = HEARTBEAT_SECONDS
     silence: float = SILENCE_SECONDS
-    dial: float = HELLO_SECONDS
+    dial: float = HELLO_TIMEOUT_SECONDS
 
 
 class Delay(typing.Protocol):
-    """Extra one-way latency towards a peer; used by the bench."""
+    """Interface of additional one-way latency to peers, for the bench."""
 
     def seconds(self, peer: types.PeerName) -> float:
-        """Seconds by which delivery to ``peer`` is held up."""
+        """Return the seconds by which delivery to ``peer`` is delayed."""
         ...
 
 
 class Stamps(typing.Protocol):
-    """Stamps on messages that tell causes from effects; see the time line."""
+    """Interface of the logical clock of the timeline.
+
+    Its stamps on messages order causes before their effects.
+    """
 
     def stamp(self) -> int:
-        """The stamp of a message out."""
+        """Return the stamp of an outgoing message."""
         ...
 
     def merge(self, stamp: int) -> None:
-        """Take note of the stamp of a message that came in."""
+        """Merge the stamp of an incoming message into the clock."""
         ...
 
 
 @dataclasses.dataclass
 class Traffic:
-    """Counters of what one process sent and took over its links."""
+    """Counters of the messages that a process sent and received."""
 
     messages_out: int = 0
     messages_in: int = 0
@@ -94,142 +115,156 @@
     bytes_in: int = 0
     by_kind: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def sent(self, message: messages.Message, size: int) -> None:
-        """Count one message out."""
+    def count_sent(self, message: messages.Message, size: int) -> None:
+        """Count an outgoing message.
+
+        :param size: bytes of its frame.
+        """
         kind = type(message).__name__
         self.messages_out += 1
         self.bytes_out += size
         self.by_kind[kind] = self.by_kind.get(kind, 0) + 1
 
-    def took(self, size: int) -> None:
-        """Count one message in."""
+    def count_received(self, size: int) -> None:
+        """Count an incoming message.
+
+        :param size: bytes of its frame.
+        """
         self.messages_in += 1
         self.bytes_in += size
 
 
 class Connection(reading.Reader):
-    """One framed stream to one peer.
+    """Connection to one peer that carries framed messages.
 
     :param buffer: as for :class:`~agatepick.net.reading.Reader`.
-    :param made: called once it is connected.
+    :param on_made: callback that is called once the connection is made.
     """
 
     def __init__(
         self,
         traffic: Traffic,
         buffer: bytearray,
-        made: typing.Callable[['Connection'], None],
+        on_made: typing.Callable[['Connection'], None],
         stamps: Stamps | None = None,
     ):
         super().__init__(buffer)
         self.hello: messages.Hello | None = None
-        self.heard_at = 0.0
+        self.last_message_at = 0.0
         self.closed = False
         loop = asyncio.get_running_loop()
         self.lost: asyncio.Future[None] = loop.create_future()
-        self._first: asyncio.Future[messages.Message] = loop.create_future()
-        self._early: list[messages.Message] = []
-        self._take: typing.Callable[[messages.Message], None] = self._wait
+        self._first_message: asyncio.Future[messages.Message] = (
+            loop.create_future()
+        )
+        self._early_messages: list[messages.Message] = []
+        self._handler: typing.Callable[[messages.Message], None] = (
+            self._store_early
+        )
         self._sampled_at = 0.0
         self._traffic = traffic
-        self._made = made
+        self._on_made = on_made
         self._stamps = stamps
         self._unread = b''
-        self._at = 0
+        self._read_offset = 0
         self._unsent: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has come about."""
+        """Store the transport and call the ``on_made`` callback."""
         super().connection_made(transport)
-        self._made(self)
+        self._on_made(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, by either side or by :meth:`close`."""
+        """Mark the connection as closed and lost."""
         self.closed = True
-        if not self._first.done():
-            self._first.set_exception(exc or ConnectionResetError('closed'))
-            # Nobody may wait for it any more.
-            self._first.exception()
+        if not self._first_message.done():
+            self._first_message.set_exception(
+                exc or ConnectionResetError('closed')
+            )
+            # This marks the exception as retrieved, as no caller may await it.
+            self._first_message.exception()
         if not self.lost.done():
             self.lost.set_result(None)
 
     def received(self, data: bytes) -> None:
-        """Take each whole frame of what has come."""
-        self._unread = self._unread[self._at :] + data
-        self._at = 0
-        self._guard(self._take_frames)
+        """Handle each complete frame among the received bytes."""
+        self._unread = self._unread[self._read_offset :] + data
+        self._read_offset = 0
+        self._run_guarded(self._handle_frames)
 
     def send(self, message: messages.Message) -> None:
         """Queue a message; a closed connection drops it.
 
-        What is queued in one turn of the loop leaves by one write.
+        The messages queued in one iteration of the event loop are sent by one
+        write.
         """
         if self.closed:
             return
         stamp = 0 if self._stamps is None else self._stamps.stamp()
         data = messages.encode(message, stamp)
-        self._traffic.sent(message, len(data) + HEADER.size)
+        self._traffic.count_sent(message, len(data) + HEADER.size)
         if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
         self._unsent.append(HEADER.pack(len(data)))
         self._unsent.append(data)
 
     def close(self) -> None:
-        """Send what is queued, as far as the peer takes it, and close."""
+        """Flush the queued messages, as far as possible, and close."""
         self._flush()
-        self._end()
+        self._disconnect()
 
-    async def first(self, seconds: float) -> messages.Message:
-        """The first message of the peer.
+    async def receive_first(self, seconds: float) -> messages.Message:
+        """Wait for the first message of the peer and return it.
 
-        :raises OSError: if the connection ends before.
-        :raises TimeoutError: if none comes in time.
+        :raises OSError: if the connection is lost before.
+        :raises TimeoutError: if no message arrives in time.
         """
         async with asyncio.timeout(seconds):
-            return await self._first
+            return await self._first_message
 
     async def serve(
-        self, take: typing.Callable[[messages.Message], None]
+        self, handler: typing.Callable[[messages.Message], None]
     ) -> None:
-        """Hand on each further message until the connection ends."""
-        early, self._early = self._early, []
-        self._take = take
-        for message in early:
-            self._guard(lambda: take(message))
+        """Pass further messages to ``handler`` until the connection ends."""
+        early_messages, self._early_messages = self._early_messages, []
+        self._handler = handler
+        for message in early_messages:
+            self._run_guarded(lambda: handler(message))
         await self.lost
 
     def ping(self, now: float) -> None:
-        """Ask for a sign of life and a clock sample."""
+        """Send a ping, whose pong is a heartbeat and a clock sample."""
         self.send(messages.Ping(now))
 
     def needs_ping(self, now: float) -> bool:
-        """Whether the peer has been silent, or its clock sample is old."""
-        silent = now - self.heard_at >= HEARTBEAT_SECONDS
+        """Return whether the peer is silent or its clock sample is old."""
+        silent = now - self.last_message_at >= HEARTBEAT_SECONDS
         return silent or now - self._sampled_at >= SAMPLE_SECONDS
 
-    def sampled(self, pong: messages.Pong, now: float) -> None:
-        """Take note of an answer; a late one doesn't count as a sample.
+    def record_pong(self, pong: messages.Pong, now: float) -> None:
+        """Record a pong, unless it arrived too late to be a clock sample.
 
-        A peer whose first answer came late, in the rush of a start, would
-        have an unknown clock until the next sample: its lease grants would
-        not count, and agents would refuse its starts.
+        A process that is busy starting may send its first pong late.  If that
+        pong counted as a sample, its clock would be unknown until the next
+        sample: its lease grants would be ignored, and agents would refuse its
+        starts.
         """
-        if now - pong.sent <= SAMPLE_TRIP_SECONDS:
+        if now - pong.sent <= SAMPLE_ROUND_TRIP_SECONDS:
             self._sampled_at = now
 
-    def _wait(self, message: messages.Message) -> None:
-        """Keep what comes before the connection is served."""
-        if self._first.done():
-            self._early.append(message)
+    def _store_early(self, message: messages.Message) -> None:
+        """Store a message that arrives before the connection is served."""
+        if self._first_message.done():
+            self._early_messages.append(message)
         else:
-            self._first.set_result(message)
+            self._first_message.set_result(message)
 
-    def _guard(self, step: typing.Callable[[], None]) -> None:
-        """Take a step; a message that can't be taken ends the connection."""
+    def _run_guarded(self, step: typing.Callable[[], None]) -> None:
+        """Run ``step``; an invalid message closes the connection."""
         try:
             step()
         except exceptions.AgatepickError as exc:
-            # Also what a reducer raises for a message it can't take.
+            # A reducer raises it too, for a message that it rejects.
             exc.peer = self.hello.name if self.hello else ''
             LOG.warning('event=bad_message reason="%s"', exc.show())
             self.close()
@@ -242,39 +277,39 @@
         waiting = self.transport.get_write_buffer_size()
         if waiting + len(data) > MAX_UNSENT_BYTES:
             LOG.warning('event=peer_reads_nothing unsent=%s', waiting)
-            self._end()
+            self._disconnect()
             return
         self.transport.write(data)
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         self.closed = True
         self.abort()
 
-    def _take_frames(self) -> None:
+    def _handle_frames(self) -> None:
         while not self.closed:
-            data = self._next_frame()
+            data = self._read_frame()
             if data is None:
                 return
-            self._take(self._decode(data))
+            self._handler(self._decode(data))
 
-    def _next_frame(self) -> bytes | None:
-        """The next whole frame of what has been read, if there is one."""
-        body = self._at + HEADER.size
+    def _read_frame(self) -> bytes | None:
+        """Return the message of the next complete frame, if there is one."""
+        body = self._read_offset + HEADER.size
         if len(self._unread) < body:
             return None
-        (size,) = HEADER.unpack_from(self._unread, self._at)
+        (size,) = HEADER.unpack_from(self._unread, self._read_offset)
         if size > MAX_FRAME_BYTES:
             raise exceptions.BadMessage(
-                f'frame of {size} bytes, at most {MAX_FRAME_BYTES}',
+                f'frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes',
                 step='receive',
             )
         if len(self._unread) < body + size:
             return None
-        self._at = body + size
-        return self._unread[body : self._at]
+        self._read_offset = body + size
+        return self._unread[body : self._read_offset]
 
     def _decode(self, data: bytes) -> messages.Message:
-        self._traffic.took(len(data) + HEADER.size)
+        self._traffic.count_received(len(data) + HEADER.size)
         stamped = messages.decode_stamped(data)
         if self._stamps is not None:
             self._stamps.merge(stamped.stamp)
@@ -282,10 +317,11 @@
 
 
 class Links:
-    """All connections of one process.
+    """All connections of one process to its peers.
 
-    :param hello: returns the process's own Hello, with what it says now.
-    :param feed: takes the events ``PeerUp``, ``PeerDown`` and ``Received``.
+    :param hello: callback that returns the process's current Hello.
+    :param feed: callback for the events ``PeerUp``, ``PeerDown`` and
+        ``Received``.
     """
 
     def __init__(
@@ -311,28 +347,28 @@
         self._stamps = stamps
         self._pace = pace
         self._peers: dict[types.PeerName, Connection] = {}
-        self._open: set[Connection] = set()
+        self._connections: set[Connection] = set()
         self._dials: dict[types.PeerName, asyncio.Task[None]] = {}
-        self._waiting: dict[types.PeerName, asyncio.Event] = {}
-        self._buffer = reading.new_buffer()
+        self._lost_events: dict[types.PeerName, asyncio.Event] = {}
+        self._buffer = reading.make_buffer()
         self._tasks: set[asyncio.Task[None]] = set()
         self._sockets: list[socket.socket] = []
         self._servers: list[asyncio.Server] = []
         self._heartbeat: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
-        """Start sending heartbeats; call once, on the loop."""
+        """Start to send heartbeats; must be called once, on the event loop."""
         loop = asyncio.get_running_loop()
-        self._heartbeat = loop.create_task(self._beat())
+        self._heartbeat = loop.create_task(self._send_heartbeats())
 
     def add_sockets(self, sockets: typing.Iterable[socket.socket]) -> None:
-        """Take connections of peers on listening sockets."""
+        """Accept connections of peers on listening sockets."""
         for sock in sockets:
             self._sockets.append(sock)
-            self._run(self._accept(sock))
+            self._start_task(self._serve_socket(sock))
 
     def end(self) -> None:
-        """Close everything at once."""
+        """Close all connections and listening sockets at once."""
         for task in [*self._dials.values(), *self._tasks]:
             task.cancel()
         for server in self._servers:
@@ -341,15 +377,15 @@
             sock.close()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
-        for conn in list(self._open):
+        for conn in list(self._connections):
             conn.close()
 
     def connected(self) -> tuple[types.PeerName, ...]:
-        """Names of the peers that a message would reach now."""
+        """Return the names of the connected peers."""
         return tuple(self._peers)
 
     def send(self, peer: types.PeerName, message: messages.Message) -> None:
-        """Send to a peer; dropped when there is no connection."""
+        """Send a message to a peer, or drop it without a connection."""
         conn = self._peers.get(peer)
         if conn is None:
             return
@@ -361,14 +397,14 @@
         loop.call_later(seconds, conn.send, message)
 
     def dial(self, peer: types.PeerName, address: str) -> None:
-        """Keep a connection to ``peer`` at ``ip:port`` until hung up."""
+        """Maintain a connection to ``peer`` at ``ip:port`` until hangup."""
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
-        self._dials[peer] = loop.create_task(self._keep(peer, address))
+        self._dials[peer] = loop.create_task(self._maintain(peer, address))
 
     def hangup(self, peer: types.PeerName) -> None:
-        """Close the connection to a peer and dial it no more."""
+        """Close the connection to a peer and stop dialling it."""
         task = self._dials.pop(peer, None)
         if task is not None:
             task.cancel()
@@ -377,47 +413,51 @@
             conn.close()
 
     def cut(self, peer: types.PeerName) -> None:
-        """Close the connection to a peer; it may come back."""
+        """Close the connection to a peer, which may be opened again."""
         conn = self._peers.get(peer)
         if conn is not None:
             conn.close()
 
-    async def _accept(self, sock: socket.socket) -> None:
+    async def _serve_socket(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: self._connection(self._accepted),
+            lambda: self._make_connection(self._on_accepted),
             sock=sock,
             ssl=self._server_tls,
         )
         self._servers.append(server)
 
-    def _accepted(self, conn: Connection) -> None:
+    def _on_accepted(self, conn: Connection) -> None:
         assert conn.transport is not None
         address = str(conn.transport.get_extra_info('peername'))
         conn.send(self._hello())
-        self._run(self._serve_accepted(conn, address))
+        self._start_task(self._serve_accepted(conn, address))
 
     async def _serve_accepted(self, conn: Connection, address: str) -> None:
-        if await self._greet(conn, address):
+        if await self._receive_hello(conn, address):
             await self._serve(conn)
 
-    def _run(self, coroutine: typing.Coroutine[None, None, None]) -> None:
+    def _start_task(
+        self, coroutine: typing.Coroutine[None, None, None]
+    ) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _connection(
-        self, made: typing.Callable[[Connection], None]
+    def _make_connection(
+        self, on_made: typing.Callable[[Connection], None]
     ) -> Connection:
-        conn = Connection(self.traffic, self._buffer, made, self._stamps)
-        conn.heard_at = self._clock.now()
-        self._open.add(conn)
-        conn.lost.add_done_callback(lambda done: self._open.discard(conn))
+        conn = Connection(self.traffic, self._buffer, on_made, self._stamps)
+        conn.last_message_at = self._clock.now()
+        self._connections.add(conn)
+        conn.lost.add_done_callback(
+            lambda done: self._connections.discard(conn)
+        )
         return conn
 
-    async def _greet(self, conn: Connection, address: str) -> bool:
+    async def _receive_hello(self, conn: Connection, address: str) -> bool:
         try:
-            hello = await conn.first(self._pace.dial)
+            hello = await conn.receive_first(self._pace.dial)
         except (OSError, TimeoutError) as exc:
             LOG.info('event=greet_failed peer=%s reason=%r', address, exc)
             conn.close()
@@ -432,83 +472,86 @@
     async def _serve(self, conn: Connection) -> None:
         hello = conn.hello
         assert hello is not None
-        self._take_over(conn, hello)
+        self._register(conn, hello)
         await conn.serve(
-            lambda message: self._received(conn, hello.name, message)
+            lambda message: self._on_message(conn, hello.name, message)
         )
-        self._lost(conn, hello)
+        self._on_lost(conn, hello)
 
-    def _take_over(self, conn: Connection, hello: messages.Hello) -> None:
+    def _register(self, conn: Connection, hello: messages.Hello) -> None:
         old = self._peers.get(hello.name)
         self._peers[hello.name] = conn
         if old is not None and old.hello is not None:
-            # Messages on the older connection may be lost with it.
+            # The older connection is lost, possibly with some messages.
             old.close()
-            before = old.hello.incarnation
-            dead = before != hello.incarnation
-            self._feed(core.PeerDown(hello.name, before, dead))
+            old_incarnation = old.hello.incarnation
+            dead = old_incarnation != hello.incarnation
+            self._feed(core.PeerDown(hello.name, old_incarnation, dead))
         self._feed(core.PeerUp(hello))
         conn.ping(self._clock.now())
 
-    def _lost(self, conn: Connection, hello: messages.Hello) -> None:
+    def _on_lost(self, conn: Connection, hello: messages.Hello) -> None:
         if self._peers.get(hello.name) is conn:
             del self._peers[hello.name]
-            lost = self._waiting.pop(hello.name, None)
+            lost = self._lost_events.pop(hello.name, None)
             if lost is not None:
                 lost.set()
             self._feed(core.PeerDown(hello.name, hello.incarnation))
 
-    def _received(
+    def _on_message(
         self, conn: Connection, peer: str, message: messages.Message
     ) -> None:
         now = self._clock.now()
-        conn.heard_at = now
+        conn.last_message_at = now
         if isinstance(message, messages.Ping):
             conn.send(messages.Pong(message.sent, now, self._clock.now()))
             return
         if isinstance(message, messages.Pong):
-            conn.sampled(message, now)
+            conn.record_pong(message, now)
         self._feed(core.Received(peer, message))
 
-    async def _keep(self, peer: types.PeerName, address: str) -> None:
+    async def _maintain(self, peer: types.PeerName, address: str) -> None:
         redial = backoff.Backoff(REDIAL_PAUSES, self._rng)
         while True:
             began_at = self._clock.now()
-            await self._until_lost(peer)
+            await self._wait_until_lost(peer)
             served = await self._dial_once(peer, address)
-            if served and self._clock.now() >= began_at + STEADY_SECONDS:
+            if served and self._clock.now() >= began_at + REDIAL_RESET_SECONDS:
                 redial.succeeded()
             await asyncio.sleep(redial.failed())
 
     async def _dial_once(self, peer: types.PeerName, address: str) -> bool:
-        """Connect and serve; ``False`` if no connection came about."""
-        mine = self._hello()
-        if mine.role == ENTRY and mine.name > peer:
-            await asyncio.sleep(YIELD_SECONDS)
+        """Dial a peer and serve the connection until it is lost.
+
+        :returns: whether the peer was connected.
+        """
+        own = self._hello()
+        if own.role == ENTRY and own.name > peer:
+            await asyncio.sleep(GREATER_NAME_DELAY_SECONDS)
         if peer in self._peers:
             return True
         host, _, port = address.rpartition(':')
         conn = await self._connect(peer, host, int(port))
-        if conn is None or not await self._greet(conn, address):
+        if conn is None or not await self._receive_hello(conn, address):
             return False
         self._check_name(conn, peer, address)
         name = conn.hello.name if conn.hello else ''
         if name in self._peers:
             conn.close()
-            await self._until_lost(name)
+            await self._wait_until_lost(name)
             return True
         conn.send(self._hello())
         await self._serve(conn)
         return True
 
-    async def _until_lost(self, peer: types.PeerName) -> None:
+    async def _wait_until_lost(self, peer: types.PeerName) -> None:
         if peer in self._peers:
-            await self._waiting.setdefault(peer, asyncio.Event()).wait()
+            await self._lost_events.setdefault(peer, asyncio.Event()).wait()
 
     def _check_name(self, conn: Connection, peer: str, address: str) -> None:
-        # Another process has the address: the one that had it is gone.
-        found = conn.hello.name if conn.hello else ''
-        if peer not in (address, found):
+        # Another process has the address, so the dialled one is dead.
+        actual = conn.hello.name if conn.hello else ''
+        if peer not in (address, actual):
             self._feed(core.PeerDown(peer, 0, True))
 
     async def _connect(
@@ -518,25 +561,25 @@
         try:
             async with asyncio.timeout(self._pace.dial):
                 _, conn = await loop.create_connection(
-                    lambda: self._connection(lambda made: None),
+                    lambda: self._make_connection(lambda conn: None),
                     host,
                     port,
                     ssl=self._client_tls,
                 )
         except (OSError, TimeoutError) as exc:
-            # Nothing listens there: the process that did is gone.
+            # A refused connection shows that the process is dead.
             dead = isinstance(exc, ConnectionRefusedError)
             LOG.info('event=dial_failed peer=%s reason=%r', peer, exc)
             self._feed(core.PeerDown(peer, 0, dead))
             return None
         return conn
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(self._pace.heartbeat)
             now = self._clock.now()
             for conn in list(self._peers.values()):
-                if now - conn.heard_at > self._pace.silence:
+                if now - conn.last_message_at > self._pace.silence:
                     conn.close()
                 elif conn.needs_ping(now):
                     conn.ping(now)
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -1,9 +1,10 @@
 """Client of the platform's table service: JSON over HTTP.
 
-A read may be repeated.  A transaction never is, once a byte of it may have
-reached the service: after a lost answer the repetition would meet the
-conditions that its first try has broken, and report a conflict for a change
-that took effect.  Its caller gets ``StoreUnknown`` and settles it by reading.
+A read may be retried.  A transaction is never retried once a byte of it may
+have reached the service: if its answer was lost, the first attempt may have
+changed the rows that the conditions test, and the retry would report a
+conflict for a change that took effect.  The caller receives ``StoreUnknown``
+and determines the outcome by reading.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 from agatepick.table import store
 
 RETRY_PAUSES = backoff.Pauses(first=0.04, most=0.5)
-"""Longest pauses before a call is repeated."""
+"""Upper bounds of the random delays before retries, in seconds."""
 
 _PATHS: dict[type[store.Request], str] = {
     store.ReadRow: '/v1/rows/read',
@@ -34,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableSettings:
-    """How to reach the table service, and how much to ask of it.
+    """Address of the table service, and rate limits of its client.
 
     :param address: ``ip:port``.
     :param reads: reads a second that this process may send, at most.
-    :param writes: the same for transactions.
+    :param writes: transactions a second that it may send, at most.
     """
 
     address: str
@@ -48,16 +49,16 @@
 
 @dataclasses.dataclass
 class Counts:
-    """What this process sent to the service, and what it held back."""
+    """Counters of requests that were sent to the service or withheld."""
 
     reads: int = 0
     writes: int = 0
     retries: int = 0
-    held_back: int = 0
+    withheld: int = 0
 
 
 class TableStore:
-    """The table service at one address; implements ``store.Store``."""
+    """Client of the table service; implements ``store.Store``."""
 
     def __init__(
         self,
@@ -71,7 +72,7 @@
         self._client = client
         self._now = now
         self._breaker = breaker.CircuitBreaker(rng)
-        self._budget = ratelimit.RetryBudget()
+        self._retry_budget = ratelimit.RetryBudget()
         self._reads = ratelimit.TokenBucket(cfg.reads, cfg.reads, now())
         self._writes = ratelimit.TokenBucket(cfg.writes, cfg.writes, now())
         self.counts = Counts()
@@ -80,7 +81,7 @@
     def from_config(
         cls, cfg: TableSettings, rng: random.Random
     ) -> 'TableStore':
-        """A client on the running event loop."""
+        """Return a client on the running event loop."""
         client = tornado.simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True
         )
@@ -88,54 +89,63 @@
         return cls(cfg, rng, client, loop.time)
 
     def close(self) -> None:
-        """Let go of the connections."""
+        """Close the connections."""
         self._client.close()
 
     async def call(self, call: store.CallStore) -> store.StoreAnswered:
-        """Carry out one call; errors are in the answer, none is raised."""
-        self._budget.earn()
+        """Execute one call; errors are returned in the answer, not raised."""
+        self._retry_budget.add_request()
         deadline = self._now() + call.timeout
-        tries = 0
+        attempts = 0
         while True:
-            answer = await self._once(call.request, deadline - self._now())
-            tries += 1
-            pause = self._backoff(tries)
-            if not _repeatable(call.request, answer):
+            answer = await self._call_once(
+                call.request, deadline - self._now()
+            )
+            attempts += 1
+            delay = self._choose_retry_delay(attempts)
+            if not _is_retryable(call.request, answer):
                 break
-            if self._now() + pause >= deadline or not self._budget.spend():
+            if (
+                self._now() + delay >= deadline
+                or not self._retry_budget.take()
+            ):
                 break
             self.counts.retries += 1
-            await asyncio.sleep(pause)
+            await asyncio.sleep(delay)
         return store.StoreAnswered(call.id, answer)
 
-    def _backoff(self, tries: int) -> float:
-        return self._rng.uniform(0.0, RETRY_PAUSES.after(tries))
+    def _choose_retry_delay(self, attempts: int) -> float:
+        return self._rng.uniform(0.0, RETRY_PAUSES.after(attempts))
 
-    async def _once(
+    async def _call_once(
         self, request: store.Request, timeout: float
     ) -> store.Answer:
-        held = self._held_back(request)
-        if held is not None:
-            self.counts.held_back += 1
-            return held
+        refusal = self._check_limits(request)
+        if refusal is not None:
+            self.counts.withheld += 1
+            return refusal
         answer = await self._fetch(request, timeout)
         if isinstance(
             answer, exceptions.StoreUnavailable | exceptions.StoreUnknown
         ):
-            self._breaker.failed(self._now())
+            self._breaker.record_failure(self._now())
         else:
-            self._breaker.succeeded()
+            self._breaker.record_success()
         return answer
 
-    def _held_back(
+    def _check_limits(
         self, request: store.Request
     ) -> exceptions.StoreUnavailable | None:
         now = self._now()
         if not self._breaker.allow(now):
-            return self._error(exceptions.StoreUnavailable, 'circuit open')
+            return self._make_error(
+                exceptions.StoreUnavailable, 'circuit open'
+            )
         write = isinstance(request, store.Transact)
         if not (self._writes if write else self._reads).take(now):
-            return self._error(exceptions.StoreUnavailable, 'over our rate')
+            return self._make_error(
+                exceptions.StoreUnavailable, 'over our rate'
+            )
         if write:
             self.counts.writes += 1
         else:
@@ -155,30 +165,34 @@
         try:
             resp = await self._client.fetch(http, raise_error=False)
         except (OSError, tornado.httpclient.HTTPError) as exc:
-            return self._failed(request, exc)
+            return self._classify_error(request, exc)
         if resp.code == 599:
-            return self._failed(request, resp.error)
-        return self._parsed(request, resp)
+            return self._classify_error(request, resp.error)
+        return self._parse_response(request, resp)
 
-    def _parsed(
+    def _parse_response(
         self, request: store.Request, resp: tornado.httpclient.HTTPResponse
     ) -> store.Answer:
         if resp.code == 409:
-            return self._error(exceptions.StoreConflict, 'condition failed')
+            return self._make_error(
+                exceptions.StoreConflict, 'condition failed'
+            )
         if resp.code in (429, 503):
-            return self._error(
+            return self._make_error(
                 exceptions.StoreUnavailable, f'status {resp.code}'
             )
         if resp.code != 200:
-            return self._error(exceptions.StoreUnknown, f'status {resp.code}')
+            return self._make_error(
+                exceptions.StoreUnknown, f'status {resp.code}'
+            )
         if isinstance(request, store.Transact):
             return store.Committed()
         try:
             return msgspec.json.decode(resp.body, type=store.Rows)
         except msgspec.MsgspecError as exc:
-            return self._error(exceptions.StoreUnknown, str(exc))
+            return self._make_error(exceptions.StoreUnknown, str(exc))
 
-    def _failed(
+    def _classify_error(
         self, request: store.Request, exc: BaseException | None
     ) -> exceptions.StoreError:
         refused = isinstance(exc, OSError) and exc.errno in (
@@ -187,16 +201,16 @@
             errno.ENETUNREACH,
         )
         if refused or not isinstance(request, store.Transact):
-            return self._error(exceptions.StoreUnavailable, repr(exc))
-        return self._error(exceptions.StoreUnknown, repr(exc))
+            return self._make_error(exceptions.StoreUnavailable, repr(exc))
+        return self._make_error(exceptions.StoreUnknown, repr(exc))
 
     _Error = typing.TypeVar('_Error', bound=exceptions.StoreError)
 
-    def _error(self, kind: type[_Error], why: str) -> _Error:
-        return kind(why, step='store', peer=self._cfg.address)
+    def _make_error(self, kind: type[_Error], reason: str) -> _Error:
+        return kind(reason, step='store', peer=self._cfg.address)
 
 
-def _repeatable(request: store.Request, answer: store.Answer) -> bool:
+def _is_retryable(request: store.Request, answer: store.Answer) -> bool:
     return isinstance(answer, exceptions.StoreUnavailable) and not isinstance(
         request, store.Transact
     )
