--- a/src/agatepick/agentside/__init__.py
+++ b/src/agatepick/agentside/__init__.py
@@ -1,1 +1,1 @@
-"""The agent beside an upstream: each task starts at most once."""
+"""The agent beside an upstream, which starts each task at most once."""
--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -1,9 +1,9 @@
-"""The agent's reducer: every task start at an upstream passes through it.
+"""The agent's reducer, which handles every task start at an upstream.
 
-It dials the entries, leases them its upstream's slots, starts each task at
-most once, reports how it ended, and drains.  It never reads the cluster's
-configuration: entries tell it the ``Members``, and every start carries the
-instant before which it may happen.
+The agent connects to the entries, leases its upstream's slots to them, starts
+each task at most once, reports the outcome, and drains.  It doesn't read the
+cluster's configuration: entries send it the ``Members``, and every start
+message contains the time before which its tasks may start.
 """
 
 import dataclasses
@@ -24,11 +24,11 @@
 from agatepick import types
 
 LATE_SECONDS = 60.0
-"""A job let in at the end of the window starts its tasks a little later."""
+"""Tasks of a job that is admitted at the end of the window start after it."""
 PAUSE_SECONDS = 1.0
-"""A gap between ticks that means this process was paused: four ticks."""
+"""Time between ticks above which this process was paused: four ticks."""
 LINGER_SECONDS = 5.0
-"""How long a stopping agent waits for an entry that it owes results."""
+"""How long a stopping agent waits for entries to fetch their results."""
 
 REASON_INCARNATION = 'other_incarnation'
 REASON_LAPSED = 'upstream_lapsed'
@@ -40,13 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AgentConfig:
-    """What an agent needs to know.
+    """Configuration of an agent's reducer.
 
     :param seeds: addresses of entries, ``ip:port``.
-    :param retention_seconds: how long a job's key is served.
-    :param skew_seconds: how far ahead a job's key may be stamped.
-    :param clock_margin: offset from an entry's clock that is put up with.
-    :param result_delay: seconds that a report waits for others at most.
+    :param retention_seconds: seconds for which a job's key is valid.
+    :param skew_seconds: seconds that a key may be stamped ahead of a clock.
+    :param clock_margin: largest accepted offset from an entry's clock, in
+        seconds.
+    :param result_delay: longest time that a report is held for batching, in
+        seconds.
     :param lease_seconds: longest term of an upstream's announcement.
     """
 
@@ -64,7 +66,7 @@
 
     @classmethod
     def from_settings(cls, cfg: settings.AgentSettings) -> 'AgentConfig':
-        """The part of the settings that the reducer needs."""
+        """Return the reducer's part of the settings."""
         return cls(
             name=cfg.process.name,
             zone=cfg.process.zone,
@@ -78,7 +80,7 @@
 
 
 class Agent:
-    """One agent, in one life of its process."""
+    """One incarnation of an agent."""
 
     def __init__(self, cfg: AgentConfig, incarnation: int):
         self._cfg = cfg
@@ -107,14 +109,14 @@
 
     @classmethod
     def from_config(cls, cfg: AgentConfig, incarnation: int) -> 'Agent':
-        """An agent that has just started.
+        """Return an agent that has just started.
 
-        :param incarnation: differs from that of every earlier life.
+        :param incarnation: number that no earlier process of this agent had.
         """
         return cls(cfg, incarnation)
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event; the effects to carry out, in order."""
+        """Handle one event and return its effects in order of execution."""
         effects = self._take(event, now)
         effects += self._reporting.due(self._running, self._draining, now)
         effects += self._goodbye(now)
@@ -199,8 +201,8 @@
         )
         entry.clock.add(sample)
         if not entry.joined and not self._successors.lost(entry.owner):
-            # Credits wait for the first sample: without it, every start
-            # would have to be refused.
+            # An entry gets credits after the first clock sample, as all its
+            # starts would be refused without one.
             self._reporting.join(entry)
         return []
 
@@ -213,7 +215,7 @@
         return dials + self._take_over(now)
 
     def _take_over(self, now: float) -> list[object]:
-        """Tell the heirs of entries whose removal is in force by now."""
+        """Send reports to successors when a removal has come into force."""
         if not self._successors.advance(now):
             return []
         effects: list[object] = []
@@ -224,15 +226,15 @@
                 effects += self._reporting.orphans_for(entry)
         return effects
 
-    # Tasks: starts, ends, questions.
+    # Tasks: starts, ends, ``Settle`` requests.
 
     def _starts(
         self, entry: entries.Entry, message: messages.Starts, now: float
     ) -> list[object]:
         owner = ledger.Owner(message.owner, message.owner_incarnation)
         if owner != entry.owner:
-            # Held up on the way since an earlier life of the entry; whoever
-            # waited for the answer is gone.
+            # The message is a delayed one of an earlier incarnation of the
+            # entry; no caller waits for its answer any more.
             return [core.note('not_its_owner', peer=entry.owner.name)]
         effects: list[object] = []
         for task in message.tasks:
@@ -257,8 +259,8 @@
     ) -> messages.TaskReport | None:
         if incarnation == self._incarnation:
             return self._ledger.known(ref, now)
-        # A copy of the message may have reached the life that it names, so
-        # "not run" could be false.
+        # A copy of the message may have reached the incarnation that it
+        # names, so "not run" could be false.
         return messages.TaskReport(
             ref.job,
             ref.index,
@@ -274,7 +276,7 @@
         task: messages.StartTask,
         now: float,
     ) -> str:
-        """Why a new attempt is refused; empty if it may start."""
+        """Return why a new attempt is refused; empty if it may start."""
         if self._stopping_at is not None:
             return startcheck.REASON_LEAVING
         if self._successors.lost(entry.owner):
@@ -333,7 +335,7 @@
             indexes = self._ledger.running(message.job)
         return [*self._running.act(message.job, indexes, action)]
 
-    # The upstream: announcement, lapse, drain.
+    # The upstream: announcement, expiry, draining.
 
     @property
     def _draining(self) -> bool:
@@ -363,9 +365,9 @@
     def _tick(self, now: float) -> list[object]:
         before, self._ticked_at = self._ticked_at, now
         if before is not None and now - before > PAUSE_SECONDS:
-            # While this process was paused, renewals waited in its sockets.
-            # Without a new term they would come too late, and all tasks
-            # that still run would be given up.
+            # Renewals that arrived during the pause are still in the sockets.
+            # Unless the term is extended, the announcement would expire
+            # before they are read, and all running tasks would end as lost.
             self._running.extend(now)
         lost = self._running.lapse(now)
         if lost is not None:
@@ -381,7 +383,7 @@
         return []
 
     def _goodbye(self, now: float) -> list[object]:
-        """End the process once nothing runs and all results are sent."""
+        """Exit once no task runs and all results have been sent."""
         if self._stopping_at is None or self._done or len(self._running):
             return []
         waited = now - self._stopping_at >= LINGER_SECONDS
--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -1,7 +1,8 @@
-"""HTTP side of an agent, where its upstream announces itself.
+"""HTTP server of an agent, at which its upstream announces itself.
 
-``PUT /v1/upstream`` announces or renews, ``DELETE /v1/upstream`` says that
-the upstream leaves.  Each fault in an announcement names its field.
+``PUT /v1/upstream`` announces the upstream or renews its announcement,
+``DELETE /v1/upstream`` starts its departure.  The answer to an invalid
+announcement names the field at fault.
 """
 
 import ipaddress
@@ -19,7 +20,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 RENEWALS_A_TERM = 3
-"""Two renewals in a row may be lost before an announcement lapses."""
+"""An announcement survives the loss of two renewals in a row."""
 
 Feed = typing.Callable[[object], None]
 
@@ -30,7 +31,7 @@
 
 
 class Capacity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Resources of the worker, shared by all that it runs."""
+    """Resources of the worker, shared by all its running tasks."""
 
     cpu: typing.Annotated[float, msgspec.Meta(ge=0)] = 0.0
     memory_mb: typing.Annotated[int, msgspec.Meta(ge=0, le=(1 << 32) - 1)] = 0
@@ -38,12 +39,12 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an upstream says of itself.
+    """An upstream's announcement.
 
-    :param session: differs for each life of the upstream's process.
-    :param url: where tasks are sent; loopback unless the settings allow
-        more.
-    :param term_seconds: how long the announcement holds without renewal.
+    :param session: identifier of the upstream's process, new at each start.
+    :param url: address for tasks; loopback unless the settings allow others.
+    :param term_seconds: time after which the announcement expires unless it
+        is renewed.
     """
 
     session: _Session
@@ -57,7 +58,7 @@
 
 
 class Departure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An upstream takes no new task and ends what it runs."""
+    """Notice of an upstream that accepts no new task and ends its others."""
 
     session: _Session
 
@@ -65,8 +66,8 @@
 class Accepted(msgspec.Struct, frozen=True):
     """Answer to an announcement.
 
-    :param term_seconds: how long it holds, at most what was asked.
-    :param renew_seconds: how often to announce again.
+    :param term_seconds: granted term, at most the requested one.
+    :param renew_seconds: interval at which to renew the announcement.
     """
 
     term_seconds: float
@@ -76,7 +77,7 @@
 def server(
     feed: Feed, cfg: settings.Upstreams
 ) -> tornado.httpserver.HTTPServer:
-    """An HTTP server that feeds announcements to an agent."""
+    """Return an HTTP server that feeds announcements to an agent."""
     handler_args = {'feed': feed, 'cfg': cfg}
     app = tornado.web.Application(
         [('/v1/upstream', _UpstreamHandler, handler_args)],
@@ -94,9 +95,9 @@
 
 
 class _Faulty(Exception):
-    """A request that can't be taken.
+    """A request that is refused.
 
-    :param field: the field at fault; empty for the body as a whole.
+    :param field: name of the invalid field; empty for the body as a whole.
     """
 
     def __init__(self, status: int, detail: str, field: str = ''):
@@ -185,20 +186,20 @@
 
 
 def _field(fault: str) -> str:
-    """The field that a fault of msgspec names, as `slots` or `kinds[0]`."""
+    """Return the field in an error of msgspec, as `slots` or `kinds[0]`."""
     _, found, path = fault.rpartition('`$')
     if found:
         return path.rstrip('`').lstrip('.')
-    # A missing or unknown key of the whole is named in the text.
+    # The text names the missing or unknown key of the top-level object.
     parts = fault.split('`')
     return parts[1] if len(parts) > 2 else ''
 
 
 def _check_url(url: str, beyond_loopback: bool) -> None:
-    """Tasks go to an upstream on the same machine, unless settings allow.
+    """Check that an upstream's URL is on loopback or allowed by the settings.
 
-    Whoever reaches this port could else make the agent send tasks, which are
-    its callers' data, to any address.
+    Otherwise any process that reaches this port could make the agent send
+    tasks, which are callers' data, to any address.
     """
     try:
         parts = urllib.parse.urlsplit(url)
@@ -224,4 +225,4 @@
 
 
 def _no_log(handler: tornado.web.RequestHandler) -> None:
-    """Renewals come every second or two; their access log tells nothing."""
+    """Log nothing: renewals arrive every second or two."""
--- a/src/agatepick/agentside/entries.py
+++ b/src/agatepick/agentside/entries.py
@@ -1,8 +1,8 @@
-"""An agent's connections to entries: whom it dials and whose clock it knows.
+"""An agent's connections to entries, and the offsets of their clocks.
 
-Seeds from the settings are dialled for ever, under their address as a name
-that stands in until the entry has said its own; the other entries are
-dialled while they are listed.
+The agent always dials the seeds from the settings.  A seed's address serves
+as its name until the entry has sent its own.  Other entries are dialled while
+they are listed.
 """
 
 import collections.abc
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """An entry that is connected.
+    """A connected entry.
 
-    :param joined: whether it may be given credits.
+    :param joined: whether the entry may get credits.
     """
 
     owner: ledger.Owner
@@ -43,36 +43,39 @@
         return iter(tuple(self._up.values()))
 
     def get(self, name: types.PeerName) -> Entry | None:
-        """The entry that is connected under a name."""
+        """Return the entry that is connected under a name, or ``None``."""
         return self._up.get(name)
 
     def reaches(self, owner: ledger.Owner) -> bool:
-        """Whether that life of an entry is connected."""
+        """Return whether this incarnation of an entry is connected."""
         entry = self._up.get(owner.name)
         return entry is not None and entry.owner == owner
 
     def up(self, hello: messages.Hello) -> Entry:
-        """An entry has connected."""
+        """Add an entry that has connected, and return it."""
         owner = ledger.Owner(hello.name, hello.incarnation)
         self._up[hello.name] = Entry(owner)
         return self._up[hello.name]
 
     def down(self, name: types.PeerName, incarnation: int) -> Entry | None:
-        """An entry's connection ended; ``None`` if it wasn't up."""
+        """Remove and return a disconnected entry.
+
+        :returns: ``None`` if this incarnation wasn't connected.
+        """
         entry = self._up.get(name)
         if entry is None or entry.owner.incarnation != incarnation:
             return None
         return self._up.pop(name)
 
     def dial_seeds(self) -> list[object]:
-        """Dial each seed that isn't dialled yet."""
+        """Return the effects that dial each seed not dialled yet."""
         return self._dial({seed: seed for seed in self._seeds})
 
     def dial_listed(self, listed: list[messages.Member]) -> list[object]:
-        """Dial the listed entries, and no longer those that aren't.
+        """Return the effects that dial listed entries and hang up on others.
 
         A seed's address isn't dialled a second time under the entry's name:
-        of two connections to one process each would end the other.
+        two connections to one process would end each other.
         """
         wanted = {one.address: one.name for one in listed}
         effects: list[object] = []
--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -1,8 +1,9 @@
-"""Runs an agent's tasks at its upstream over HTTP.
+"""HTTP client that runs an agent's tasks at its upstream.
 
-``POST /tasks`` runs one task and answers when it has ended; a status of 200
-to 299 means that it finished, with a body of JSON or none; any other that it
-failed.  No answer means that its fate is unknown: it is never sent again.
+``POST /tasks`` runs one task and answers when it has ended.  A status of 200
+to 299 means that the task finished, with a JSON body or none; any other
+status means that it failed.  Without an answer the outcome is unknown, and
+the task is never sent again.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 ACTION_SECONDS = 5.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_CLIENTS = 100_000
-"""Far more than slots: a task that has been started must not wait in the
-client's queue, past the instant before which it may start."""
+"""The limit is far above the number of slots: a started task that waited in
+the client's queue could run after the time before which it may start."""
 
 NO_ANSWER = 599
-"""Status by which the client says that there was no whole answer."""
+"""Status that the client returns when there was no complete answer."""
 
 REASON_NO_ANSWER = 'no_answer'
 REASON_NOT_JSON = 'answer_not_json'
@@ -39,15 +40,15 @@
 
 
 class Failure(msgspec.Struct):
-    """Body of a failed task's answer, as far as it is understood."""
+    """Body of a failed task's answer; other fields are ignored."""
 
     reason: str = ''
 
 
 class HttpUpstream:
-    """An :class:`.upstream.Upstream` that is reached over HTTP.
+    """An :class:`.upstream.Upstream` that runs tasks over HTTP.
 
-    :param feed: takes the agent's events.
+    :param feed: callback that receives the agent's events.
     """
 
     def __init__(self, feed: typing.Callable[[object], None]):
@@ -57,19 +58,19 @@
             max_clients=MAX_CLIENTS,
             max_body_size=MAX_ANSWER_BYTES,
         )
-        # The loop itself keeps only weak references to its tasks.
+        # The event loop keeps only weak references to its tasks.
         self._requests: set[asyncio.Task[None]] = set()
 
     def run(self, effect: upstream.RunTask) -> None:
-        """Start a task; its end is fed as ``TaskEnded``."""
+        """Start a task; its end is passed to ``feed`` as ``TaskEnded``."""
         self._spawn(self._run(effect))
 
     def stop(self, effect: upstream.StopTask) -> None:
-        """Pass an action on; an upstream that doesn't answer is left be."""
+        """Send an action to a task; a failure is logged, not retried."""
         self._spawn(self._act(effect))
 
     def close(self) -> None:
-        """Give up all requests, as the end of the process does."""
+        """Cancel all open requests and close the client."""
         for task in self._requests:
             task.cancel()
         self._client.close()
@@ -105,7 +106,7 @@
                 body=effect.payload,
                 headers=_headers(effect),
                 connect_timeout=CONNECT_SECONDS,
-                # The announcement's lease bounds the wait, not a timeout.
+                # The announcement's term limits the wait, not a timeout.
                 request_timeout=0,
                 follow_redirects=False,
                 decompress_response=False,
@@ -129,8 +130,8 @@
             error=repr(exc),
         )
         if isinstance(exc, ConnectionRefusedError):
-            # Nothing listens there.  Until the announcement lapsed, every
-            # further task given to it would be lost as well.
+            # No process listens there.  Otherwise, all further tasks until
+            # the announcement expires would be sent there and lost as well.
             self._feed(upstream.UpstreamGone(effect.session))
         return types.TaskState.LOST, b'', REASON_NO_ANSWER
 
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -1,10 +1,11 @@
-"""The agent's record of task attempts: what makes "at most once" true.
-
-A task index of a job is started at most once in the life of an agent's
-process.  Refusing an attempt is final for it and all earlier ones, so a copy
-of the message that arrives later can't turn a "not run" into a lie.  A
-record outlives the retention window of its job's key; what is older is never
-started and never called "not run", since nobody can tell any more.
+"""The agent's records of task attempts, which ensure at-most-once starts.
+
+An agent's process starts each task of a job at most once.  The refusal of an
+attempt is final for that attempt and all earlier ones, so a copy of the
+message that arrives later can't make the answer "not run" false.  A record is
+kept longer than the retention window of its job's key.  A task of an older
+key is neither started nor reported as "not run", since its record may have
+been deleted.
 """
 
 import collections.abc
@@ -17,10 +18,11 @@
 from agatepick import types
 
 MAX_TASKS = 200_000
-"""Eight slots at 50 ms a task fill 96,000 records in the window of 600 s;
-twice that leaves room for refusals."""
+"""Eight slots at 50 ms a task fill 96,000 records in the window of 600 s; the
+limit is about twice that, to leave room for refusals."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
-"""Kept for takeovers: 8 slots with 100-byte answers need 10 MB a window."""
+"""Limit for answers stored for takeovers: 8 slots with 100-byte answers need
+10 MB in a window."""
 
 REASON_FULL = 'ledger_full'
 REASON_BODY = 'answer_dropped'
@@ -36,14 +38,14 @@
 
 
 def task_digest(team: str, kind: str, payload: bytes) -> bytes:
-    """Tells a task from another one under the same key and index."""
+    """Return a digest that identifies a task among others of its index."""
     head = f'{team}\0{kind}\0'.encode()
     return xxhash.xxh3_128_digest(head + payload)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """An entry in one of its lives."""
+    """One incarnation of an entry."""
 
     name: types.PeerName
     incarnation: int
@@ -69,10 +71,10 @@
 
 
 class Ledger:
-    """All attempts that an agent has started or refused in the window.
+    """Records of all attempts that an agent started or refused in the window.
 
     :param retention: seconds after a key's stamp in which its tasks start.
-    :param slack: seconds by which a key may be ahead of this clock, clock
+    :param slack: seconds that a key may be stamped ahead of this clock, clock
         error included; records are kept that much longer.
     """
 
@@ -98,10 +100,13 @@
     def known(
         self, ref: messages.TaskRef | messages.StartTask, now: float
     ) -> messages.TaskReport | None:
-        """The report that answers a start; ``None`` if it may be started.
+        """Return the report for a recorded or invalid attempt.
+
+        A copy of a recorded attempt gets the recorded state, and so does any
+        attempt for a task that was started.  An attempt later than a refused
+        one is new.
 
-        A copy of a known attempt gets its record.  An attempt later than a
-        refused one is new; one for a task that was started is not.
+        :returns: ``None`` if the attempt may be started.
         """
         job = self._jobs.get(ref.job)
         task = job.tasks.get(ref.index) if job is not None else None
@@ -112,7 +117,7 @@
         return None
 
     def stopped(self, job: types.JobKey) -> bool:
-        """Whether a job was stopped: none of its tasks starts any more."""
+        """Return whether a job was stopped, so that no task of it starts."""
         record = self._jobs.get(job)
         return record is not None and record.stopped
 
@@ -122,7 +127,7 @@
         owner: Owner,
         now: float,
     ) -> None:
-        """Record that an attempt starts; :meth:`known` allowed it."""
+        """Record the start of an attempt that :meth:`known` allowed."""
         job = self._touch(start.job, owner, now)
         task = _Task(start.attempt, types.TaskState.RUNNING)
         task.digest = task_digest(start.team, start.kind, start.payload)
@@ -136,11 +141,11 @@
         reason: str,
         now: float,
     ) -> messages.TaskReport:
-        """Refuse an attempt for good; :meth:`known` allowed it.
+        """Permanently refuse an attempt that :meth:`known` allowed.
 
-        With twice the records allowed there is no room to remember even a
-        refusal.  Then the answer is "lost", which stays true whatever a copy
-        of the message does later.
+        At twice the record limit, refusals aren't stored either.  The report
+        is then "lost", which stays correct even if a copy of the message
+        starts the task later.
         """
         if self._tasks >= 2 * self._max_tasks and not self._has(ref):
             return _without_record(ref, types.TaskState.LOST, REASON_FULL)
@@ -159,10 +164,12 @@
         reason: str = '',
         seconds: float = 0.0,
     ) -> messages.TaskReport | None:
-        """Record how a running task ended; ``None`` if it wasn't running.
+        """Record the end of a running task and return the report on it.
+
+        A task that was recorded as lost stays lost, as its owner may have
+        sent that answer to the caller.
 
-        A task that was given up as lost stays lost: its owner may have told
-        its caller so.
+        :returns: ``None`` if the task wasn't running.
         """
         job = self._jobs.get(job_key)
         task = job.tasks.get(index) if job is not None else None
@@ -179,7 +186,7 @@
         return _report(job_key, index, task, body)
 
     def stop(self, job: types.JobKey, owner: Owner, now: float) -> list[int]:
-        """Start nothing more of a job; the indexes that run now."""
+        """Prevent further starts of a job and return its running indexes."""
         if job not in self._jobs:
             ref = messages.TaskRef(job, 0, 0)
             crowded = len(self._jobs) >= self._max_tasks
@@ -189,7 +196,7 @@
         return self.running(job)
 
     def running(self, job: types.JobKey) -> list[int]:
-        """Indexes of a job's running tasks."""
+        """Return the indexes of a job's running tasks."""
         record = self._jobs.get(job)
         if record is None or not record.running:
             return []
@@ -201,20 +208,20 @@
         ]
 
     def owner(self, job: types.JobKey) -> Owner | None:
-        """The entry that sent the first message about a job."""
+        """Return the entry that sent the first message about a job."""
         record = self._jobs.get(job)
         return record.owner if record is not None else None
 
     def full(self) -> bool:
-        """Whether no more starts can be remembered."""
+        """Return whether the limit of stored attempts is reached."""
         return self._tasks >= self._max_tasks
 
     def started_for(
         self, owner: Owner
     ) -> collections.abc.Iterator[messages.TaskReport]:
-        """Reports on every task that was started for an owner.
+        """Yield reports on every task that was started for an owner.
 
-        Refusals are left out: they don't tell what another agent did.
+        Refusals are left out, as another agent may have started the task.
         """
         for key, job in self._jobs.items():
             if job.owner == owner:
@@ -225,7 +232,7 @@
                         )
 
     def forget(self, now: float) -> None:
-        """Drop the records whose keys nobody serves any more."""
+        """Delete the records of expired keys."""
         horizon = now - self._retention - self._slack
         while self._jobs:
             key = next(iter(self._jobs))
@@ -233,7 +240,7 @@
             if job.touched_at >= horizon:
                 return
             if job.running:
-                # A task longer than the window keeps its record.
+                # A task that runs longer than the window keeps its record.
                 self._touch(key, job.owner, now)
                 continue
             self._drop(key)
@@ -245,7 +252,7 @@
         if fault is None:
             return None
         if fault is ownership.KeyFault.MALFORMED:
-            # Never started by anyone, at any time.
+            # No agent ever starts a task under a malformed key.
             return _without_record(ref, types.TaskState.REFUSED, fault.value)
         # An expired key's record may have been dropped, and a key ahead of
         # this clock becomes valid later: "not run" could be false.
@@ -258,7 +265,7 @@
     def _touch(self, key: types.JobKey, owner: Owner, now: float) -> _Job:
         job = self._jobs.pop(key, None) or _Job(owner, now)
         job.touched_at = now
-        # Last in the order of insertion: the first is the next to go.
+        # The job moves to the end; ``forget`` deletes from the front.
         self._jobs[key] = job
         return job
 
@@ -276,7 +283,7 @@
         while self._body_bytes > self._max_body_bytes:
             oldest = next(iter(self._bodies))
             self._drop_body(oldest)
-            # A finished task without its answer can't make a complete job.
+            # A job is complete only with the answers of all its tasks.
             oldest.state = types.TaskState.LOST
             oldest.reason = REASON_BODY
 
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -1,10 +1,11 @@
-"""Reports that wait to ride together in one ``Results`` message.
+"""Queues of task reports that are sent together in ``Results`` messages.
 
 Load pattern: short tasks of one owner end within microseconds of each other,
-as do all tasks of a cancelled job.  A message each costs both ends its fixed
-part, about 50 us, and drowns the entry in wakeups.  A plain delay would
-leave a freed slot idle for as long, so the first report goes at once and
-only those that follow within the delay are held, until it has passed.
+as do all tasks of a cancelled job.  One message per report would cost both
+ends about 50 us each and overload the entry with wakeups.  Delaying every
+report would leave freed slots idle for that time, so the first report is sent
+at once, and only reports that follow within the delay are held until it has
+passed.
 """
 
 import dataclasses
@@ -14,7 +15,7 @@
 
 MAX_REPORTS = 1000
 MAX_BYTES = 4 * 1024 * 1024
-"""Reports in a message at most: far below the largest frame of a link."""
+"""Limits of the reports in a message, far below the largest frame size."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -26,9 +27,9 @@
 
 
 class Outbox:
-    """Reports by the owner that they go to.
+    """Queues of reports, one for each owner.
 
-    :param delay: seconds that a report is held at most.
+    :param delay: longest time that a report is held, in seconds.
     """
 
     def __init__(self, delay: float):
@@ -45,26 +46,26 @@
         self._waiting.setdefault(owner, queue.sent_at + self._delay)
 
     def hurry(self, owner: ledger.Owner) -> None:
-        """What is queued for an owner goes with the next :meth:`due`."""
+        """Make an owner's queued reports due at the next :meth:`due`."""
         if owner in self._waiting:
             self._waiting[owner] = 0.0
 
     def holds(self, owner: ledger.Owner) -> bool:
-        """Whether anything is queued for an owner."""
+        """Return whether any report is queued for an owner."""
         return owner in self._waiting
 
     def due(self, now: float) -> list[ledger.Owner]:
-        """Owners whose reports have waited long enough."""
+        """Return the owners whose reports are due."""
         return [owner for owner, at in self._waiting.items() if at <= now]
 
     def next_at(self) -> float | None:
-        """When reports are due next; ``None`` if none are queued."""
+        """Return when reports are due next; ``None`` if none are queued."""
         return min(self._waiting.values(), default=None)
 
     def take(
         self, owner: ledger.Owner, now: float
     ) -> list[tuple[messages.TaskReport, ...]]:
-        """The reports for an owner, by message; they are queued no more."""
+        """Remove an owner's reports and return them in batches."""
         self._waiting.pop(owner, None)
         queue = self._queues[owner]
         queue.sent_at = now
@@ -72,7 +73,7 @@
         return list(batches(reports))
 
     def discard(self, owner: ledger.Owner) -> bool:
-        """Forget an owner; whether reports for it were queued."""
+        """Delete an owner's queue and return whether it had reports."""
         self._queues.pop(owner, None)
         return self._waiting.pop(owner, None) is not None
 
@@ -80,7 +81,7 @@
 def batches(
     reports: list[messages.TaskReport],
 ) -> list[tuple[messages.TaskReport, ...]]:
-    """Reports in portions that fit a message."""
+    """Split reports into batches that fit a message each."""
     found = []
     batch: list[messages.TaskReport] = []
     size = 0
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -1,8 +1,8 @@
-"""What an agent tells entries: reports on tasks, and the slots they lease.
+"""Messages of an agent to entries: task reports and offers of slots.
 
-A report goes to the owner of its job while that is connected.  One that
-can't be sent stays in the ledger: its owner asks by ``Settle`` once it is
-connected again, and an heir is told by ``Orphans``.
+A report is sent to the owner of its job while that is connected.  A report
+that can't be sent stays in the ledger: its owner requests it by ``Settle``
+after reconnecting, and a successor receives it in ``Orphans``.
 """
 
 from agatepick.agentside import entries
@@ -17,9 +17,9 @@
 
 
 class Reporting:
-    """Reports and offers that are to be sent.
+    """Reports and offers that wait to be sent.
 
-    :param delay: seconds that a report waits for others at most.
+    :param delay: longest time that a report is held for batching, in seconds.
     """
 
     def __init__(
@@ -41,13 +41,13 @@
         self._offer_to: set[ledger.Owner] = set()
 
     def join(self, entry: entries.Entry) -> None:
-        """Give an entry credits from now on."""
+        """Start to give an entry credits."""
         entry.joined = True
         self._slots.join(entry.owner)
         self._offer_to.add(entry.owner)
 
     def part(self, entry: entries.Entry) -> None:
-        """An entry is connected no more, or may start nothing more."""
+        """Stop giving credits to an entry that disconnected or was removed."""
         entry.joined = False
         self._slots.leave(entry.owner)
         self._offer_to.discard(entry.owner)
@@ -55,28 +55,28 @@
             self._owed.add(entry.owner)
 
     def offer_all(self) -> None:
-        """The upstream changed: every entry is to hear of it."""
+        """Schedule an offer to every entry because the upstream changed."""
         self._offer_to.update(one.owner for one in self._entries if one.joined)
 
     def owes(self) -> bool:
-        """Whether an owner that isn't connected has results to ask for."""
+        """Return whether reports are undelivered to an owner not removed."""
         return any(not self._successors.lost(owner) for owner in self._owed)
 
     def settled(self, owner: ledger.Owner) -> None:
-        """An owner has asked for all that it was owed."""
+        """Clear an owner's undelivered reports after its ``Settle``."""
         self._owed.discard(owner)
 
     def next_at(self) -> float | None:
-        """When reports are due next; ``None`` if none wait."""
+        """Return when reports are due next; ``None`` if none are queued."""
         return self._outbox.next_at()
 
     def answer(self, owner: ledger.Owner, report: messages.TaskReport) -> None:
-        """Report to an owner that asked, without delay."""
+        """Report to an owner that sent a request, without delay."""
         self._report(owner, report)
         self._outbox.hurry(owner)
 
     def ended(self, report: messages.TaskReport | None) -> None:
-        """Report a task's end to whoever owns its job now."""
+        """Report a task's end to the current owner of its job."""
         if report is None:
             return
         first = self._ledger.owner(report.job)
@@ -91,7 +91,7 @@
     def lost(
         self, tasks: list[running.RunningTask], reason: str, now: float
     ) -> None:
-        """Give up tasks whose end nobody will learn."""
+        """Report tasks as lost whose outcome can no longer be determined."""
         lost = types.TaskState.LOST
         for task in tasks:
             self.ended(
@@ -99,7 +99,7 @@
             )
 
     def orphans_for(self, entry: entries.Entry) -> list[object]:
-        """What an entry must know of the tasks of removed ones."""
+        """Return the messages to an entry on tasks of removed entries."""
         return [
             core.Send(entry.owner.name, message)
             for message in self._successors.orphans(entry.owner, self._ledger)
@@ -108,9 +108,10 @@
     def due(
         self, at: running.Running, draining: bool, now: float
     ) -> list[object]:
-        """Results that are due, and leases that have changed.
+        """Return the messages with due reports and changed leases.
 
-        A changed lease rides on results that wait; else it costs an Offer.
+        A changed lease is sent together with queued reports if there are any,
+        otherwise in an ``Offer``.
         """
         untold = set(self._slots.revise())
         for owner in untold:
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -1,9 +1,9 @@
 """An agent's upstream: its announcement and the tasks that run there.
 
-A running task holds its slot and resources until the upstream has said that
-it ended, also when the agent has given it up as lost: an upstream whose
-announcement lapsed because it was paused still runs what it was given, and
-slots leased out again for these tasks would be filled twice.
+A running task holds its slot and resources until the upstream has reported
+its end, even after the agent has marked it as lost: an upstream whose
+announcement expired because it was paused still runs its tasks, and if their
+slots were leased again, two tasks would use one slot.
 """
 
 import dataclasses
@@ -18,7 +18,8 @@
 class RunningTask:
     """A task that holds a slot.
 
-    :param lost: given up; its end changes nothing any more.
+    :param lost: whether the task was reported as lost; its end then only
+        releases the slot.
     """
 
     job: types.JobKey
@@ -31,7 +32,7 @@
 
 
 class Running:
-    """The upstream's announcement, and what runs.
+    """The upstream's announcement and its running tasks.
 
     :param max_term: longest term of an announcement, in seconds.
     """
@@ -53,14 +54,17 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the upstream ends what runs and takes nothing new."""
+        """Whether the upstream ends its tasks and accepts no new ones."""
         found = self._announced
         return found is not None and found.session == self._left_session
 
     def announce(
         self, event: upstream.Announced, now: float
     ) -> list[RunningTask]:
-        """Take an announcement; the tasks of a former session, now gone."""
+        """Store an announcement.
+
+        :returns: the tasks of earlier sessions, which have ended with them.
+        """
         self._announced = event
         self._until = now + min(event.term, self._max_term)
         gone = [
@@ -73,7 +77,10 @@
         return gone
 
     def leave(self, session: str) -> bool:
-        """The upstream of a session leaves; whether it was here."""
+        """Mark the upstream as leaving.
+
+        :returns: whether the session is the announced one.
+        """
         found = self._announced
         if found is None or found.session != session:
             return False
@@ -81,9 +88,12 @@
         return True
 
     def vanish(self, session: str) -> bool:
-        """Nothing answers at a session's address; whether it was in force.
+        """Delete the announcement of an upstream that refuses connections.
 
-        What runs is not given up: each task's own connection tells.
+        Its running tasks are kept: the connection of each task reports its
+        end.
+
+        :returns: whether the session is the announced one.
         """
         found = self._announced
         if found is None or found.session != session:
@@ -92,9 +102,9 @@
         return True
 
     def lapse(self, now: float) -> list[RunningTask] | None:
-        """Give up an upstream that stopped renewing; what is lost by it.
+        """Delete an expired announcement and mark its tasks as lost.
 
-        :return: ``None`` if nothing lapses now.
+        :return: the tasks now lost; ``None`` if no announcement expired.
         """
         if self._announced is None or now < self._until:
             return None
@@ -105,13 +115,13 @@
         return lost
 
     def extend(self, now: float) -> None:
-        """Give the upstream a whole term again from now on."""
+        """Extend the announcement by a whole term from now."""
         if self._announced is not None:
             term = min(self._announced.term, self._max_term)
             self._until = max(self._until, now + term)
 
     def fits(self, needs: types.Needs) -> bool:
-        """Whether the worker has room for a task's resources."""
+        """Return whether the worker has a task's resources free."""
         if self._announced is None:
             return False
         taken = [task.needs for task in self._tasks.values()]
@@ -125,7 +135,10 @@
     def start(
         self, task: messages.StartTask, owner: ledger.Owner
     ) -> upstream.RunTask:
-        """A task starts; there must be an upstream."""
+        """Add a task and return the effect that runs it.
+
+        There must be an announcement.
+        """
         announced = self._announced
         assert announced is not None
         self._tasks[task.job, task.index] = RunningTask(
@@ -151,7 +164,7 @@
     def act(
         self, job: types.JobKey, indexes: list[int], action: upstream.Action
     ) -> list[upstream.StopTask]:
-        """Pass an action on to running tasks of a job."""
+        """Return the effects that send an action to tasks of a job."""
         if self._announced is None:
             return []
         url = self._announced.url
@@ -162,7 +175,7 @@
     def end(
         self, job: types.JobKey, index: int, attempt: int
     ) -> RunningTask | None:
-        """The task that ended; ``None`` if it doesn't run here."""
+        """Remove and return a task that ended; ``None`` if it didn't run."""
         task = self._tasks.get((job, index))
         if task is None or task.attempt != attempt:
             return None
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -1,19 +1,19 @@
-"""How an agent leases its upstream's slots to entries, as credits.
+"""Leases of an agent's upstream slots to entries, given as credits.
 
 Load pattern: several entries own jobs at the same time, their demand shifts
-within milliseconds, and any of them may take most of it.  An entry that had
-to ask before each start would pay a round trip a task; entries that all saw
-every free slot would race for the last ones, and each lost race is a wasted
-start message and a retry.  So every slot is leased to exactly one entry.
-Leases follow demand in max-min shares: nobody gets more than it can fill
-while another waits, and the equal share of each is safe from a neighbour's
-burst.  Slots that nobody waits for are spread evenly, so that the first
-tasks of a burst start without asking.
-
-A lease moves only for demand that isn't met: shifting on every message would
-cost an ``Offer`` to a second entry per result.  A slot that runs a task is
-never taken away; it moves when the task ends.  A start that crosses with a
-smaller lease is taken all the same while a slot is free, else refused.
+within milliseconds, and any of them may need most of the slots.  If entries
+had to request a slot before each start, every task would cost a round trip.
+If all entries saw every free slot, they would race for the last ones, and
+each lost race would cost a start message and a retry.  So every slot is leased
+to exactly one entry.  Leases follow demand in max-min shares: no entry gets
+more than it can use while another waits, and a burst of one entry doesn't
+reduce the equal shares of the others.  Slots without demand are spread
+evenly, so that the first tasks of a burst start without a request.
+
+Leases change only while some demand isn't met: a change at every message
+would cost an ``Offer`` to a second entry per result.  A slot with a running
+task moves only when the task ends.  A start that was sent before a smaller
+lease arrived is accepted while a slot is free, and refused otherwise.
 """
 
 import dataclasses
@@ -33,7 +33,7 @@
 
 
 class Slots:
-    """Credits of each entry, and what runs."""
+    """Credits and running tasks of each entry."""
 
     def __init__(self) -> None:
         self._slots = 0
@@ -43,46 +43,46 @@
 
     @property
     def total(self) -> int:
-        """Slots of the upstream; 0 while there is none."""
+        """Slots of the upstream; 0 while there is no upstream."""
         return self._slots
 
     @property
     def running(self) -> int:
-        """Tasks that hold a slot."""
+        """Number of tasks that hold a slot."""
         leased = sum(one.running for one in self._leases.values())
         return leased + sum(self._gone.values())
 
     @property
     def free(self) -> int:
-        """Slots on which a task could start now; may be below zero."""
+        """Number of free slots; below zero after the number has shrunk."""
         return self._slots - self.running
 
     def credits(self, entry: ledger.Owner) -> int:
-        """Slots that an entry may hold, running tasks included."""
+        """Return the slots leased to an entry, running tasks included."""
         lease = self._leases.get(entry)
         return lease.credits if lease is not None else 0
 
     def runs(self, entry: ledger.Owner) -> bool:
-        """Whether any task of an entry holds a slot."""
+        """Return whether any task of an entry holds a slot."""
         lease = self._leases.get(entry)
         if lease is not None:
             return lease.running > 0
         return entry in self._gone
 
     def resize(self, slots: int) -> None:
-        """The upstream has another number of slots now."""
+        """Set the upstream's number of slots."""
         self._stale |= slots != self._slots
         self._slots = slots
 
     def join(self, entry: ledger.Owner) -> None:
-        """An entry may be given credits."""
+        """Add an entry that may get credits."""
         if entry not in self._leases:
             running = self._gone.pop(entry, 0)
             self._leases[entry] = _Lease(running=running)
             self._stale = True
 
     def leave(self, entry: ledger.Owner) -> None:
-        """An entry gets no credits; its tasks run on."""
+        """Withdraw an entry's credits; its tasks keep their slots."""
         lease = self._leases.pop(entry, None)
         if lease is not None:
             self._stale = True
@@ -90,13 +90,13 @@
                 self._gone[entry] = lease.running
 
     def want(self, entry: ledger.Owner, waiting: int) -> None:
-        """An entry told how many tasks it can't place."""
+        """Set the number of tasks that an entry can't place."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.waiting = waiting
 
     def take(self, entry: ledger.Owner) -> None:
-        """A task of an entry starts."""
+        """Acquire a slot for a task of an entry."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.running += 1
@@ -104,7 +104,7 @@
             self._gone[entry] = self._gone.get(entry, 0) + 1
 
     def release(self, entry: ledger.Owner) -> None:
-        """A task of an entry ended."""
+        """Release the slot of a task of an entry."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.running -= 1
@@ -114,9 +114,9 @@
             del self._gone[entry]
 
     def revise(self) -> list[ledger.Owner]:
-        """Move leases to where they are needed; entries whose lease changed.
+        """Recompute the leases if they are out of date or demand isn't met.
 
-        Nothing moves while every entry's credits cover its need.
+        :returns: the entries whose credits changed.
         """
         unmet = any(one.credits < one.need for one in self._leases.values())
         if not unmet and not self._stale:
@@ -131,7 +131,7 @@
         return changed
 
     def _shares(self) -> dict[ledger.Owner, int]:
-        # What runs can't be taken back, also when it is over a fair share.
+        # Running tasks keep their slots even above their entry's fair share.
         shares = {name: one.running for name, one in self._leases.items()}
         left = self._slots - sum(shares.values()) - sum(self._gone.values())
         needs = {name: one.need for name, one in self._leases.items()}
@@ -146,7 +146,10 @@
     limits: dict[ledger.Owner, int],
     left: int,
 ) -> int:
-    """Hand out ``left`` one by one to the lowest share under its limit."""
+    """Add ``left`` slots one by one to the lowest share below its limit.
+
+    :returns: the number of slots that remain.
+    """
     while left > 0:
         below = [name for name in shares if shares[name] < limits[name]]
         if not below:
--- a/src/agatepick/agentside/startcheck.py
+++ b/src/agatepick/agentside/startcheck.py
@@ -1,6 +1,7 @@
-"""Whether an agent starts a new attempt, or why it refuses.
+"""Checks that an agent makes before it starts a new attempt.
 
-Every refusal says "not run" and is kept in the ledger, so it stays true.
+Every refusal is reported as "not run" and stored in the ledger, so that the
+report stays correct.
 """
 
 import dataclasses
@@ -21,37 +22,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit:
-    """An owner's permit to start tasks, until an instant of its clock.
+    """An owner's permit to start tasks until a time of the owner's clock.
 
-    :param offset: the owner's clock less ours.
+    :param offset: the owner's clock minus the agent's.
     """
 
     start_before: float
     offset: clocks.Offset
 
     def fault(self, margin: float, now: float) -> str:
-        """Why it doesn't hold at ``now``; empty if it does.
+        """Return why the permit is invalid at ``now``; empty if it is valid.
 
-        The fence before a change is in force leaves room for clocks that are
-        at most ``margin`` apart.  Past it, a start could happen in a zone
-        that was taken out, by the true time.  The permit's end by our clock
-        is known up to the error of the offset, so it counts as that much
+        The fence before a change is in force covers clocks that are at most
+        ``margin`` apart.  With a larger offset, a task could start in a zone
+        after that was taken out.  The permit's end by the agent's clock is
+        uncertain by the error of the offset, so the permit ends that much
         earlier.
         """
         if not self.offset.within(margin):
             return REASON_CLOCK
         end = self.start_before - self.offset.seconds - self.offset.error
-        # Asked this way round, an end that is no number has passed.
+        # With this comparison, a permit whose end is NaN has expired.
         return '' if now < end else REASON_TOO_LATE
 
 
 def room_fault(
     task: messages.StartTask, at: running.Running, leases: slots.Slots
 ) -> str:
-    """Why the upstream can't take a task now; empty if it can.
+    """Return why the upstream can't run a task now; empty if it can.
 
-    An owner that sends by a lease which has just moved is let in while a slot
-    is free; filling a slot twice would slow down every task on the worker.
+    A start under a lease that has just moved is accepted while a slot is
+    free.  Two tasks in one slot would slow down every task on the worker.
     """
     if at.announced is None:
         return REASON_NO_UPSTREAM
--- a/src/agatepick/agentside/upstream.py
+++ b/src/agatepick/agentside/upstream.py
@@ -1,7 +1,7 @@
-"""What an agent and its upstream say to one another, as events and effects.
+"""Events and effects between an agent and its upstream.
 
-The agent's reducer sees only these data classes.  Whoever runs tasks
-implements :class:`Upstream`: over HTTP, or in the same process.
+The agent's reducer uses only these data classes.  Classes that run tasks, over
+HTTP or in the same process, implement :class:`Upstream`.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class Action(enum.StrEnum):
-    """What may be asked of a running task."""
+    """Actions that can be requested of a running task."""
 
     STOP = 'stop'
     THROTTLE = 'throttle'
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announced:
-    """Event: an upstream announced itself, or renewed its announcement.
+    """Event: an upstream announced itself or renewed its announcement.
 
-    :param session: names one life of the upstream's process; another session
-        means that whatever the former one ran is gone.
-    :param slots: tasks that it runs at once.
-    :param term: seconds for which the announcement holds.
+    :param session: identifier of the upstream's process; a new session means
+        that the tasks of the previous one have ended.
+    :param slots: number of tasks that the upstream runs at once.
+    :param term: seconds after which the announcement expires.
     """
 
     session: str
@@ -39,27 +39,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLeft:
-    """Event: the upstream takes no new task and ends what it runs."""
+    """Event: the upstream accepts no new task and ends its running ones."""
 
     session: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamGone:
-    """Event: nothing answers any more at the upstream's address."""
+    """Event: the upstream's address refuses connections."""
 
     session: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskEnded:
-    """Event: a task ended, or its fate can no longer be learned.
+    """Event: a task ended, or its outcome can no longer be determined.
 
     Every :class:`RunTask` is followed by exactly one of these, unless the
     agent's process ends first.
 
     :param state: ``FINISHED``, ``FAILED``, or ``LOST`` when no answer came.
-    :param seconds: how long it ran.
+    :param seconds: run time of the task.
     """
 
     job: types.JobKey
@@ -75,7 +75,7 @@
 class RunTask:
     """Effect: run a task at the upstream, now and once.
 
-    :param session: the life of the upstream for which it was accepted.
+    :param session: session of the upstream for which the task was accepted.
     """
 
     job: types.JobKey
@@ -100,12 +100,12 @@
 
 
 class Upstream(typing.Protocol):
-    """Runs tasks; reports through the ``feed`` it was built with."""
+    """A runner of tasks that reports their ends through its ``feed``."""
 
     def run(self, effect: RunTask) -> None:
-        """Start a task; its end is fed as :class:`TaskEnded`."""
+        """Start a task; its end is fed as one :class:`TaskEnded`."""
         ...
 
     def stop(self, effect: StopTask) -> None:
-        """Pass an action on; no answer is fed for it."""
+        """Send an action to a running task; its result is not fed."""
         ...
--- a/src/agatepick/owning/__init__.py
+++ b/src/agatepick/owning/__init__.py
@@ -1,1 +1,1 @@
-"""Whose job it is, and its way from the request to the answer."""
+"""Job ownership, and the handling of a job from request to answer."""
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -1,4 +1,4 @@
-"""The agents that an entry is connected to, and what they offer."""
+"""The agents that an entry is connected to, and the slots they offer."""
 
 from agatepick.decisions import dispatch
 from agatepick.net import messages
@@ -6,9 +6,9 @@
 
 
 class AgentList:
-    """Connected agents, those that operators drain, and those waited for.
+    """Connected, leaving and disconnected agents of one entry.
 
-    :param patience: seconds that a disconnected agent is waited for.
+    :param patience: seconds that a disconnected agent has to reconnect.
     """
 
     def __init__(self, dispatcher: dispatch.Dispatch, patience: float):
@@ -20,28 +20,28 @@
         self._awaited: dict[types.PeerName, float] = {}
 
     def up(self, hello: messages.Hello) -> None:
-        """An agent connected."""
+        """Add an agent that has connected."""
         self.connected[hello.name] = hello
         self._awaited.pop(hello.name, None)
 
     def down(self, name: types.PeerName, now: float) -> None:
-        """Place nothing at an agent whose connection ended; wait for it."""
+        """Remove a disconnected agent and start its reconnect timeout."""
         del self.connected[name]
         self._offers.pop(name, None)
         self._dispatch.agent_gone(name)
         self._awaited[name] = now + self._patience
 
     def given_up(self, now: float) -> list[types.PeerName]:
-        """Agents that stayed away for too long, each told once."""
+        """Return the agents whose reconnect timeout passed, each once."""
         late = [name for name, at in self._awaited.items() if at <= now]
         for name in late:
             del self._awaited[name]
         return late
 
     def speaks(self, name: types.PeerName, incarnation: int) -> bool:
-        """Whether a message is from the life of an agent that is connected.
+        """Return whether a message is from the connected incarnation.
 
-        What an earlier life said about its slots and tasks is void.
+        Messages of an earlier incarnation about slots and tasks are invalid.
         """
         hello = self.connected.get(name)
         return hello is not None and hello.incarnation == incarnation
@@ -49,14 +49,14 @@
     def offered(
         self, name: types.PeerName, offer: messages.Offer, now: float
     ) -> None:
-        """Take an agent's offer of slots."""
+        """Store an agent's offer of slots and pass it to the dispatcher."""
         self._offers[name] = offer
         self._pass_offer(name, now)
 
     def set_leaving(
         self, leaving: frozenset[types.PeerName], now: float
     ) -> None:
-        """Place nothing at agents that operators have marked as leaving."""
+        """Place no tasks at agents that operators have marked as leaving."""
         for name in sorted(leaving - self._leaving):
             self._dispatch.agent_gone(name)
         cleared = self._leaving - leaving
--- a/src/agatepick/owning/answers.py
+++ b/src/agatepick/owning/answers.py
@@ -1,4 +1,4 @@
-"""The answers that callers get, and how they travel between entries."""
+"""Answers to callers, and their encoding between entries."""
 
 import msgspec
 
@@ -18,14 +18,14 @@
 
 
 def encode(answer: types.JobAnswer) -> bytes:
-    """An answer as bytes for :class:`agatepick.net.messages.Forwarded`."""
+    """Encode an answer for :class:`agatepick.net.messages.Forwarded`."""
     return msgspec.msgpack.encode(answer)
 
 
 def decode(data: bytes) -> types.JobAnswer:
-    """The answer in ``data``.
+    """Decode an answer from ``data``.
 
-    :raises msgspec.DecodeError: if it is none.
+    :raises msgspec.DecodeError: if ``data`` is not an encoded answer.
     """
     return msgspec.msgpack.decode(data, type=types.JobAnswer)
 
@@ -33,7 +33,7 @@
 def deliver(
     waiters: tuple[jobs.Waiter, ...], answer: types.JobAnswer
 ) -> list[object]:
-    """Effects that bring an answer to each one that waits for it."""
+    """Return the effects that send an answer to each of its waiters."""
     effects: list[object] = []
     for waiter in waiters:
         if isinstance(waiter, jobs.LocalWaiter):
@@ -47,7 +47,7 @@
 def refused(
     key: types.JobKey, refusal: dispatch.Refusal, peer: types.PeerName
 ) -> types.JobAnswer:
-    """The answer "not run" to a job that was not let in."""
+    """Return the answer "not run" for a job that was not admitted."""
     return types.JobAnswer(
         key,
         types.JobStatus.NOT_RUN,
@@ -62,9 +62,10 @@
 def bad_key(
     key: types.JobKey, fault: ownership.KeyFault, peer: types.PeerName
 ) -> types.JobAnswer:
-    """The answer to a key that is refused for good.
+    """Return the answer for a key that is refused permanently.
 
-    An expired key may have run long ago, so "not run" would be a guess.
+    The job of an expired key may have run before, so its status is "failed"
+    instead of "not run".
     """
     status = types.JobStatus.NOT_RUN
     if fault == ownership.KeyFault.EXPIRED:
@@ -80,7 +81,7 @@
 
 
 def key_reused(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer to another body under a key that is in use."""
+    """Return the answer for a different body under a key in use."""
     return types.JobAnswer(
         key,
         types.JobStatus.NOT_RUN,
@@ -92,7 +93,7 @@
 
 
 def unknown_job(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer about a key under which nothing is remembered."""
+    """Return the answer for a key under which no job is stored."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -104,7 +105,7 @@
 
 
 def gathering(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer while agents still report what a lost entry started."""
+    """Return the answer while agents still report a removed entry's tasks."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -117,7 +118,7 @@
 
 
 def submit_again(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer to a question after a job that only its tasks tell of."""
+    """Return the status answer for a job known only from agents' reports."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -1,16 +1,16 @@
-"""Entries whose processes are provably gone, though still listed.
+"""Entries whose processes have ended while they are still listed.
 
-What goes wrong without it: an entry is killed while the store is down, so
-its removal can't be written.  Every new key that hashes to it would wait for
-the store, and fail in the end: half of all jobs with two entries.
+If an entry is killed while the store is down, its removal can't be written.
+Without this module every new key that hashes to it would wait for the store
+and fail in the end: half of all jobs in a cluster with two entries.
 
-A process whose address refuses connections is gone for good.  A key stamped
-long enough after that can't have been taken by it, so the next choice of the
-hash may own the key at once.  No two live entries both do: each takes a key
-only if it is the best choice among those that it doesn't know to be dead,
-and neither of two live entries is ever known to be dead.
+A process whose address refuses connections has ended.  It can't have accepted
+a key that was stamped long enough after that, so the next entry in hash order
+may own the key at once.  Two live entries never own the same key: each
+accepts a key only if it ranks first among the entries that it has not
+recorded as dead, and a live entry is never recorded as dead.
 
-The proof is one that each entry makes for itself; it is not passed on.
+Each entry detects deaths itself; they are not sent to other entries.
 """
 
 from agatepick.net import messages
@@ -18,14 +18,14 @@
 from agatepick import types
 
 DEATH_MARGIN = 0.5
-"""Seconds added to an entry's death: clocks of two entries differ by a
-quarter second at most, and the dead one went by its own."""
+"""Seconds added to the time of an entry's death: the dead entry used its own
+clock, and the clocks of two entries differ by at most 0.25 s."""
 
 
 class Deaths:
-    """What one entry knows of dead ones.
+    """The dead entries that one entry has detected.
 
-    :param skew: how far ahead of a clock a key may be stamped.
+    :param skew: seconds that a key may be stamped ahead of a clock.
     """
 
     def __init__(self, skew: float):
@@ -33,18 +33,19 @@
         self._died: dict[tuple[types.PeerName, int], float] = {}
 
     def proved(self, member: messages.Member, now: float) -> None:
-        """This incarnation of an entry is known to be gone at ``now``."""
+        """Record that an incarnation of an entry had ended by ``now``."""
         self._died.setdefault((member.name, member.incarnation), now)
 
     def may_own(
         self, key: types.JobKey, members: tuple[messages.Member, ...]
     ) -> tuple[messages.Member, ...]:
-        """The members without those that died before a key was minted.
+        """Return the members without those that died before the key's stamp.
 
-        They neither own the key nor need it be taken over from them, removed
-        or not.  Both questions must be asked of the same members: else an
-        entry that served a dead one's keys, and is then lost itself, would
-        not be found to have had them, and its jobs would run again.
+        A dead entry neither owns the key nor has to be taken over from,
+        whether or not it is removed.  Ownership and takeover must use the
+        same members.  Otherwise, after an entry that served a dead entry's
+        keys is lost itself, it would not count as their former owner, and
+        its jobs would run again.
         """
         if not self._died:
             return members
@@ -52,7 +53,7 @@
         return tuple([one for one in members if self._death_of(one) > latest])
 
     def forget(self, members: tuple[messages.Member, ...]) -> None:
-        """Drop what is known of entries that aren't remembered any more."""
+        """Delete the records of entries that aren't among ``members``."""
         known = {(one.name, one.incarnation) for one in members}
         self._died = {
             who: at for who, at in self._died.items() if who in known
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -1,9 +1,9 @@
-"""The entry's reducer: callers' requests in, starts and answers out.
+"""The entry's reducer, which turns callers' requests into starts and answers.
 
 An entry owns the jobs whose keys hash to it (:mod:`~agatepick.owning.owner`)
-and passes other requests on (:mod:`~agatepick.owning.forwarding`).  It follows
+and forwards other requests (:mod:`~agatepick.owning.forwarding`).  It follows
 the cluster's configuration (:mod:`~agatepick.config.configuration`), and after
-each event it lets waiting tasks start wherever slots are free
+each event it places queued tasks on free slots
 (:mod:`~agatepick.decisions.dispatch`).
 """
 
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryConfig:
-    """What an entry's reducer needs of its settings."""
+    """Configuration of an entry's reducer."""
 
     me: messages.Member
     configuration: configuration.ConfigurationSettings
@@ -98,22 +98,22 @@
 
     @classmethod
     def from_config(cls, cfg: EntryConfig, rng: random.Random) -> 'Entry':
-        """An entry that has not yet read the configuration."""
+        """Return an entry that has not yet read the configuration."""
         return cls(cfg, rng)
 
     def reduce(self, event: object, now: float) -> _Effects:
-        """Take one event and return the effects to carry out, in order."""
+        """Handle one event and return its effects in order of execution."""
         effects = self._handlers[type(event)](event, now)
         effects += self._follow_configuration(now)
         effects += self.owner.advance(now)
         return [self._outward(effect) for effect in effects]
 
     def ready(self, now: float) -> bool:
-        """Whether the balancer should send callers here."""
+        """Return whether the load balancer should send requests here."""
         return self.configuration.serving(now) and not self._stopping
 
     def status(self, now: float) -> EntryStatus:
-        """How this entry stands."""
+        """Return the state of this entry."""
         return EntryStatus(
             name=self._me.name,
             incarnation=self._me.incarnation,
@@ -252,11 +252,12 @@
     def _hand_over(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> _Effects:
-        """Pass a new key to the entry that owns it once this one has left.
+        """Forward a new job to the entry that will own it after this one.
 
-        A stopping entry that refused new keys would fail callers during
-        every rolling update.  The second choice of the hash owns the key as
-        soon as this entry's removal is in force, so nothing moves later.
+        If a stopping entry refused new keys, requests would fail during
+        every rolling update.  The entry that ranks second for the key owns
+        it as soon as this entry's removal is in force, so the job doesn't
+        move again.
         """
         others = [
             one
@@ -264,8 +265,9 @@
             if one.name != self._me.name
         ]
         heir = ownership.owner(spec.key, others, self._skew)
-        # A second heir would not know what the first one started, and "not
-        # run" might be false: once handed over, a job stays where it went.
+        # A job is handed over to one successor only: a second one would have
+        # no record of the tasks that the first one started, so its answer
+        # "not run" could be false.
         if heir is not None and heir.name in self._entries_up:
             first = self._handed.setdefault(spec.key, heir)
             if (first.name, first.incarnation) == (
@@ -280,11 +282,11 @@
         return answers.deliver((waiter,), answer)
 
     def _owner_of(self, key: types.JobKey, now: float) -> types.PeerName:
-        """Name of the owner; empty while that can't be told."""
+        """Return the owner's name; empty while the owner is unknown."""
         if not self.configuration.serving(now):
             return ''
         if not ownership.is_key(key):
-            # Refused by whichever entry it came to.
+            # The entry that receives a malformed key refuses it.
             return self._me.name
         member = ownership.owner(key, self._may_own(key, now), self._skew)
         return '' if member is None else member.name
--- a/src/agatepick/owning/forwarding.py
+++ b/src/agatepick/owning/forwarding.py
@@ -1,8 +1,8 @@
-"""Requests that an entry passes on to the owner of their job.
+"""Requests that an entry forwards to the owner of their job.
 
-A request is passed on once.  If its owner is lost before it answers, the
-caller is told that the outcome is pending and to ask again: the owner may
-have started tasks, so "not run" would be a guess.
+A request is forwarded once.  If the connection to the owner ends before it
+answers, the caller gets the answer "pending" with a time to retry: the owner
+may have started tasks, so "not run" could be false.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 def pending(key: types.JobKey, reason: str, peer: str = '') -> types.JobAnswer:
-    """The answer "outcome pending, ask again"."""
+    """Return the answer that the outcome is pending, with a retry time."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """An answer for one that waits for it."""
+    """An answer and the waiter that it is for."""
 
     waiter: jobs.Waiter
     answer: types.JobAnswer
 
 
 class Forwarding:
-    """Requests passed on and not yet answered."""
+    """Forwarded requests that have no answer yet."""
 
     def __init__(self) -> None:
         self._passed: dict[int, _Passed] = {}
@@ -64,7 +64,7 @@
         team: str,
         specs: tuple[types.JobSpec, ...] = (),
     ) -> list[object]:
-        """Pass a request on; :meth:`answered` gives its answer."""
+        """Forward a request; :meth:`answered` returns its answer."""
         request = self._next
         self._next += 1
         self._passed[request] = _Passed(waiter, key, owner)
@@ -72,14 +72,14 @@
         return [core.Send(owner, forward)]
 
     def answered(self, message: messages.Forwarded) -> list[Answered]:
-        """The owner's answer, for whoever still waits for it."""
+        """Return the owner's answer with its waiter, if one still waits."""
         passed = self._passed.pop(message.request, None)
         if passed is None:
             return []
         return [Answered(passed.waiter, answers.decode(message.answer))]
 
     def owner_lost(self, owner: types.PeerName) -> list[Answered]:
-        """Answers to what was passed to an owner that can't be reached."""
+        """Return pending answers for all requests of a lost owner."""
         lost = [
             (request, passed)
             for request, passed in self._passed.items()
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -1,8 +1,8 @@
-"""The jobs that an entry owns: each task's state, each caller's answer.
+"""The jobs that an entry owns, with their tasks' states and their answers.
 
-A job is kept from its admission until the retention window has passed, so
-that a resubmission joins it or gets the same answer.  An answer is given
-once: whatever comes later changes nothing in it.
+A job is stored from its admission until the retention window has passed, so
+that a resubmission waits for it or gets the same answer.  An answer is final:
+later reports don't change it.
 """
 
 import dataclasses
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocalWaiter:
-    """A caller whose request this entry holds open."""
+    """A caller whose HTTP request is open at this entry."""
 
     call: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RemoteWaiter:
-    """A caller whose request another entry passed on."""
+    """A caller whose request another entry forwarded."""
 
     peer: types.PeerName
     request: int
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settled:
-    """A job's answer, for those that wait for it."""
+    """A job's final answer and the waiters to send it to."""
 
     waiters: tuple[Waiter, ...]
     answer: types.JobAnswer
@@ -47,8 +47,9 @@
 class TaskRecord:
     """One task of an owned job.
 
-    :param agent: where it was started; empty while it is queued.
-    :param adopted: started for an entry that has been removed.
+    :param agent: agent that the task was sent to; empty while it is queued.
+    :param adopted: whether the task was started for an entry that has been
+        removed.
     """
 
     agent: types.PeerName = ''
@@ -73,11 +74,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether its answer is final."""
+        """Whether the job has its final answer."""
         return self.answer is not None
 
     def agents(self) -> list[types.PeerName]:
-        """Agents at which tasks may still run, each once."""
+        """Return the agents at which tasks may still run, each once."""
         return sorted(
             {one.agent for one in self.tasks if one.agent and not one.answer}
         )
@@ -91,7 +92,7 @@
         step: str = '',
         peer: str = '',
     ) -> None:
-        """Record a task's outcome; the first one recorded stays."""
+        """Record a task's outcome unless it has one already."""
         record = self.tasks[index]
         if record.answer is not None or self.answer is not None:
             return
@@ -101,7 +102,7 @@
         self.open -= 1
 
     def pending(self) -> types.JobAnswer:
-        """What a caller is told before the job has ended."""
+        """Return the answer to status requests before the job has ended."""
         return types.JobAnswer(
             self.spec.key,
             types.JobStatus.PENDING,
@@ -112,9 +113,9 @@
 
 
 class Jobs:
-    """Every job that an entry owns, by key.
+    """All jobs that an entry owns, by key.
 
-    :param retention_seconds: how long an ended job is remembered.
+    :param retention_seconds: time that an ended job is stored.
     """
 
     def __init__(self, retention_seconds: float):
@@ -128,36 +129,39 @@
         return len(self._jobs)
 
     def get(self, key: types.JobKey) -> Job | None:
-        """The job under a key, if it is remembered."""
+        """Return the job under a key, or ``None`` if none is stored."""
         return self._jobs.get(key)
 
     def refusal(self, key: types.JobKey) -> types.JobAnswer | None:
-        """The refusal given under a key, if one was."""
+        """Return the stored refusal of a key, or ``None``."""
         return self._refused.get(key)
 
     def running(self) -> list[Job]:
-        """Jobs without a final answer."""
+        """Return the jobs without a final answer."""
         return list(self._running.values())
 
     def refuse(self, answer: types.JobAnswer, now: float) -> None:
-        """Remember a refusal.
+        """Store a refusal.
 
-        A copy of a refused request can arrive after its caller was told
-        "not run", held up on the way.  Without this record it would be let
-        in then and run, and the answer would have been false.
+        A delayed copy of a refused request can arrive after its caller got
+        the answer "not run".  Without this record the copy would be admitted
+        and run, and the answer would be false.
         """
         self._refused[answer.key] = answer
         self._end(answer.key, now)
 
     def add(self, spec: types.JobSpec, now: float) -> Job:
-        """Own a new job."""
+        """Store a new job."""
         job = Job(spec, now)
         self._jobs[spec.key] = job
         self._running[spec.key] = job
         return job
 
     def settle(self, job: Job, now: float) -> Settled | None:
-        """The final answer, once no task is open; ``None`` before."""
+        """End a job that has no open task.
+
+        :returns: the answer and its waiters; ``None`` while a task is open.
+        """
         if job.open or job.ended:
             return None
         job.answer = _final_answer(job)
@@ -169,9 +173,9 @@
         return Settled(waiters, job.answer)
 
     def forget(self, now: float) -> None:
-        """Drop what ended longer ago than the retention window."""
+        """Delete jobs and refusals that ended before the retention window."""
         while self._ended:
-            # Keys are kept in the order of their end.
+            # Keys are in the order in which their jobs ended.
             key = next(iter(self._ended))
             if self._ended[key] + self._retention > now:
                 return
@@ -186,7 +190,10 @@
     def outstanding(
         self, agent: types.PeerName
     ) -> list[tuple[Job, messages.TaskRef, int]]:
-        """Open tasks started at an agent, with its incarnation then."""
+        """Return the open tasks of an agent.
+
+        :returns: job, task and the agent's incarnation at the start.
+        """
         found = []
         for job in self.running():
             for index, record in enumerate(job.tasks):
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -1,8 +1,8 @@
-"""The owner's side of a job: in, started, ended, answered.
+"""Job handling at the owner: admission, start, end and answer.
 
 One :class:`Owner` holds all jobs whose keys hash to its entry.  A task is
-handed to one agent at a time, with an attempt number that grows only after
-a refusal has come back; a start whose fate is unknown is never repeated.
+sent to one agent at a time.  Its attempt number grows only after an agent's
+refusal has arrived; a start with an unknown result is never repeated.
 """
 
 import dataclasses
@@ -27,13 +27,13 @@
 
 STOP = 'stop'
 LEASE_GRACE_SECONDS = 1.0
-"""How long jobs are let in after a read lease ran out.
+"""How long jobs are admitted after a read lease expired.
 
-A process that was paused for longer than its lease has a new one some
-milliseconds after it goes on.  If it refused what came in between, each long
-garbage collection or slow read would turn callers away.  Nothing starts
-without a lease; what is let in waits that second longer at most, then the
-store is taken to be out of reach, and new jobs are better told so at once.
+A process that was paused for longer than its lease renews it within some
+milliseconds after it resumes.  If jobs were refused until then, each long
+garbage collection or slow read would fail requests.  No task starts without a
+lease, so admitted jobs wait for it.  After this second the store counts as
+unreachable, and new jobs are refused at once.
 """
 REASON_AGENT_LOST = 'agent_lost'
 
@@ -48,11 +48,12 @@
 class OwnerConfig:
     """Limits of an owner.
 
-    :param retention_seconds: how long an ended job is remembered.
-    :param key_skew_seconds: how far a key's stamp may be ahead.
-    :param agent_lost_seconds: silence after which an agent's outstanding
-        tasks are unknown: two redials at their longest pause, and the time
-        for a loaded agent to answer.
+    :param retention_seconds: time that an ended job is stored.
+    :param key_skew_seconds: seconds that a key may be stamped ahead of this
+        entry's clock.
+    :param agent_lost_seconds: time after a disconnect at which an agent's
+        outstanding tasks become unknown.  It covers two redials at their
+        longest pause and the response time of a loaded agent.
     """
 
     retention_seconds: float = 600.0
@@ -71,8 +72,9 @@
         config: configuration.Configuration,
         dispatcher: dispatch.Dispatch,
     ):
-        # A key may be stamped ahead of our clock and is valid that much
-        # longer; forgotten earlier, its job would be taken for a new one.
+        # A key may be stamped ahead of this entry's clock and is valid that
+        # much longer.  If its job were deleted earlier, a resubmission would
+        # run as a new job.
         self.jobs = jobs.Jobs(cfg.retention_seconds + cfg.key_skew_seconds)
         self.takeover = takeover.Takeover(
             name, cfg.retention_seconds, cfg.key_skew_seconds
@@ -89,7 +91,7 @@
 
     @property
     def agents(self) -> dict[types.PeerName, messages.Hello]:
-        """The connected agents."""
+        """The connected agents by name."""
         return self._agents.connected
 
     # Requests.
@@ -97,7 +99,10 @@
     def known(
         self, spec: types.JobSpec, waiter: jobs.Waiter
     ) -> list[object] | None:
-        """What a resubmission gets, or ``None`` for a key not seen yet."""
+        """Answer a resubmission.
+
+        :returns: its effects; ``None`` if the key is new here.
+        """
         refusal = self.jobs.refusal(spec.key)
         if refusal is not None:
             return answers.deliver((waiter,), refusal)
@@ -115,7 +120,10 @@
     def check_key(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> list[object] | None:
-        """The answer to a key that may not run, or ``None`` if it may."""
+        """Answer a request whose key is invalid.
+
+        :returns: its effects; ``None`` if the key is valid.
+        """
         fault = ownership.check(
             spec.key,
             now,
@@ -134,7 +142,10 @@
         members: takeover.Members,
         now: float,
     ) -> list[object] | None:
-        """Take over a lost entry's job; ``None`` if the key is new."""
+        """Take over a removed entry's job.
+
+        :returns: its effects; ``None`` if no removed entry owned the key.
+        """
         if not self.takeover.concerns(spec.key, members):
             return None
         if not self.takeover.gathered(spec.key, members, self.agents, now):
@@ -155,7 +166,7 @@
     def submit(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> list[object]:
-        """Take a job under a new key, or refuse it."""
+        """Admit or refuse a job under a new key."""
         refusal = self._admit(spec, now)
         if refusal is not None:
             return self.refuse(spec, refusal, waiter, now)
@@ -177,7 +188,7 @@
         waiter: jobs.Waiter,
         now: float,
     ) -> list[object]:
-        """Refuse a job for good under its key."""
+        """Refuse a job permanently under its key."""
         answer = answers.refused(spec.key, refusal, self._name)
         self.jobs.refuse(answer, now)
         return [
@@ -188,10 +199,10 @@
     def ask(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter
     ) -> list[object]:
-        """Tell how a job stands.
+        """Send the state of a job to a waiter.
 
-        :param team: whose job it must be; empty where callers have no
-            tokens, which tell their team.
+        :param team: team that must own the job; empty where callers have no
+            tokens, from which their team is read.
         """
         job = self.jobs.get(key)
         if job is None or team not in ('', job.spec.team):
@@ -205,7 +216,7 @@
     def cancel(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter, now: float
     ) -> list[object]:
-        """End a job early; what runs is stopped at its agents."""
+        """Cancel a job: drop its queued tasks and stop its running ones."""
         job = self.jobs.get(key)
         if job is None or job.ended or team not in ('', job.spec.team):
             return self.ask(key, team, waiter)
@@ -230,14 +241,14 @@
     def on_orphans(
         self, peer: types.PeerName, message: messages.Orphans, now: float
     ) -> list[object]:
-        """Take an agent's reports on the tasks of a removed entry."""
+        """Handle an agent's reports on the tasks of a removed entry."""
         hello = self.agents.get(peer)
         if hello is not None:
             self.takeover.on_orphans(peer, hello.incarnation, message)
         return []
 
     def agent_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Settle what is open with an agent that has connected."""
+        """Request the state of an agent's open tasks when it connects."""
         name = hello.name
         self._agents.up(hello)
         effects: list[object] = []
@@ -253,13 +264,13 @@
         return effects
 
     def agent_down(self, name: types.PeerName, now: float) -> None:
-        """Place nothing at an agent whose connection ended; wait for it."""
+        """Remove a disconnected agent and start its reconnect timeout."""
         self._agents.down(name, now)
 
     def on_offer(
         self, peer: types.PeerName, message: messages.Offer, now: float
     ) -> list[object]:
-        """Take an agent's offer of slots."""
+        """Handle an agent's offer of slots."""
         if self._agents.speaks(peer, message.agent_incarnation):
             self._agents.offered(peer, message, now)
         return []
@@ -267,13 +278,13 @@
     def set_leaving(
         self, leaving: frozenset[types.PeerName], now: float
     ) -> None:
-        """Place nothing at agents that operators have marked as leaving."""
+        """Place no tasks at agents that operators have marked as leaving."""
         self._agents.set_leaving(leaving, now)
 
     def on_results(
         self, peer: types.PeerName, message: messages.Results, now: float
     ) -> list[object]:
-        """Take an agent's reports and the slots it grants."""
+        """Handle an agent's task reports and the slots it grants."""
         if not self._agents.speaks(peer, message.agent_incarnation):
             return []
         effects: list[object] = []
@@ -292,7 +303,7 @@
         if report.index >= len(job.tasks):
             return []
         record = job.tasks[report.index]
-        # An old report may cross with a later attempt elsewhere.
+        # A late report may be about an attempt before the current one.
         if record.agent != agent or record.attempt != report.attempt:
             return []
         if report.state == types.TaskState.REFUSED:
@@ -343,7 +354,7 @@
         job.end_task(
             report.index, outcome, report.body, report.reason, 'run', agent
         )
-        # Tells a second copy of the report that the slot is free already.
+        # A second copy of the report must not release the slot again.
         job.tasks[report.index].agent = ''
         self.zone_work.ended(agent)
         return self._settle(job, now)
@@ -351,7 +362,7 @@
     # Time.
 
     def on_tick(self, now: float) -> list[object]:
-        """Forget old jobs; give up on agents that stay away."""
+        """Delete old jobs, and end the tasks of agents that are lost."""
         self.jobs.forget(now)
         self.takeover.forget(now)
         effects: list[object] = []
@@ -360,7 +371,7 @@
         return effects
 
     def advance(self, now: float) -> list[object]:
-        """End jobs at their deadlines and start what can start."""
+        """End jobs at their deadlines and place queued tasks."""
         may = self._config.permits(now)
         if may.lease > now:
             self._lapsed_at = math.inf
@@ -473,10 +484,10 @@
     def _unknown(
         self, job: jobs.Job, index: int, agent: types.PeerName, now: float
     ) -> list[object]:
-        """End a task whose agent is gone: started or not, nobody can say.
+        """End a task with an unknown outcome because its agent is lost.
 
-        It is never started again: the first start may have taken effect,
-        and the caller would find a quote filed twice.
+        The task is never started again: the first start may have taken
+        effect, and the caller would find a quote filed twice.
         """
         job.end_task(
             index,
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -1,10 +1,11 @@
-"""Which entry owns a job, judged from the job's key alone.
-
-A key is a UUIDv7, so it tells when it was minted.  Rendezvous hashing picks
-its owner among the entries listed long enough before that instant: an entry
-listed later never becomes the owner of a key that another entry may already
-have started.  All functions are pure; every process that has the same
-``members`` gives the same answer.  Instants are seconds since the epoch.
+"""Assignment of jobs to owning entries by the job's key alone.
+
+A key is a UUIDv7, which contains the time stamp of its creation.  Rendezvous
+hashing selects its owner among the entries listed long enough before that
+time: an entry listed later never becomes the owner of a key whose job another
+entry may already have started.  All functions are pure; every process that
+has the same ``members`` gets the same result.  Times are seconds since the
+epoch.
 """
 
 import collections.abc
@@ -18,14 +19,14 @@
 from agatepick import types
 
 SKEW = 2.0
-"""How far ahead of a process's clock a key may be stamped.
+"""Seconds that a key may be stamped ahead of a process's clock.
 
-Wide enough for callers that keep time by NTP on a bad day; it delays by as
-much the moment at which a newly listed entry gets its first keys.
+This covers callers whose NTP synchronisation is poor.  A newly listed entry
+gets its first keys that much later.
 """
 
 WINDOW = 600.0
-"""How long after its stamp a key is served."""
+"""Seconds after its stamp for which a key is valid."""
 
 _KEY = re.compile(
     '[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}'
@@ -34,7 +35,7 @@
 
 
 class KeyFault(enum.StrEnum):
-    """Why a key is refused; a refused key's job never runs."""
+    """Reasons to refuse a key; a refused key's job never runs."""
 
     MALFORMED = 'malformed'
     EXPIRED = 'expired'
@@ -42,12 +43,12 @@
 
 
 def is_key(key: types.JobKey) -> bool:
-    """Whether ``key`` is a UUIDv7 in canonical text form."""
+    """Return whether ``key`` is a UUIDv7 in canonical text form."""
     return _KEY.fullmatch(key) is not None
 
 
 def stamp(key: types.JobKey) -> float:
-    """The instant at which ``key`` was minted.
+    """Return the time at which ``key`` was created.
 
     :raises agatepick.exceptions.BadKey: if it isn't a UUIDv7 in canonical
         text form.  Two spellings of one UUID would hash to two owners.
@@ -63,11 +64,11 @@
     window: float = WINDOW,
     skew: float = SKEW,
 ) -> KeyFault | None:
-    """What is wrong with a key at ``now``; ``None`` if nothing is.
+    """Return the fault of a key at ``now``, or ``None`` if it is valid.
 
-    Without the window a late duplicate of a job that everyone has forgotten
-    would run a second time; without the limit ahead, a key could be minted
-    that outlives the memory of its first run.
+    Without the window, a late duplicate of a job whose records have been
+    deleted would run a second time.  Without the limit on stamps ahead, a key
+    could stay valid after the record of its first run has been deleted.
     """
     try:
         minted = stamp(key)
@@ -85,7 +86,7 @@
     members: collections.abc.Iterable[messages.Member],
     skew: float = SKEW,
 ) -> messages.Member | None:
-    """The listed entry that owns ``key``; ``None`` if none is listed."""
+    """Return the listed entry that owns ``key``; ``None`` if there is none."""
     listed = [member for member in members if not member.removed_at]
     return _pick(key, listed, skew)
 
@@ -95,12 +96,12 @@
     members: collections.abc.Iterable[messages.Member],
     skew: float = SKEW,
 ) -> bool:
-    """Whether an entry that has been removed may have started ``key``.
+    """Return whether a removed entry may have started the job of ``key``.
 
-    Such a job may run no task that isn't known to be unstarted: its former
-    owner may have started any of them.  An entry accepts keys stamped up to
-    ``skew`` ahead of its clock, so keys stamped that long after its end are
-    still suspect.
+    None of its tasks may be started again, as the former owner may have
+    started any of them.  An entry accepts keys stamped up to ``skew`` ahead
+    of its clock, so it may also have accepted keys stamped up to ``skew``
+    after its end.
     """
     members = tuple(members)
     minted = stamp(key)
@@ -113,15 +114,15 @@
 
 
 def suspect_until(member: messages.Member, skew: float = SKEW) -> float:
-    """Stamp from which on no key can have been let in by an entry.
+    """Return the stamp from which on an entry can't have accepted a key.
 
     :return: 0 while the entry is listed, so that no key is suspect.
     """
     if not member.removed_at:
         return 0.0
-    # An entry that stops lets in nothing for at least a fence before its
-    # removal is in force.  Without its word for that, each planned stop
-    # would fail new jobs for as long as the skew.
+    # A stopping entry admits no jobs from ``stopped_at`` on, at least a fence
+    # before its removal is in force.  Without ``stopped_at``, new jobs would
+    # fail for the length of the skew after each planned stop.
     return (member.stopped_at or member.removed_at) + skew
 
 
@@ -133,9 +134,10 @@
     minted = stamp(key)
     eligible = [one for one in listed if one.listed_at + skew <= minted]
     if not eligible:
-        # Keys of the first seconds of a cluster.  Choosing among all listed
-        # would move a key, unknown to its new owner, whenever another entry
-        # is listed; the earliest listed stay the same.
+        # The key was created in the first seconds of the cluster.  A choice
+        # among all listed entries would move the key to an owner without a
+        # record of it whenever another entry is listed; the set of entries
+        # listed first stays the same.
         first = min(one.listed_at for one in listed)
         eligible = [one for one in listed if one.listed_at == first]
     return max(eligible, key=lambda one: _weight(key, one))
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -1,4 +1,4 @@
-"""Start messages: which tasks an agent is asked to start, and until when."""
+"""Messages that ask an agent to start tasks before a given time."""
 
 import dataclasses
 
@@ -10,9 +10,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sender:
-    """The entry that asks for a start.
+    """The entry that sends a start message.
 
-    :param version: version of the configuration that it knows.
+    :param version: version of the configuration that the entry has read.
     """
 
     name: types.PeerName
@@ -27,10 +27,10 @@
     start_before: float,
     waiting: int,
 ) -> messages.Starts:
-    """The message for one placement; its tasks count as started from now.
+    """Build the message for one placement and mark its tasks as started.
 
-    :param start_before: instant before which the tasks must start.
-    :param waiting: demand for slots that is left.
+    :param start_before: time before which the tasks must start.
+    :param waiting: number of slots that the remaining queue needs.
     """
     tasks = [_start(placement, one, owned) for one in placement.tasks]
     return messages.Starts(
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -1,11 +1,12 @@
-"""Which entry an agent reports a task to when its owner has been removed.
-
-An entry that was removed from the cluster's configuration has no right to
-start anything from that instant on.  Its jobs pass to the entries that own
-their keys now; those can only give true answers once every agent has told
-them what it started, so each heir gets reports and then a message marked as
-the last.  All of it is told again after each change of the members, since
-an heir may itself be removed: taking a report twice changes nothing.
+"""Entries to which an agent reports tasks whose owner has been removed.
+
+An entry that was removed from the cluster's configuration may start no task
+once the removal is in force.  Its jobs pass to the entries that own their
+keys now, the successors.  A successor can only answer correctly after every
+agent has reported the tasks that it started, so each agent sends its reports
+and then a message marked as the last.  Agents send all of it again after each
+change of the members, since a successor may itself be removed; handling a
+report twice has no effect.
 """
 
 import collections.abc
@@ -19,9 +20,9 @@
 
 
 class Successors:
-    """The cluster's members as an agent knows them.
+    """The newest list of cluster members that an agent has received.
 
-    :param skew: how far ahead of a clock a job's key may be stamped.
+    :param skew: seconds that a job's key may be stamped ahead of a clock.
     """
 
     def __init__(self, skew: float):
@@ -33,7 +34,7 @@
         self._changed = False
 
     def take(self, message: messages.Members) -> bool:
-        """Take the members; whether they are newer than those known."""
+        """Store the members and return whether they are newer than before."""
         if message.version <= self._version:
             return False
         self._version = message.version
@@ -47,7 +48,10 @@
         return True
 
     def advance(self, now: float) -> bool:
-        """Note which removals are in force; whether heirs are to be told."""
+        """Update the removals in force.
+
+        :returns: whether reports must be sent to the successors again.
+        """
         lost = frozenset(
             owner for owner, at in self._removed.items() if at <= now
         )
@@ -57,17 +61,17 @@
         return changed
 
     def listed(self) -> list[messages.Member]:
-        """The members that are listed."""
+        """Return the members that are listed."""
         return [one for one in self._members if not one.removed_at]
 
     def lost(self, owner: ledger.Owner) -> bool:
-        """Whether an entry's removal is in force."""
+        """Return whether an entry's removal is in force."""
         return owner in self._lost
 
     def current(
         self, job: types.JobKey, owner: ledger.Owner
     ) -> ledger.Owner | None:
-        """The entry to report a job to; ``None`` if there is none."""
+        """Return the entry to report a job to; ``None`` if there is none."""
         if owner not in self._lost:
             return owner
         heir = ownership.owner(job, self._members, self._skew)
@@ -76,10 +80,10 @@
     def orphans(
         self, heir: ledger.Owner, record: ledger.Ledger
     ) -> collections.abc.Iterator[messages.Orphans]:
-        """What an heir must know of the tasks of removed entries.
+        """Yield the messages for a successor on tasks of removed entries.
 
-        In the order of their removal: when the last message on one of them
-        has come, so have all those on its own former owners.
+        The messages are in the order of the removals: the last one about an
+        entry arrives after all messages about its own predecessors.
         """
         if heir not in {_owner(one) for one in self.listed()}:
             return
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -1,10 +1,10 @@
-"""Jobs of a removed entry, as the entries that own their keys now see them.
+"""Takeover of a removed entry's jobs by the entries that own their keys now.
 
 A removed entry may have started any task of a job whose key it owned.  Its
-successor starts none of them: it learns from the agents what was started,
-takes over results and running tasks once the caller submits the job again,
-and calls a task that no agent reports unknown.  The job is then marked
-failed; a second start would file a quote twice.
+successor starts none of them, since a second start would file a quote twice.
+It collects the agents' reports on started tasks, and takes over results and
+running tasks once the caller submits the job again.  A task that no agent
+reports ends as unknown, and its job fails.
 """
 
 import collections.abc
@@ -17,12 +17,12 @@
 from agatepick import types
 
 FORGET_SECONDS = 1.0
-"""Between two searches for expired reports: each goes through all of them."""
+"""Time between two searches for expired reports, as each scans all reports."""
 GATHER_SECONDS = 5.0
-"""How long after a removal reports are waited for.
+"""How long a successor waits for reports after a removal.
 
-An agent that redials takes up to 1.5 s between two attempts; what comes
-later than this only leaves its tasks unknown, which is still true.
+An agent that redials pauses up to 1.5 s between two attempts.  Tasks that are
+reported later end as unknown, which is still a correct answer.
 """
 
 REASON_OWNER_LOST = 'owner_lost'
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """A task that an agent has reported, with the agent and its life."""
+    """An agent's report on a task, with the agent's name and incarnation."""
 
     agent: types.PeerName
     incarnation: int
@@ -53,11 +53,11 @@
 
 
 class Takeover:
-    """What agents have told of the tasks of removed entries.
+    """Agents' reports on the tasks of removed entries.
 
     :param name: the entry that takes over.
-    :param retention: seconds for which a key is served.
-    :param skew: how far ahead of a clock a key may be stamped.
+    :param retention: seconds for which a key is valid.
+    :param skew: seconds that a key may be stamped ahead of a clock.
     """
 
     def __init__(self, name: types.PeerName, retention: float, skew: float):
@@ -77,7 +77,7 @@
         incarnation: int,
         message: messages.Orphans,
     ) -> None:
-        """Take an agent's reports on a removed entry's tasks."""
+        """Store an agent's reports on a removed entry's tasks."""
         for report in message.reports:
             if not _usable(report):
                 continue
@@ -90,7 +90,7 @@
     def on_result(
         self, agent: types.PeerName, report: messages.TaskReport
     ) -> None:
-        """Take the end of a task whose job nobody has asked for yet."""
+        """Store the end of a task whose job has not been resubmitted yet."""
         if not _usable(report):
             return
         tasks = self._found.get(report.job)
@@ -103,7 +103,7 @@
         )
 
     def concerns(self, key: types.JobKey, members: Members) -> bool:
-        """Whether a removed entry may have started tasks of a job."""
+        """Return whether a removed entry may have started tasks of a job."""
         return ownership.taken_over(key, members, self._skew)
 
     def gathered(
@@ -113,10 +113,11 @@
         agents: Agents,
         now: float,
     ) -> bool:
-        """Whether all that agents can tell of a job has been told.
+        """Return whether all reports on a job have arrived.
 
-        Every connected agent must have ended its reports on every entry that
-        was removed late enough to have owned the key.
+        Every connected agent must have completed its reports on every entry
+        that was removed late enough to have owned the key.  Once
+        ``GATHER_SECONDS`` have passed, missing reports are ignored.
         """
         minted = ownership.stamp(key)
         removed = [
@@ -125,7 +126,7 @@
             if minted < ownership.suspect_until(one, self._skew)
         ]
         since = [one.removed_at for one in removed]
-        # An entry listed after the removal has to meet the agents first.
+        # Agents must first connect to an entry listed after the removal.
         since += [one.listed_at for one in members if one.name == self._name]
         if now >= max(since, default=0.0) + GATHER_SECONDS:
             return True
@@ -137,10 +138,10 @@
         )
 
     def fits(self, spec: types.JobSpec) -> bool:
-        """Whether a job is the one whose tasks were reported.
+        """Return whether the reported tasks belong to this job.
 
-        Without this check another body under the same key would get the
-        results of the first one as its own.
+        Without this check, a different body under the same key would get the
+        results of the first one.
         """
         tasks = self._found.get(spec.key, {})
         return all(
@@ -153,15 +154,15 @@
         )
 
     def reported(self, key: types.JobKey) -> bool:
-        """Whether an agent has told of tasks of a job."""
+        """Return whether an agent has reported tasks of a job."""
         return key in self._found
 
     def take(self, key: types.JobKey) -> Tasks:
-        """The reported tasks of a job, which is now remembered elsewhere."""
+        """Remove and return the reported tasks of a job."""
         return self._found.pop(key, {})
 
     def forget(self, now: float) -> None:
-        """Drop reports on keys that nobody may submit again."""
+        """Delete the reports on expired keys."""
         if now < self._forget_at:
             return
         self._forget_at = now + FORGET_SECONDS
@@ -175,10 +176,10 @@
 
 
 def adopt(job: jobs.Job, found: Tasks, agents: Agents) -> None:
-    """Bring a resubmitted job to the state that agents have reported.
+    """Apply the agents' reports to a resubmitted job.
 
-    What still runs is awaited at its agent; its end comes as a result, or as
-    the answer to the question after a reconnection.
+    The end of a task that still runs arrives as a result, or as the answer to
+    ``Settle`` after its agent has reconnected.
     """
     for index in range(len(job.tasks)):
         task = found.get(index)
@@ -199,7 +200,7 @@
 
 
 def _usable(report: messages.TaskReport) -> bool:
-    """Whether a report names a job that can be and a state it can have."""
+    """Return whether a report has a valid key and a started task's state."""
     known = report.state in _OUTCOMES or report.state == _RUNNING
     return known and ownership.is_key(report.job)
 
--- a/src/agatepick/owning/zonework.py
+++ b/src/agatepick/owning/zonework.py
@@ -1,7 +1,7 @@
-"""What one entry has running in each availability zone.
+"""Tasks of one entry that run in each availability zone.
 
-Operators who take a zone out want to know when the last task there has
-ended, and when the last one started.
+Operators who take a zone out need the time of the last start there, and to
+see when the last task there has ended.
 """
 
 import collections
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneWork:
-    """Work of one entry in one zone.
+    """Tasks of one entry in one zone.
 
-    :param running: tasks started there whose end hasn't been reported.
-    :param last_start_at: when the last start was sent there; 0 if none was.
+    :param running: tasks sent to the zone whose end hasn't been reported.
+    :param last_start_at: time of the last start sent there; 0 if none was.
     """
 
     zone: str
@@ -24,7 +24,7 @@
 
 
 class ZoneCounter:
-    """Counts starts and ends by agent, and shows them by zone."""
+    """Counter of started and ended tasks by agent, summed by zone."""
 
     def __init__(self) -> None:
         self._zones: dict[types.PeerName, str] = {}
@@ -36,22 +36,22 @@
     def started(
         self, agent: types.PeerName, zone: str, count: int, now: float
     ) -> None:
-        """Starts were sent to an agent."""
+        """Count starts that are sent to an agent."""
         self._zones[agent] = zone
         self._running[agent] += count
         self._last[zone] = now
 
     def ended(self, agent: types.PeerName) -> None:
-        """A task's end, or a refusal, was reported."""
+        """Count a task's end or refusal that an agent reported."""
         if self._running[agent] > 0:
             self._running[agent] -= 1
 
     def lost(self, agent: types.PeerName) -> None:
-        """An agent is given up: nobody will report its tasks."""
+        """Delete the count of a lost agent, which reports no more ends."""
         self._running.pop(agent, None)
 
     def show(self) -> tuple[ZoneWork, ...]:
-        """The work in each zone that had any, by name."""
+        """Return the tasks in each zone that had any, by zone name."""
         running: collections.Counter[str] = collections.Counter()
         for agent, count in self._running.items():
             running[self._zones[agent]] += count
