--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -23,11 +23,11 @@
 from agatepick.owning import successors
 from agatepick import types
 
-LATE_SECONDS = 60.0
-"""Tasks of a job that is admitted at the end of the window start after it."""
-PAUSE_SECONDS = 1.0
+LATE_START_SECONDS = 60.0
+"""Tasks of a job admitted at the end of the window start a little later."""
+PAUSE_GAP_SECONDS = 1.0
 """Time between ticks above which this process was paused: four ticks."""
-LINGER_SECONDS = 5.0
+RESULT_WAIT_SECONDS = 5.0
 """How long a stopping agent waits for entries to fetch their results."""
 
 REASON_INCARNATION = 'other_incarnation'
@@ -56,8 +56,8 @@
     zone: str = ''
     rack: str = ''
     seeds: tuple[str, ...] = ()
-    retention_seconds: float = ownership.WINDOW
-    skew_seconds: float = ownership.SKEW
+    retention_seconds: float = ownership.KEY_WINDOW_SECONDS
+    skew_seconds: float = ownership.KEY_SKEW_SECONDS
     clock_margin: float = 0.25
     result_delay: float = 0.002
     lease_seconds: float = 5.0
@@ -86,7 +86,7 @@
         self._cfg = cfg
         self._incarnation = incarnation
         self._ledger = ledger.Ledger(
-            cfg.retention_seconds + LATE_SECONDS,
+            cfg.retention_seconds + LATE_START_SECONDS,
             cfg.skew_seconds + cfg.clock_margin,
             cfg.max_tasks,
             cfg.max_body_bytes,
@@ -103,9 +103,9 @@
             self._entries,
             self._successors,
         )
-        self._ticked_at: float | None = None
+        self._last_tick_at: float | None = None
         self._stopping_at: float | None = None
-        self._done = False
+        self._exited = False
 
     @classmethod
     def from_config(cls, cfg: AgentConfig, incarnation: int) -> 'Agent':
@@ -117,41 +117,41 @@
 
     def reduce(self, event: object, now: float) -> list[object]:
         """Handle one event and return its effects in order of execution."""
-        effects = self._take(event, now)
-        effects += self._reporting.due(self._running, self._draining, now)
-        effects += self._goodbye(now)
-        at = self._reporting.next_at()
-        if at is not None:
-            effects.append(core.WakeAt(at))
+        effects = self._handle_event(event, now)
+        effects += self._reporting.flush(self._running, self._draining, now)
+        effects += self._exit_when_done(now)
+        wake_at = self._reporting.next_at()
+        if wake_at is not None:
+            effects.append(core.WakeAt(wake_at))
         return effects
 
-    def _take(self, event: object, now: float) -> list[object]:
+    def _handle_event(self, event: object, now: float) -> list[object]:
         match event:
             case core.Received():
-                return self._received(event.peer, event.message, now)
+                return self._on_received(event.peer, event.message, now)
             case upstream.TaskEnded():
-                return self._task_ended(event, now)
+                return self._on_task_ended(event, now)
             case core.Tick():
-                return self._tick(now)
+                return self._on_tick(now)
             case core.PeerUp():
-                return self._peer_up(event.hello)
+                return self._on_peer_up(event.hello)
             case core.PeerDown():
-                return self._peer_down(event)
+                return self._on_peer_down(event)
             case upstream.Announced():
-                return self._announced(event, now)
+                return self._on_announced(event, now)
             case upstream.UpstreamLeft():
-                return self._upstream_changed(
-                    self._running.leave(event.session)
+                return self._resize_if_changed(
+                    self._running.mark_leaving(event.session)
                 )
             case upstream.UpstreamGone():
-                return self._upstream_changed(
-                    self._running.vanish(event.session)
+                return self._resize_if_changed(
+                    self._running.mark_unreachable(event.session)
                 )
             case core.StopRequested():
-                return self._stop(now)
+                return self._on_stop(now)
         return [core.note('unexpected_event', kind=type(event).__name__)]
 
-    def _received(
+    def _on_received(
         self, peer: types.PeerName, message: messages.Message, now: float
     ) -> list[object]:
         entry = self._entries.get(peer)
@@ -159,76 +159,76 @@
             return [core.note('unexpected_peer', peer=peer)]
         match message:
             case messages.Starts():
-                return self._starts(entry, message, now)
+                return self._on_starts(entry, message, now)
             case messages.Settle():
-                return self._settle(entry, message, now)
+                return self._on_settle(entry, message, now)
             case messages.Ask():
                 self._slots.want(entry.owner, message.want)
                 return []
             case messages.StopJob():
-                return self._stop_job(entry, message, now)
+                return self._on_stop_job(entry, message, now)
             case messages.Pong():
-                return self._pong(entry, message, now)
+                return self._on_pong(entry, message, now)
             case messages.Members():
-                return self._take_members(message, now)
+                return self._on_members(message, now)
             case messages.Goodbye():
-                self._reporting.part(entry)
+                self._reporting.leave(entry)
                 return []
         kind = type(message).__name__
         return [core.note('unexpected_message', peer=peer, kind=kind)]
 
     # Entries
 
-    def _peer_up(self, hello: messages.Hello) -> list[object]:
+    def _on_peer_up(self, hello: messages.Hello) -> list[object]:
         if hello.role != entries.ROLE_ENTRY:
             return [core.note('not_an_entry', peer=hello.name)]
         before = self._entries.get(hello.name)
         if before is not None:
-            self._reporting.part(before)
-        return self._reporting.orphans_for(self._entries.up(hello))
+            self._reporting.leave(before)
+        return self._reporting.build_orphans(self._entries.add(hello))
 
-    def _peer_down(self, event: core.PeerDown) -> list[object]:
-        entry = self._entries.down(event.peer, event.incarnation)
+    def _on_peer_down(self, event: core.PeerDown) -> list[object]:
+        entry = self._entries.remove(event.peer, event.incarnation)
         if entry is not None:
-            self._reporting.part(entry)
+            self._reporting.leave(entry)
         return []
 
-    def _pong(
+    def _on_pong(
         self, entry: entries.Entry, message: messages.Pong, now: float
     ) -> list[object]:
         sample = clocks.offset(
             message.sent, message.received, message.replied, now
         )
         entry.clock.add(sample)
-        if not entry.joined and not self._successors.lost(entry.owner):
+        if not entry.joined and not self._successors.is_removed(entry.owner):
             # An entry gets credits after the first clock sample, as all its
             # starts would be refused without one.
             self._reporting.join(entry)
         return []
 
-    def _take_members(
+    def _on_members(
         self, message: messages.Members, now: float
     ) -> list[object]:
-        if not self._successors.take(message):
+        if not self._successors.update_members(message):
             return []
         dials = self._entries.dial_listed(self._successors.listed())
-        return dials + self._take_over(now)
+        return dials + self._report_removals(now)
 
-    def _take_over(self, now: float) -> list[object]:
+    def _report_removals(self, now: float) -> list[object]:
         """Send reports to successors when a removal has come into force."""
-        if not self._successors.advance(now):
+        if not self._successors.update_removals(now):
             return []
         effects: list[object] = []
         for entry in self._entries:
-            if self._successors.lost(entry.owner):
-                self._reporting.part(entry)
+            if self._successors.is_removed(entry.owner):
+                self._reporting.leave(entry)
             else:
-                effects += self._reporting.orphans_for(entry)
+                effects += self._reporting.build_orphans(entry)
         return effects
 
     # Tasks: starts, ends, ``Settle`` requests.
 
-    def _starts(
+    def _on_starts(
         self, entry: entries.Entry, message: messages.Starts, now: float
     ) -> list[object]:
         owner = ledger.Owner(message.owner, message.owner_incarnation)
@@ -240,14 +240,14 @@
         for task in message.tasks:
             report = self._answer(message.agent_incarnation, task, now)
             if report is None:
-                reason = self._refusal(entry, message, task, now)
+                reason = self._find_refusal(entry, message, task, now)
                 if not reason:
                     self._ledger.start(task, owner, now)
                     self._slots.take(owner)
                     effects.append(self._running.start(task, owner))
                     continue
                 report = self._ledger.refuse(task, owner, reason, now)
-            self._reporting.answer(owner, report)
+            self._reporting.report_now(owner, report)
         self._slots.want(owner, message.waiting)
         return effects
 
@@ -269,7 +269,7 @@
             reason=REASON_INCARNATION,
         )
 
-    def _refusal(
+    def _find_refusal(
         self,
         entry: entries.Entry,
         message: messages.Starts,
@@ -279,18 +279,18 @@
         """Return why a new attempt is refused; empty if it may start."""
         if self._stopping_at is not None:
             return startcheck.REASON_LEAVING
-        if self._successors.lost(entry.owner):
+        if self._successors.is_removed(entry.owner):
             return REASON_REMOVED
-        if self._ledger.stopped(task.job):
+        if self._ledger.is_stopped(task.job):
             return REASON_STOPPED
-        if self._ledger.full():
+        if self._ledger.is_full():
             return ledger.REASON_FULL
         permit = startcheck.Permit(message.start_before, entry.clock.best)
-        return permit.fault(
+        return permit.find_fault(
             self._cfg.clock_margin, now
-        ) or startcheck.room_fault(task, self._running, self._slots)
+        ) or startcheck.find_capacity_fault(task, self._running, self._slots)
 
-    def _task_ended(
+    def _on_task_ended(
         self, event: upstream.TaskEnded, now: float
     ) -> list[object]:
         task = self._running.end(event.job, event.index, event.attempt)
@@ -306,23 +306,23 @@
             event.reason,
             event.seconds,
         )
-        self._reporting.ended(report)
+        self._reporting.report_end(report)
         return []
 
-    def _settle(
+    def _on_settle(
         self, entry: entries.Entry, message: messages.Settle, now: float
     ) -> list[object]:
-        self._reporting.settled(entry.owner)
+        self._reporting.clear_undelivered(entry.owner)
         for ref in message.tasks:
             report = self._answer(message.agent_incarnation, ref, now)
             if report is None:
                 report = self._ledger.refuse(
                     ref, entry.owner, REASON_SETTLED, now
                 )
-            self._reporting.answer(entry.owner, report)
+            self._reporting.report_now(entry.owner, report)
         return []
 
-    def _stop_job(
+    def _on_stop_job(
         self, entry: entries.Entry, message: messages.StopJob, now: float
     ) -> list[object]:
         try:
@@ -332,8 +332,8 @@
         if action is upstream.Action.STOP:
             indexes = self._ledger.stop(message.job, entry.owner, now)
         else:
-            indexes = self._ledger.running(message.job)
-        return [*self._running.act(message.job, indexes, action)]
+            indexes = self._ledger.list_running(message.job)
+        return [*self._running.request_action(message.job, indexes, action)]
 
     # The upstream: announcement, expiry, draining.
 
@@ -341,17 +341,17 @@
     def _draining(self) -> bool:
         return self._running.leaving or self._stopping_at is not None
 
-    def _announced(
+    def _on_announced(
         self, event: upstream.Announced, now: float
     ) -> list[object]:
         before = (self._running.announced, self._draining)
-        gone = self._running.announce(event, now)
-        for task in gone:
+        lost_tasks = self._running.set_announcement(event, now)
+        for task in lost_tasks:
             self._slots.release(task.entry)
-        self._reporting.lost(gone, REASON_RESTARTED, now)
-        return self._upstream_changed(before != (event, self._draining))
+        self._reporting.report_lost(lost_tasks, REASON_RESTARTED, now)
+        return self._resize_if_changed(before != (event, self._draining))
 
-    def _upstream_changed(self, changed: bool) -> list[object]:
+    def _resize_if_changed(self, changed: bool) -> list[object]:
         if changed:
             self._resize()
         return []
@@ -362,36 +362,36 @@
         self._slots.resize(announced.slots if announced and serving else 0)
         self._reporting.offer_all()
 
-    def _tick(self, now: float) -> list[object]:
-        before, self._ticked_at = self._ticked_at, now
-        if before is not None and now - before > PAUSE_SECONDS:
+    def _on_tick(self, now: float) -> list[object]:
+        before, self._last_tick_at = self._last_tick_at, now
+        if before is not None and now - before > PAUSE_GAP_SECONDS:
             # Renewals that arrived during the pause are still in the sockets.
             # Unless the term is extended, the announcement would expire
             # before they are read, and all running tasks would end as lost.
-            self._running.extend(now)
-        lost = self._running.lapse(now)
-        if lost is not None:
-            self._reporting.lost(lost, REASON_LAPSED, now)
+            self._running.extend_term(now)
+        lost_tasks = self._running.expire(now)
+        if lost_tasks is not None:
+            self._reporting.report_lost(lost_tasks, REASON_LAPSED, now)
             self._resize()
-        self._ledger.forget(now)
-        return [*self._entries.dial_seeds(), *self._take_over(now)]
+        self._ledger.delete_expired(now)
+        return [*self._entries.dial_seeds(), *self._report_removals(now)]
 
-    def _stop(self, now: float) -> list[object]:
+    def _on_stop(self, now: float) -> list[object]:
         if self._stopping_at is None:
             self._stopping_at = now
             self._resize()
         return []
 
-    def _goodbye(self, now: float) -> list[object]:
+    def _exit_when_done(self, now: float) -> list[object]:
         """Exit once no task runs and all results have been sent."""
-        if self._stopping_at is None or self._done or len(self._running):
+        if self._stopping_at is None or self._exited or len(self._running):
             return []
-        waited = now - self._stopping_at >= LINGER_SECONDS
+        waited = now - self._stopping_at >= RESULT_WAIT_SECONDS
         if self._reporting.next_at() is not None:
             return []
-        if self._reporting.owes() and not waited:
+        if self._reporting.has_undelivered() and not waited:
             return []
-        self._done = True
+        self._exited = True
         goodbyes = [
             core.Send(one.owner.name, messages.Goodbye('stopped'))
             for one in self._entries
--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -19,7 +19,7 @@
 from agatepick import types
 
 MAX_BODY_BYTES = 64 * 1024
-RENEWALS_A_TERM = 3
+RENEWALS_PER_TERM = 3
 """An announcement survives the loss of two renewals in a row."""
 
 Feed = typing.Callable[[object], None]
@@ -58,7 +58,7 @@
 
 
 class Departure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Notice of an upstream that accepts no new task and ends its others."""
+    """Notice that an upstream accepts no new tasks and ends its others."""
 
     session: _Session
 
@@ -140,30 +140,30 @@
 
 class _UpstreamHandler(_Handler):
     def put(self) -> None:
-        asked = _checked(self.request.body, Announcement)
-        _check_url(asked.url, self.cfg.plain_beyond_loopback)
-        term = min(asked.term_seconds, self.cfg.lease_seconds)
+        announcement = _decode(self.request.body, Announcement)
+        _check_url(announcement.url, self.cfg.plain_beyond_loopback)
+        term = min(announcement.term_seconds, self.cfg.lease_seconds)
         self.feed(
             upstream.Announced(
-                asked.session,
-                asked.kinds,
-                asked.slots,
+                announcement.session,
+                announcement.kinds,
+                announcement.slots,
                 types.Needs(
-                    asked.capacity.cpu,
-                    asked.capacity.memory_mb,
-                    asked.capacity.accelerators,
+                    announcement.capacity.cpu,
+                    announcement.capacity.memory_mb,
+                    announcement.capacity.accelerators,
                 ),
-                asked.url.rstrip('/'),
+                announcement.url.rstrip('/'),
                 term,
             )
         )
-        answer = Accepted(term, term / RENEWALS_A_TERM)
+        answer = Accepted(term, term / RENEWALS_PER_TERM)
         self.set_header('Content-Type', web.JSON)
         self.finish(msgspec.json.encode(answer))
 
     def delete(self) -> None:
-        asked = _checked(self.request.body, Departure)
-        self.feed(upstream.UpstreamLeft(asked.session))
+        departure = _decode(self.request.body, Departure)
+        self.feed(upstream.UpstreamLeft(departure.session))
         self.set_status(204)
         self.finish()
 
@@ -176,9 +176,9 @@
 _T = typing.TypeVar('_T', bound=msgspec.Struct)
 
 
-def _checked(body: bytes, kind: type[_T]) -> _T:
+def _decode(body: bytes, schema: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=schema)
     except msgspec.ValidationError as exc:
         raise _Faulty(400, str(exc), _field(str(exc))) from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
@@ -187,15 +187,15 @@
 
 def _field(fault: str) -> str:
     """Return the field in an error of msgspec, as `slots` or `kinds[0]`."""
-    _, found, path = fault.rpartition('`$')
-    if found:
+    _, has_path, path = fault.rpartition('`$')
+    if has_path:
         return path.rstrip('`').lstrip('.')
     # The text names the missing or unknown key of the top-level object.
     parts = fault.split('`')
     return parts[1] if len(parts) > 2 else ''
 
 
-def _check_url(url: str, beyond_loopback: bool) -> None:
+def _check_url(url: str, allow_other_hosts: bool) -> None:
     """Check that an upstream's URL is on loopback or allowed by the settings.
 
     Otherwise any process that reaches this port could make the agent send
@@ -204,12 +204,12 @@
     try:
         parts = urllib.parse.urlsplit(url)
         address = ipaddress.ip_address(parts.hostname or '')
-        plain = parts.scheme == 'http' and bool(parts.port)
+        is_plain_http = parts.scheme == 'http' and bool(parts.port)
     except ValueError as exc:
         raise _Faulty(400, _URL_ALLOWED, 'url') from exc
-    if not plain or parts.query or parts.fragment or parts.username:
+    if not is_plain_http or parts.query or parts.fragment or parts.username:
         raise _Faulty(400, _URL_ALLOWED, 'url')
-    if not address.is_loopback and not beyond_loopback:
+    if not address.is_loopback and not allow_other_hosts:
         raise _Faulty(
             400,
             f'{address} is not a loopback address; allowed: one, or '
--- a/src/agatepick/agentside/entries.py
+++ b/src/agatepick/agentside/entries.py
@@ -37,35 +37,35 @@
     def __init__(self, seeds: tuple[str, ...]):
         self._seeds = seeds
         self._dialled: dict[str, types.PeerName] = {}
-        self._up: dict[types.PeerName, Entry] = {}
+        self._connected: dict[types.PeerName, Entry] = {}
 
     def __iter__(self) -> collections.abc.Iterator[Entry]:
-        return iter(tuple(self._up.values()))
+        return iter(tuple(self._connected.values()))
 
     def get(self, name: types.PeerName) -> Entry | None:
         """Return the entry that is connected under a name, or ``None``."""
-        return self._up.get(name)
+        return self._connected.get(name)
 
-    def reaches(self, owner: ledger.Owner) -> bool:
+    def is_connected(self, owner: ledger.Owner) -> bool:
         """Return whether this incarnation of an entry is connected."""
-        entry = self._up.get(owner.name)
+        entry = self._connected.get(owner.name)
         return entry is not None and entry.owner == owner
 
-    def up(self, hello: messages.Hello) -> Entry:
+    def add(self, hello: messages.Hello) -> Entry:
         """Add an entry that has connected, and return it."""
         owner = ledger.Owner(hello.name, hello.incarnation)
-        self._up[hello.name] = Entry(owner)
-        return self._up[hello.name]
+        self._connected[hello.name] = Entry(owner)
+        return self._connected[hello.name]
 
-    def down(self, name: types.PeerName, incarnation: int) -> Entry | None:
+    def remove(self, name: types.PeerName, incarnation: int) -> Entry | None:
         """Remove and return a disconnected entry.
 
         :returns: ``None`` if this incarnation wasn't connected.
         """
-        entry = self._up.get(name)
+        entry = self._connected.get(name)
         if entry is None or entry.owner.incarnation != incarnation:
             return None
-        return self._up.pop(name)
+        return self._connected.pop(name)
 
     def dial_seeds(self) -> list[object]:
         """Return the effects that dial each seed not dialled yet."""
--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -67,7 +67,7 @@
 
     def stop(self, effect: upstream.StopTask) -> None:
         """Send an action to a task; a failure is logged, not retried."""
-        self._spawn(self._act(effect))
+        self._spawn(self._request_action(effect))
 
     def close(self) -> None:
         """Cancel all open requests and close the client."""
@@ -82,8 +82,8 @@
 
     async def _run(self, effect: upstream.RunTask) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        state, body, reason = await self._outcome(effect)
+        started_at = loop.time()
+        state, body, reason = await self._request_run(effect)
         self._feed(
             upstream.TaskEnded(
                 effect.job,
@@ -92,11 +92,11 @@
                 state,
                 body,
                 reason,
-                loop.time() - began,
+                loop.time() - started_at,
             )
         )
 
-    async def _outcome(
+    async def _request_run(
         self, effect: upstream.RunTask
     ) -> tuple[types.TaskState, bytes, str]:
         try:
@@ -104,7 +104,7 @@
                 f'{effect.url}/tasks',
                 method='POST',
                 body=effect.payload,
-                headers=_headers(effect),
+                headers=_build_headers(effect),
                 connect_timeout=CONNECT_SECONDS,
                 # The announcement's term limits the wait, not a timeout.
                 request_timeout=0,
@@ -113,12 +113,12 @@
                 raise_error=False,
             )
         except (OSError, httpclient.HTTPError) as exc:
-            return self._unanswered(effect, exc)
+            return self._handle_no_answer(effect, exc)
         if response.code == NO_ANSWER:
-            return self._unanswered(effect, response.error)
-        return _answered(response)
+            return self._handle_no_answer(effect, response.error)
+        return _parse_answer(response)
 
-    def _unanswered(
+    def _handle_no_answer(
         self, effect: upstream.RunTask, exc: BaseException | None
     ) -> tuple[types.TaskState, bytes, str]:
         logs.event(
@@ -130,12 +130,12 @@
             error=repr(exc),
         )
         if isinstance(exc, ConnectionRefusedError):
-            # No process listens there.  Otherwise, all further tasks until
-            # the announcement expires would be sent there and lost as well.
+            # No process listens there.  Without this event, further tasks
+            # would be sent there and lost until the announcement expires.
             self._feed(upstream.UpstreamGone(effect.session))
         return types.TaskState.LOST, b'', REASON_NO_ANSWER
 
-    async def _act(self, effect: upstream.StopTask) -> None:
+    async def _request_action(self, effect: upstream.StopTask) -> None:
         path = f'{effect.job}/{effect.index}/{effect.action.value}'
         try:
             await self._client.fetch(
@@ -157,7 +157,7 @@
             )
 
 
-def _headers(effect: upstream.RunTask) -> httputil.HTTPHeaders:
+def _build_headers(effect: upstream.RunTask) -> httputil.HTTPHeaders:
     return httputil.HTTPHeaders(
         {
             'Content-Type': 'application/json',
@@ -169,23 +169,23 @@
     )
 
 
-def _answered(
+def _parse_answer(
     response: httpclient.HTTPResponse,
 ) -> tuple[types.TaskState, bytes, str]:
     body = response.body or b''
     if not 200 <= response.code < 300:
-        return types.TaskState.FAILED, b'', _reason(response.code, body)
+        return types.TaskState.FAILED, b'', _parse_reason(response.code, body)
     if body and not _is_json(body):
         return types.TaskState.FAILED, b'', REASON_NOT_JSON
     return types.TaskState.FINISHED, body, ''
 
 
-def _reason(status: int, body: bytes) -> str:
+def _parse_reason(status: int, body: bytes) -> str:
     try:
-        found = msgspec.json.decode(body, type=Failure).reason
+        reason = msgspec.json.decode(body, type=Failure).reason
     except (msgspec.DecodeError, UnicodeDecodeError):
-        found = ''
-    return found[:200] or f'status_{status}'
+        reason = ''
+    return reason[:200] or f'status_{status}'
 
 
 def _is_json(body: bytes) -> bool:
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -27,7 +27,7 @@
 REASON_FULL = 'ledger_full'
 REASON_BODY = 'answer_dropped'
 
-_STARTED = frozenset(
+_STARTED_STATES = frozenset(
     (
         types.TaskState.RUNNING,
         types.TaskState.FINISHED,
@@ -111,12 +111,12 @@
         job = self._jobs.get(ref.job)
         task = job.tasks.get(ref.index) if job is not None else None
         if task is None:
-            return self._unservable(ref, now)
-        if task.state in _STARTED or ref.attempt <= task.attempt:
-            return _report(ref.job, ref.index, task)
+            return self._check_key(ref, now)
+        if task.state in _STARTED_STATES or ref.attempt <= task.attempt:
+            return _build_report(ref.job, ref.index, task)
         return None
 
-    def stopped(self, job: types.JobKey) -> bool:
+    def is_stopped(self, job: types.JobKey) -> bool:
         """Return whether a job was stopped, so that no task of it starts."""
         record = self._jobs.get(job)
         return record is not None and record.stopped
@@ -131,7 +131,7 @@
         job = self._touch(start.job, owner, now)
         task = _Task(start.attempt, types.TaskState.RUNNING)
         task.digest = task_digest(start.team, start.kind, start.payload)
-        self._put(job, start.index, task)
+        self._store_task(job, start.index, task)
         job.running += 1
 
     def refuse(
@@ -147,12 +147,14 @@
         is then "lost", which stays correct even if a copy of the message
         starts the task later.
         """
-        if self._tasks >= 2 * self._max_tasks and not self._has(ref):
-            return _without_record(ref, types.TaskState.LOST, REASON_FULL)
+        if self._tasks >= 2 * self._max_tasks and not self._has_task(ref):
+            return _report_without_record(
+                ref, types.TaskState.LOST, REASON_FULL
+            )
         job = self._touch(ref.job, owner, now)
         task = _Task(ref.attempt, types.TaskState.REFUSED, reason=reason)
-        self._put(job, ref.index, task)
-        return _report(ref.job, ref.index, task)
+        self._store_task(job, ref.index, task)
+        return _build_report(ref.job, ref.index, task)
 
     def end(
         self,
@@ -182,20 +184,20 @@
         task.state = state
         task.reason = reason
         task.seconds = seconds
-        self._keep_body(task, body)
-        return _report(job_key, index, task, body)
+        self._store_body(task, body)
+        return _build_report(job_key, index, task, body)
 
     def stop(self, job: types.JobKey, owner: Owner, now: float) -> list[int]:
         """Prevent further starts of a job and return its running indexes."""
         if job not in self._jobs:
             ref = messages.TaskRef(job, 0, 0)
-            crowded = len(self._jobs) >= self._max_tasks
-            if crowded or self._unservable(ref, now) is not None:
+            at_limit = len(self._jobs) >= self._max_tasks
+            if at_limit or self._check_key(ref, now) is not None:
                 return []
         self._touch(job, owner, now).stopped = True
-        return self.running(job)
+        return self.list_running(job)
 
-    def running(self, job: types.JobKey) -> list[int]:
+    def list_running(self, job: types.JobKey) -> list[int]:
         """Return the indexes of a job's running tasks."""
         record = self._jobs.get(job)
         if record is None or not record.running:
@@ -212,11 +214,11 @@
         record = self._jobs.get(job)
         return record.owner if record is not None else None
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether the limit of stored attempts is reached."""
         return self._tasks >= self._max_tasks
 
-    def started_for(
+    def iter_started(
         self, owner: Owner
     ) -> collections.abc.Iterator[messages.TaskReport]:
         """Yield reports on every task that was started for an owner.
@@ -226,12 +228,12 @@
         for key, job in self._jobs.items():
             if job.owner == owner:
                 for index, task in job.tasks.items():
-                    if task.state in _STARTED:
+                    if task.state in _STARTED_STATES:
                         yield dataclasses.replace(
-                            _report(key, index, task), digest=task.digest
+                            _build_report(key, index, task), digest=task.digest
                         )
 
-    def forget(self, now: float) -> None:
+    def delete_expired(self, now: float) -> None:
         """Delete the records of expired keys."""
         horizon = now - self._retention - self._slack
         while self._jobs:
@@ -243,9 +245,9 @@
                 # A task that runs longer than the window keeps its record.
                 self._touch(key, job.owner, now)
                 continue
-            self._drop(key)
+            self._delete_job(key)
 
-    def _unservable(
+    def _check_key(
         self, ref: messages.TaskRef | messages.StartTask, now: float
     ) -> messages.TaskReport | None:
         fault = ownership.check(ref.job, now, self._retention, self._slack)
@@ -253,28 +255,30 @@
             return None
         if fault is ownership.KeyFault.MALFORMED:
             # No agent ever starts a task under a malformed key.
-            return _without_record(ref, types.TaskState.REFUSED, fault.value)
+            return _report_without_record(
+                ref, types.TaskState.REFUSED, fault.value
+            )
         # An expired key's record may have been dropped, and a key ahead of
         # this clock becomes valid later: "not run" could be false.
-        return _without_record(ref, types.TaskState.LOST, fault.value)
+        return _report_without_record(ref, types.TaskState.LOST, fault.value)
 
-    def _has(self, ref: messages.TaskRef | messages.StartTask) -> bool:
+    def _has_task(self, ref: messages.TaskRef | messages.StartTask) -> bool:
         job = self._jobs.get(ref.job)
         return job is not None and ref.index in job.tasks
 
     def _touch(self, key: types.JobKey, owner: Owner, now: float) -> _Job:
         job = self._jobs.pop(key, None) or _Job(owner, now)
         job.touched_at = now
-        # The job moves to the end; ``forget`` deletes from the front.
+        # The job moves to the end; ``delete_expired`` deletes from the front.
         self._jobs[key] = job
         return job
 
-    def _put(self, job: _Job, index: int, task: _Task) -> None:
+    def _store_task(self, job: _Job, index: int, task: _Task) -> None:
         if index not in job.tasks:
             self._tasks += 1
         job.tasks[index] = task
 
-    def _keep_body(self, task: _Task, body: bytes) -> None:
+    def _store_body(self, task: _Task, body: bytes) -> None:
         if not body:
             return
         task.body = body
@@ -282,25 +286,25 @@
         self._body_bytes += len(body)
         while self._body_bytes > self._max_body_bytes:
             oldest = next(iter(self._bodies))
-            self._drop_body(oldest)
+            self._delete_body(oldest)
             # A job is complete only with the answers of all its tasks.
             oldest.state = types.TaskState.LOST
             oldest.reason = REASON_BODY
 
-    def _drop_body(self, task: _Task) -> None:
+    def _delete_body(self, task: _Task) -> None:
         if task.body:
             del self._bodies[task]
             self._body_bytes -= len(task.body)
             task.body = b''
 
-    def _drop(self, key: types.JobKey) -> None:
+    def _delete_job(self, key: types.JobKey) -> None:
         job = self._jobs.pop(key)
         self._tasks -= len(job.tasks)
         for task in job.tasks.values():
-            self._drop_body(task)
+            self._delete_body(task)
 
 
-def _report(
+def _build_report(
     job: types.JobKey, index: int, task: _Task, body: bytes | None = None
 ) -> messages.TaskReport:
     return messages.TaskReport(
@@ -314,7 +318,7 @@
     )
 
 
-def _without_record(
+def _report_without_record(
     ref: messages.TaskRef | messages.StartTask,
     state: types.TaskState,
     reason: str,
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -35,7 +35,7 @@
     def __init__(self, delay: float):
         self._delay = delay
         self._queues: dict[ledger.Owner, _Queue] = {}
-        self._waiting: dict[ledger.Owner, float] = {}
+        self._due_at: dict[ledger.Owner, float] = {}
 
     def add(self, owner: ledger.Owner, report: messages.TaskReport) -> None:
         """Queue a report for an owner."""
@@ -43,55 +43,55 @@
         if queue is None:
             queue = self._queues[owner] = _Queue(0.0)
         queue.reports.append(report)
-        self._waiting.setdefault(owner, queue.sent_at + self._delay)
+        self._due_at.setdefault(owner, queue.sent_at + self._delay)
 
-    def hurry(self, owner: ledger.Owner) -> None:
-        """Make an owner's queued reports due at the next :meth:`due`."""
-        if owner in self._waiting:
-            self._waiting[owner] = 0.0
+    def make_due(self, owner: ledger.Owner) -> None:
+        """Make an owner's queued reports due at the next :meth:`list_due`."""
+        if owner in self._due_at:
+            self._due_at[owner] = 0.0
 
-    def holds(self, owner: ledger.Owner) -> bool:
+    def has_reports(self, owner: ledger.Owner) -> bool:
         """Return whether any report is queued for an owner."""
-        return owner in self._waiting
+        return owner in self._due_at
 
-    def due(self, now: float) -> list[ledger.Owner]:
+    def list_due(self, now: float) -> list[ledger.Owner]:
         """Return the owners whose reports are due."""
-        return [owner for owner, at in self._waiting.items() if at <= now]
+        return [owner for owner, at in self._due_at.items() if at <= now]
 
     def next_at(self) -> float | None:
         """Return when reports are due next; ``None`` if none are queued."""
-        return min(self._waiting.values(), default=None)
+        return min(self._due_at.values(), default=None)
 
-    def take(
+    def pop(
         self, owner: ledger.Owner, now: float
     ) -> list[tuple[messages.TaskReport, ...]]:
         """Remove an owner's reports and return them in batches."""
-        self._waiting.pop(owner, None)
+        self._due_at.pop(owner, None)
         queue = self._queues[owner]
         queue.sent_at = now
         reports, queue.reports = queue.reports, []
-        return list(batches(reports))
+        return list(split_batches(reports))
 
     def discard(self, owner: ledger.Owner) -> bool:
         """Delete an owner's queue and return whether it had reports."""
         self._queues.pop(owner, None)
-        return self._waiting.pop(owner, None) is not None
+        return self._due_at.pop(owner, None) is not None
 
 
-def batches(
+def split_batches(
     reports: list[messages.TaskReport],
 ) -> list[tuple[messages.TaskReport, ...]]:
     """Split reports into batches that fit a message each."""
-    found = []
+    result = []
     batch: list[messages.TaskReport] = []
     size = 0
     for report in reports:
-        over = size + len(report.body) > MAX_BYTES
-        if batch and (over or len(batch) >= MAX_REPORTS):
-            found.append(tuple(batch))
+        too_large = size + len(report.body) > MAX_BYTES
+        if batch and (too_large or len(batch) >= MAX_REPORTS):
+            result.append(tuple(batch))
             batch, size = [], 0
         batch.append(report)
         size += len(report.body)
     if batch:
-        found.append(tuple(batch))
-    return found
+        result.append(tuple(batch))
+    return result
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -26,18 +26,18 @@
         self,
         incarnation: int,
         delay: float,
-        record: ledger.Ledger,
+        task_ledger: ledger.Ledger,
         leases: slots.Slots,
         peers: entries.Entries,
-        heirs: successors.Successors,
+        members: successors.Successors,
     ):
         self._incarnation = incarnation
-        self._ledger = record
+        self._ledger = task_ledger
         self._slots = leases
         self._entries = peers
-        self._successors = heirs
+        self._successors = members
         self._outbox = outbox.Outbox(delay)
-        self._owed: set[ledger.Owner] = set()
+        self._undelivered: set[ledger.Owner] = set()
         self._offer_to: set[ledger.Owner] = set()
 
     def join(self, entry: entries.Entry) -> None:
@@ -46,101 +46,111 @@
         self._slots.join(entry.owner)
         self._offer_to.add(entry.owner)
 
-    def part(self, entry: entries.Entry) -> None:
+    def leave(self, entry: entries.Entry) -> None:
         """Stop giving credits to an entry that disconnected or was removed."""
         entry.joined = False
         self._slots.leave(entry.owner)
         self._offer_to.discard(entry.owner)
         if self._outbox.discard(entry.owner):
-            self._owed.add(entry.owner)
+            self._undelivered.add(entry.owner)
 
     def offer_all(self) -> None:
         """Schedule an offer to every entry because the upstream changed."""
         self._offer_to.update(one.owner for one in self._entries if one.joined)
 
-    def owes(self) -> bool:
-        """Return whether reports are undelivered to an owner not removed."""
-        return any(not self._successors.lost(owner) for owner in self._owed)
+    def has_undelivered(self) -> bool:
+        """Return whether an owner that isn't removed lacks any reports."""
+        return any(
+            not self._successors.is_removed(owner)
+            for owner in self._undelivered
+        )
 
-    def settled(self, owner: ledger.Owner) -> None:
+    def clear_undelivered(self, owner: ledger.Owner) -> None:
         """Clear an owner's undelivered reports after its ``Settle``."""
-        self._owed.discard(owner)
+        self._undelivered.discard(owner)
 
     def next_at(self) -> float | None:
         """Return when reports are due next; ``None`` if none are queued."""
         return self._outbox.next_at()
 
-    def answer(self, owner: ledger.Owner, report: messages.TaskReport) -> None:
+    def report_now(
+        self, owner: ledger.Owner, report: messages.TaskReport
+    ) -> None:
         """Report to an owner that sent a request, without delay."""
-        self._report(owner, report)
-        self._outbox.hurry(owner)
+        self._queue_report(owner, report)
+        self._outbox.make_due(owner)
 
-    def ended(self, report: messages.TaskReport | None) -> None:
+    def report_end(self, report: messages.TaskReport | None) -> None:
         """Report a task's end to the current owner of its job."""
         if report is None:
             return
         first = self._ledger.owner(report.job)
         assert first is not None
-        owner = self._successors.current(report.job, first)
+        owner = self._successors.get_current_owner(report.job, first)
         if owner is None:
             return
-        self._report(owner, report)
+        self._queue_report(owner, report)
         if not self._slots.runs(owner):
-            self._outbox.hurry(owner)
+            self._outbox.make_due(owner)
 
-    def lost(
+    def report_lost(
         self, tasks: list[running.RunningTask], reason: str, now: float
     ) -> None:
         """Report tasks as lost whose outcome can no longer be determined."""
         lost = types.TaskState.LOST
         for task in tasks:
-            self.ended(
+            self.report_end(
                 self._ledger.end(task.job, task.index, lost, now, b'', reason)
             )
 
-    def orphans_for(self, entry: entries.Entry) -> list[object]:
+    def build_orphans(self, entry: entries.Entry) -> list[object]:
         """Return the messages to an entry on tasks of removed entries."""
         return [
             core.Send(entry.owner.name, message)
-            for message in self._successors.orphans(entry.owner, self._ledger)
+            for message in self._successors.iter_orphans(
+                entry.owner, self._ledger
+            )
         ]
 
-    def due(
-        self, at: running.Running, draining: bool, now: float
+    def flush(
+        self, upstream_state: running.Running, draining: bool, now: float
     ) -> list[object]:
         """Return the messages with due reports and changed leases.
 
         A changed lease is sent together with queued reports if there are any,
         otherwise in an ``Offer``.
         """
-        untold = set(self._slots.revise())
-        for owner in untold:
-            self._outbox.hurry(owner)
+        changed = set(self._slots.revise())
+        for owner in changed:
+            self._outbox.make_due(owner)
         effects: list[object] = []
-        for owner in self._outbox.due(now):
-            untold.discard(owner)
+        for owner in self._outbox.list_due(now):
+            changed.discard(owner)
             credits = self._slots.credits(owner)
-            for reports in self._outbox.take(owner, now):
+            for reports in self._outbox.pop(owner, now):
                 results = messages.Results(self._incarnation, credits, reports)
                 effects.append(core.Send(owner.name, results))
-        for owner in sorted(untold | self._offer_to, key=lambda o: o.name):
-            offer = self._offer(owner, at, draining)
+        for owner in sorted(changed | self._offer_to, key=lambda o: o.name):
+            offer = self._build_offer(owner, upstream_state, draining)
             effects.append(core.Send(owner.name, offer))
         self._offer_to.clear()
         return effects
 
-    def _report(
+    def _queue_report(
         self, owner: ledger.Owner, report: messages.TaskReport
     ) -> None:
-        if self._entries.reaches(owner):
+        if self._entries.is_connected(owner):
             self._outbox.add(owner, report)
         else:
-            self._owed.add(owner)
+            self._undelivered.add(owner)
 
-    def _offer(
-        self, owner: ledger.Owner, at: running.Running, draining: bool
+    def _build_offer(
+        self,
+        owner: ledger.Owner,
+        upstream_state: running.Running,
+        draining: bool,
     ) -> messages.Offer:
-        announced = at.announced
+        announced = upstream_state.announced
         return messages.Offer(
             self._incarnation,
             self._slots.credits(owner),
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -40,8 +40,8 @@
     def __init__(self, max_term: float):
         self._max_term = max_term
         self._announced: upstream.Announced | None = None
-        self._until = 0.0
-        self._left_session = ''
+        self._expires_at = 0.0
+        self._leaving_session = ''
         self._tasks: dict[tuple[types.JobKey, int], RunningTask] = {}
 
     def __len__(self) -> int:
@@ -55,10 +55,13 @@
     @property
     def leaving(self) -> bool:
         """Whether the upstream ends its tasks and accepts no new ones."""
-        found = self._announced
-        return found is not None and found.session == self._left_session
+        announced = self._announced
+        return (
+            announced is not None
+            and announced.session == self._leaving_session
+        )
 
-    def announce(
+    def set_announcement(
         self, event: upstream.Announced, now: float
     ) -> list[RunningTask]:
         """Store an announcement.
@@ -66,28 +69,28 @@
         :returns: the tasks of earlier sessions, which have ended with them.
         """
         self._announced = event
-        self._until = now + min(event.term, self._max_term)
-        gone = [
+        self._expires_at = now + min(event.term, self._max_term)
+        lost_tasks = [
             task
             for task in self._tasks.values()
             if task.session != event.session
         ]
-        for task in gone:
+        for task in lost_tasks:
             del self._tasks[task.job, task.index]
-        return gone
+        return lost_tasks
 
-    def leave(self, session: str) -> bool:
+    def mark_leaving(self, session: str) -> bool:
         """Mark the upstream as leaving.
 
         :returns: whether the session is the announced one.
         """
-        found = self._announced
-        if found is None or found.session != session:
+        announced = self._announced
+        if announced is None or announced.session != session:
             return False
-        self._left_session = session
+        self._leaving_session = session
         return True
 
-    def vanish(self, session: str) -> bool:
+    def mark_unreachable(self, session: str) -> bool:
         """Delete the announcement of an upstream that refuses connections.
 
         Its running tasks are kept: the connection of each task reports its
@@ -95,18 +98,18 @@
 
         :returns: whether the session is the announced one.
         """
-        found = self._announced
-        if found is None or found.session != session:
+        announced = self._announced
+        if announced is None or announced.session != session:
             return False
         self._announced = None
         return True
 
-    def lapse(self, now: float) -> list[RunningTask] | None:
+    def expire(self, now: float) -> list[RunningTask] | None:
         """Delete an expired announcement and mark its tasks as lost.
 
         :return: the tasks now lost; ``None`` if no announcement expired.
         """
-        if self._announced is None or now < self._until:
+        if self._announced is None or now < self._expires_at:
             return None
         self._announced = None
         lost = [task for task in self._tasks.values() if not task.lost]
@@ -114,13 +117,13 @@
             task.lost = True
         return lost
 
-    def extend(self, now: float) -> None:
+    def extend_term(self, now: float) -> None:
         """Extend the announcement by a whole term from now."""
         if self._announced is not None:
             term = min(self._announced.term, self._max_term)
-            self._until = max(self._until, now + term)
+            self._expires_at = max(self._expires_at, now + term)
 
-    def fits(self, needs: types.Needs) -> bool:
+    def has_room(self, needs: types.Needs) -> bool:
         """Return whether the worker has a task's resources free."""
         if self._announced is None:
             return False
@@ -161,7 +164,7 @@
             announced.session,
         )
 
-    def act(
+    def request_action(
         self, job: types.JobKey, indexes: list[int], action: upstream.Action
     ) -> list[upstream.StopTask]:
         """Return the effects that send an action to tasks of a job."""
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._slots = 0
         self._leases: dict[ledger.Owner, _Lease] = {}
-        self._gone: dict[ledger.Owner, int] = {}
+        self._unleased_running: dict[ledger.Owner, int] = {}
         self._stale = False
 
     @property
@@ -50,11 +50,11 @@
     def running(self) -> int:
         """Number of tasks that hold a slot."""
         leased = sum(one.running for one in self._leases.values())
-        return leased + sum(self._gone.values())
+        return leased + sum(self._unleased_running.values())
 
     @property
     def free(self) -> int:
-        """Number of free slots; below zero after the number has shrunk."""
+        """Number of free slots; negative while tasks run on removed slots."""
         return self._slots - self.running
 
     def credits(self, entry: ledger.Owner) -> int:
@@ -67,7 +67,7 @@
         lease = self._leases.get(entry)
         if lease is not None:
             return lease.running > 0
-        return entry in self._gone
+        return entry in self._unleased_running
 
     def resize(self, slots: int) -> None:
         """Set the upstream's number of slots."""
@@ -77,7 +77,7 @@
     def join(self, entry: ledger.Owner) -> None:
         """Add an entry that may get credits."""
         if entry not in self._leases:
-            running = self._gone.pop(entry, 0)
+            running = self._unleased_running.pop(entry, 0)
             self._leases[entry] = _Lease(running=running)
             self._stale = True
 
@@ -87,7 +87,7 @@
         if lease is not None:
             self._stale = True
             if lease.running:
-                self._gone[entry] = lease.running
+                self._unleased_running[entry] = lease.running
 
     def want(self, entry: ledger.Owner, waiting: int) -> None:
         """Set the number of tasks that an entry can't place."""
@@ -101,7 +101,9 @@
         if lease is not None:
             lease.running += 1
         else:
-            self._gone[entry] = self._gone.get(entry, 0) + 1
+            self._unleased_running[entry] = (
+                self._unleased_running.get(entry, 0) + 1
+            )
 
     def release(self, entry: ledger.Owner) -> None:
         """Release the slot of a task of an entry."""
@@ -109,9 +111,9 @@
         if lease is not None:
             lease.running -= 1
             return
-        self._gone[entry] -= 1
-        if not self._gone[entry]:
-            del self._gone[entry]
+        self._unleased_running[entry] -= 1
+        if not self._unleased_running[entry]:
+            del self._unleased_running[entry]
 
     def revise(self) -> list[ledger.Owner]:
         """Recompute the leases if they are out of date or demand isn't met.
@@ -133,15 +135,19 @@
     def _shares(self) -> dict[ledger.Owner, int]:
         # Running tasks keep their slots even above their entry's fair share.
         shares = {name: one.running for name, one in self._leases.items()}
-        left = self._slots - sum(shares.values()) - sum(self._gone.values())
+        left = (
+            self._slots
+            - sum(shares.values())
+            - sum(self._unleased_running.values())
+        )
         needs = {name: one.need for name, one in self._leases.items()}
-        left = _raise_lowest(shares, needs, left)
-        everything = {name: self._slots for name in self._leases}
-        _raise_lowest(shares, everything, left)
+        left = _fill_lowest(shares, needs, left)
+        limits = {name: self._slots for name in self._leases}
+        _fill_lowest(shares, limits, left)
         return shares
 
 
-def _raise_lowest(
+def _fill_lowest(
     shares: dict[ledger.Owner, int],
     limits: dict[ledger.Owner, int],
     left: int,
--- a/src/agatepick/agentside/startcheck.py
+++ b/src/agatepick/agentside/startcheck.py
@@ -30,7 +30,7 @@
     start_before: float
     offset: clocks.Offset
 
-    def fault(self, margin: float, now: float) -> str:
+    def find_fault(self, margin: float, now: float) -> str:
         """Return why the permit is invalid at ``now``; empty if it is valid.
 
         The fence before a change is in force covers clocks that are at most
@@ -46,22 +46,24 @@
         return '' if now < end else REASON_TOO_LATE
 
 
-def room_fault(
-    task: messages.StartTask, at: running.Running, leases: slots.Slots
+def find_capacity_fault(
+    task: messages.StartTask,
+    upstream_state: running.Running,
+    leases: slots.Slots,
 ) -> str:
     """Return why the upstream can't run a task now; empty if it can.
 
     A start under a lease that has just moved is accepted while a slot is
     free.  Two tasks in one slot would slow down every task on the worker.
     """
-    if at.announced is None:
+    if upstream_state.announced is None:
         return REASON_NO_UPSTREAM
-    if at.leaving:
+    if upstream_state.leaving:
         return REASON_LEAVING
-    if task.kind not in at.announced.kinds:
+    if task.kind not in upstream_state.announced.kinds:
         return REASON_KIND
     if leases.free <= 0:
         return REASON_NO_SLOT
-    if not at.fits(task.needs):
+    if not upstream_state.has_room(task.needs):
         return REASON_NO_ROOM
     return ''
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -8,37 +8,42 @@
 class AgentList:
     """Connected, leaving and disconnected agents of one entry.
 
-    :param patience: seconds that a disconnected agent has to reconnect.
+    :param reconnect_timeout: seconds that a disconnected agent has to
+        reconnect.
     """
 
-    def __init__(self, dispatcher: dispatch.Dispatch, patience: float):
+    def __init__(
+        self, dispatcher: dispatch.Dispatch, reconnect_timeout: float
+    ):
         self.connected: dict[types.PeerName, messages.Hello] = {}
         self._dispatch = dispatcher
-        self._patience = patience
+        self._reconnect_timeout = reconnect_timeout
         self._offers: dict[types.PeerName, messages.Offer] = {}
         self._leaving: frozenset[types.PeerName] = frozenset()
-        self._awaited: dict[types.PeerName, float] = {}
+        self._reconnect_deadlines: dict[types.PeerName, float] = {}
 
-    def up(self, hello: messages.Hello) -> None:
+    def add(self, hello: messages.Hello) -> None:
         """Add an agent that has connected."""
         self.connected[hello.name] = hello
-        self._awaited.pop(hello.name, None)
+        self._reconnect_deadlines.pop(hello.name, None)
 
-    def down(self, name: types.PeerName, now: float) -> None:
+    def remove(self, name: types.PeerName, now: float) -> None:
         """Remove a disconnected agent and start its reconnect timeout."""
         del self.connected[name]
         self._offers.pop(name, None)
         self._dispatch.agent_gone(name)
-        self._awaited[name] = now + self._patience
+        self._reconnect_deadlines[name] = now + self._reconnect_timeout
 
-    def given_up(self, now: float) -> list[types.PeerName]:
+    def pop_expired(self, now: float) -> list[types.PeerName]:
         """Return the agents whose reconnect timeout passed, each once."""
-        late = [name for name, at in self._awaited.items() if at <= now]
-        for name in late:
-            del self._awaited[name]
-        return late
+        expired = [
+            name for name, at in self._reconnect_deadlines.items() if at <= now
+        ]
+        for name in expired:
+            del self._reconnect_deadlines[name]
+        return expired
 
-    def speaks(self, name: types.PeerName, incarnation: int) -> bool:
+    def is_current(self, name: types.PeerName, incarnation: int) -> bool:
         """Return whether a message is from the connected incarnation.
 
         Messages of an earlier incarnation about slots and tasks are invalid.
@@ -46,12 +51,12 @@
         hello = self.connected.get(name)
         return hello is not None and hello.incarnation == incarnation
 
-    def offered(
+    def update_offer(
         self, name: types.PeerName, offer: messages.Offer, now: float
     ) -> None:
         """Store an agent's offer of slots and pass it to the dispatcher."""
         self._offers[name] = offer
-        self._pass_offer(name, now)
+        self._forward_offer(name, now)
 
     def set_leaving(
         self, leaving: frozenset[types.PeerName], now: float
@@ -59,12 +64,12 @@
         """Place no tasks at agents that operators have marked as leaving."""
         for name in sorted(leaving - self._leaving):
             self._dispatch.agent_gone(name)
-        cleared = self._leaving - leaving
+        returning = self._leaving - leaving
         self._leaving = leaving
-        for name in sorted(cleared):
-            self._pass_offer(name, now)
+        for name in sorted(returning):
+            self._forward_offer(name, now)
 
-    def _pass_offer(self, name: types.PeerName, now: float) -> None:
+    def _forward_offer(self, name: types.PeerName, now: float) -> None:
         hello = self.connected.get(name)
         offer = self._offers.get(name)
         if hello is None or offer is None or name in self._leaving:
--- a/src/agatepick/owning/answers.py
+++ b/src/agatepick/owning/answers.py
@@ -14,7 +14,7 @@
 CODE_UNKNOWN_JOB = 'unknown_job'
 CODE_NO_LEASE = 'no_lease'
 CODE_TAKEN_OVER = 'taken_over'
-GATHERING_RETRY_SECONDS = 0.5
+TAKEOVER_RETRY_SECONDS = 0.5
 
 
 def encode(answer: types.JobAnswer) -> bytes:
@@ -44,7 +44,7 @@
     return effects
 
 
-def refused(
+def build_refused(
     key: types.JobKey, refusal: dispatch.Refusal, peer: types.PeerName
 ) -> types.JobAnswer:
     """Return the answer "not run" for a job that was not admitted."""
@@ -59,7 +59,7 @@
     )
 
 
-def bad_key(
+def build_bad_key(
     key: types.JobKey, fault: ownership.KeyFault, peer: types.PeerName
 ) -> types.JobAnswer:
     """Return the answer for a key that is refused permanently.
@@ -80,7 +80,9 @@
     )
 
 
-def key_reused(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
+def build_key_reused(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
     """Return the answer for a different body under a key in use."""
     return types.JobAnswer(
         key,
@@ -92,7 +94,9 @@
     )
 
 
-def unknown_job(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
+def build_unknown_job(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
     """Return the answer for a key under which no job is stored."""
     return types.JobAnswer(
         key,
@@ -104,7 +108,9 @@
     )
 
 
-def gathering(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
+def build_gathering(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
     """Return the answer while agents still report a removed entry's tasks."""
     return types.JobAnswer(
         key,
@@ -113,11 +119,13 @@
         reason="the job's entry was lost; its tasks are being collected",
         step='takeover',
         peer=peer,
-        retry_after=GATHERING_RETRY_SECONDS,
+        retry_after=TAKEOVER_RETRY_SECONDS,
     )
 
 
-def submit_again(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
+def build_submit_again(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
     """Return the status answer for a job known only from agents' reports."""
     return types.JobAnswer(
         key,
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -17,7 +17,7 @@
 from agatepick.owning import ownership
 from agatepick import types
 
-DEATH_MARGIN = 0.5
+DEATH_MARGIN_SECONDS = 0.5
 """Seconds added to the time of an entry's death: the dead entry used its own
 clock, and the clocks of two entries differ by at most 0.25 s."""
 
@@ -30,13 +30,13 @@
 
     def __init__(self, skew: float):
         self._skew = skew
-        self._died: dict[tuple[types.PeerName, int], float] = {}
+        self._death_times: dict[tuple[types.PeerName, int], float] = {}
 
     def proved(self, member: messages.Member, now: float) -> None:
         """Record that an incarnation of an entry had ended by ``now``."""
-        self._died.setdefault((member.name, member.incarnation), now)
+        self._death_times.setdefault((member.name, member.incarnation), now)
 
-    def may_own(
+    def exclude_dead(
         self, key: types.JobKey, members: tuple[messages.Member, ...]
     ) -> tuple[messages.Member, ...]:
         """Return the members without those that died before the key's stamp.
@@ -47,18 +47,22 @@
         keys is lost itself, it would not count as their former owner, and
         its jobs would run again.
         """
-        if not self._died:
+        if not self._death_times:
             return members
-        latest = ownership.stamp(key) - self._skew - DEATH_MARGIN
-        return tuple([one for one in members if self._death_of(one) > latest])
+        latest_death = ownership.stamp(key) - self._skew - DEATH_MARGIN_SECONDS
+        return tuple(
+            [one for one in members if self._death_time(one) > latest_death]
+        )
 
-    def forget(self, members: tuple[messages.Member, ...]) -> None:
+    def prune(self, members: tuple[messages.Member, ...]) -> None:
         """Delete the records of entries that aren't among ``members``."""
-        known = {(one.name, one.incarnation) for one in members}
-        self._died = {
-            who: at for who, at in self._died.items() if who in known
+        member_ids = {(one.name, one.incarnation) for one in members}
+        self._death_times = {
+            who: at
+            for who, at in self._death_times.items()
+            if who in member_ids
         }
 
-    def _death_of(self, member: messages.Member) -> float:
+    def _death_time(self, member: messages.Member) -> float:
         who = (member.name, member.incarnation)
-        return self._died.get(who, float('inf'))
+        return self._death_times.get(who, float('inf'))
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -85,16 +85,16 @@
             self.dispatch,
         )
         self.forwarding = forwarding.Forwarding()
-        self._deaths = deaths.Deaths(self._skew)
+        self._dead_entries = deaths.Deaths(self._skew)
         self._entries_up: set[types.PeerName] = set()
         self._members_version = 0
         self._preset = ''
         self._stopping = False
         self._stopped_at = 0.0
-        self._handed: dict[types.JobKey, messages.Member] = {}
-        self._left = False
-        self._handlers = self._event_handlers()
-        self._message_handlers = self._handlers_of_messages()
+        self._handover_targets: dict[types.JobKey, messages.Member] = {}
+        self._exited = False
+        self._handlers = self._create_event_handlers()
+        self._message_handlers = self._create_message_handlers()
 
     @classmethod
     def from_config(cls, cfg: EntryConfig, rng: random.Random) -> 'Entry':
@@ -106,7 +106,7 @@
         effects = self._handlers[type(event)](event, now)
         effects += self._follow_configuration(now)
         effects += self.owner.advance(now)
-        return [self._outward(effect) for effect in effects]
+        return [self._reply_if_proposed(effect) for effect in effects]
 
     def ready(self, now: float) -> bool:
         """Return whether the load balancer should send requests here."""
@@ -126,12 +126,12 @@
             zones=tuple(
                 sorted({one.zone for one in self.owner.agents.values()})
             ),
-            zone_work=self.owner.zone_work.show(),
+            zone_work=self.owner.zone_work.list_zones(),
             configuration=self.configuration.status(now),
             dispatch=self.dispatch.status(now),
         )
 
-    def _event_handlers(
+    def _create_event_handlers(
         self,
     ) -> dict[type, typing.Callable[[typing.Any, float], _Effects]]:
         return {
@@ -148,7 +148,7 @@
             store.StoreAnswered: self.configuration.on_store,
         }
 
-    def _handlers_of_messages(
+    def _create_message_handlers(
         self,
     ) -> dict[type, typing.Callable[[str, typing.Any, float], _Effects]]:
         return {
@@ -169,7 +169,7 @@
         name = self._owner_of(spec.key, now)
         if name == self._me.name:
             return self._submit(spec, waiter, now)
-        return self._pass_on(
+        return self._forward(
             name, waiter, SUBMIT, spec.key, spec.team, (spec,)
         )
 
@@ -177,17 +177,17 @@
         waiter = jobs.LocalWaiter(event.call)
         name = self._owner_of(event.key, now)
         if name == self._me.name:
-            return self.owner.ask(event.key, event.team, waiter)
-        return self._pass_on(name, waiter, ASK, event.key, event.team)
+            return self.owner.send_status(event.key, event.team, waiter)
+        return self._forward(name, waiter, ASK, event.key, event.team)
 
     def _on_cancelled(self, event: calls.JobCancelled, now: float) -> _Effects:
         waiter = jobs.LocalWaiter(event.call)
         name = self._owner_of(event.key, now)
         if name == self._me.name:
             return self.owner.cancel(event.key, event.team, waiter, now)
-        return self._pass_on(name, waiter, CANCEL, event.key, event.team)
+        return self._forward(name, waiter, CANCEL, event.key, event.team)
 
-    def _pass_on(
+    def _forward(
         self,
         name: types.PeerName,
         waiter: jobs.Waiter,
@@ -198,9 +198,9 @@
     ) -> _Effects:
         if name not in self._entries_up:
             reason = "the job's owner can't be reached"
-            answer = forwarding.pending(key, reason, name)
+            answer = forwarding.build_pending(key, reason, name)
             return answers.deliver((waiter,), answer)
-        return self.forwarding.pass_on(name, waiter, action, key, team, specs)
+        return self.forwarding.forward(name, waiter, action, key, team, specs)
 
     def _on_forward(
         self, peer: types.PeerName, message: messages.Forward, now: float
@@ -210,35 +210,37 @@
         handed_over = message.action == HANDOVER
         if not handed_over and self._owner_of(key, now) != self._me.name:
             reason = 'this entry does not own the job'
-            answer = forwarding.pending(key, reason, self._me.name)
+            answer = forwarding.build_pending(key, reason, self._me.name)
             return answers.deliver((waiter,), answer)
         if message.action == CANCEL:
             return self.owner.cancel(key, team, waiter, now)
         if not message.jobs:
-            return self.owner.ask(key, team, waiter)
+            return self.owner.send_status(key, team, waiter)
         return self._submit(message.jobs[0], waiter, now)
 
     def _on_forwarded(
         self, peer: types.PeerName, message: messages.Forwarded, now: float
     ) -> _Effects:
-        return self._answered(self.forwarding.answered(message))
+        return self._deliver_all(self.forwarding.complete(message))
 
-    def _answered(self, answered: list[forwarding.Answered]) -> _Effects:
+    def _deliver_all(
+        self, waiter_answers: list[forwarding.WaiterAnswer]
+    ) -> _Effects:
         effects: _Effects = []
-        for one in answered:
+        for one in waiter_answers:
             effects += answers.deliver((one.waiter,), one.answer)
         return effects
 
     def _submit(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> _Effects:
-        known = self.owner.known(spec, waiter)
-        if known is None:
-            known = self.owner.check_key(spec, waiter, now)
-        if known is None:
-            known = self._adopt(spec, waiter, now)
-        if known is not None:
-            return known
+        effects = self.owner.answer_resubmission(spec, waiter)
+        if effects is None:
+            effects = self.owner.check_key(spec, waiter, now)
+        if effects is None:
+            effects = self._adopt(spec, waiter, now)
+        if effects is not None:
+            return effects
         if self._stopping:
             return self._hand_over(spec, waiter, now)
         return self.owner.submit(spec, waiter, now)
@@ -246,7 +248,7 @@
     def _adopt(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> _Effects | None:
-        members = self._may_own(spec.key, now)
+        members = self._eligible_members(spec.key, now)
         return self.owner.adopt(spec, waiter, members, now)
 
     def _hand_over(
@@ -261,24 +263,29 @@
         """
         others = [
             one
-            for one in self._may_own(spec.key, now)
+            for one in self._eligible_members(spec.key, now)
             if one.name != self._me.name
         ]
-        heir = ownership.owner(spec.key, others, self._skew)
+        successor = ownership.owner(spec.key, others, self._skew)
         # A job is handed over to one successor only: a second one would have
         # no record of the tasks that the first one started, so its answer
         # "not run" could be false.
-        if heir is not None and heir.name in self._entries_up:
-            first = self._handed.setdefault(spec.key, heir)
+        if successor is not None and successor.name in self._entries_up:
+            first = self._handover_targets.setdefault(spec.key, successor)
             if (first.name, first.incarnation) == (
-                heir.name,
-                heir.incarnation,
+                successor.name,
+                successor.incarnation,
             ):
-                return self.forwarding.pass_on(
-                    heir.name, waiter, HANDOVER, spec.key, spec.team, (spec,)
+                return self.forwarding.forward(
+                    successor.name,
+                    waiter,
+                    HANDOVER,
+                    spec.key,
+                    spec.team,
+                    (spec,),
                 )
         reason = 'this entry is stopping and the next owner is not reachable'
-        answer = forwarding.pending(spec.key, reason, self._me.name)
+        answer = forwarding.build_pending(spec.key, reason, self._me.name)
         return answers.deliver((waiter,), answer)
 
     def _owner_of(self, key: types.JobKey, now: float) -> types.PeerName:
@@ -288,14 +295,16 @@
         if not ownership.is_key(key):
             # The entry that receives a malformed key refuses it.
             return self._me.name
-        member = ownership.owner(key, self._may_own(key, now), self._skew)
+        member = ownership.owner(
+            key, self._eligible_members(key, now), self._skew
+        )
         return '' if member is None else member.name
 
-    def _may_own(
+    def _eligible_members(
         self, key: types.JobKey, now: float
     ) -> tuple[messages.Member, ...]:
         members = self.configuration.in_force(now).entries
-        return self._deaths.may_own(key, members)
+        return self._dead_entries.exclude_dead(key, members)
 
     # Peers, time, configuration.
 
@@ -308,19 +317,19 @@
     def _on_peer_up(self, event: core.PeerUp, now: float) -> _Effects:
         hello = event.hello
         if hello.role == AGENT:
-            members = core.Send(hello.name, self._members(now))
-            return [members, *self.owner.agent_up(hello, now)]
+            members = core.Send(hello.name, self._build_members_message(now))
+            return [members, *self.owner.on_agent_up(hello, now)]
         self._entries_up.add(hello.name)
         return self.configuration.on_peer_up(hello, now)
 
     def _on_peer_down(self, event: core.PeerDown, now: float) -> _Effects:
         if event.peer in self.owner.agents:
-            self.owner.agent_down(event.peer, now)
+            self.owner.on_agent_down(event.peer, now)
             return []
         self._entries_up.discard(event.peer)
         self._note_death(event, now)
         return [
-            *self._answered(self.forwarding.owner_lost(event.peer)),
+            *self._deliver_all(self.forwarding.close_requests(event.peer)),
             *self.configuration.on_peer_down(event, now),
         ]
 
@@ -329,7 +338,7 @@
         if not event.dead or member is None:
             return
         if event.incarnation in (0, member.incarnation):
-            self._deaths.proved(member, now)
+            self._dead_entries.proved(member, now)
 
     def _on_proposed(
         self, event: calls.ChangeProposed, now: float
@@ -359,13 +368,13 @@
         return [core.note('entry_stopping')]
 
     def _leave_when_done(self, now: float) -> _Effects:
-        if not self._stopping or self._left:
+        if not self._stopping or self._exited:
             return []
         if self.owner.jobs.running() or len(self.forwarding):
             return []
         if not self.configuration.left:
             return self.configuration.leave(self._stopped_at, now)
-        self._left = True
+        self._exited = True
         peers = sorted([*self._entries_up, *self.owner.agents])
         goodbye = messages.Goodbye('stopped')
         return [
@@ -386,15 +395,15 @@
         limits = {one.team: one.slots for one in in_force.quotas}
         self.dispatch.quotas.configure(limits, names, now)
         self.owner.set_leaving(frozenset(in_force.leaving), now)
-        self._deaths.forget(in_force.entries)
-        members = self._members(now)
+        self._dead_entries.prune(in_force.entries)
+        members = self._build_members_message(now)
         return [core.Send(name, members) for name in sorted(self.owner.agents)]
 
-    def _members(self, now: float) -> messages.Members:
+    def _build_members_message(self, now: float) -> messages.Members:
         in_force = self.configuration.in_force(now)
         return messages.Members(in_force.version, in_force.entries)
 
-    def _outward(self, effect: object) -> object:
+    def _reply_if_proposed(self, effect: object) -> object:
         if isinstance(effect, cluster.Proposed):
             return calls.Reply(effect.request_id, effect)
         return effect
--- a/src/agatepick/owning/forwarding.py
+++ b/src/agatepick/owning/forwarding.py
@@ -17,7 +17,9 @@
 CODE_PENDING = 'outcome_pending'
 
 
-def pending(key: types.JobKey, reason: str, peer: str = '') -> types.JobAnswer:
+def build_pending(
+    key: types.JobKey, reason: str, peer: str = ''
+) -> types.JobAnswer:
     """Return the answer that the outcome is pending, with a retry time."""
     return types.JobAnswer(
         key,
@@ -31,14 +33,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Passed:
+class _ForwardedRequest:
     waiter: jobs.Waiter
     key: types.JobKey
     owner: types.PeerName
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class WaiterAnswer:
     """An answer and the waiter that it is for."""
 
     waiter: jobs.Waiter
@@ -49,13 +51,13 @@
     """Forwarded requests that have no answer yet."""
 
     def __init__(self) -> None:
-        self._passed: dict[int, _Passed] = {}
-        self._next = 1
+        self._requests: dict[int, _ForwardedRequest] = {}
+        self._next_id = 1
 
     def __len__(self) -> int:
-        return len(self._passed)
+        return len(self._requests)
 
-    def pass_on(
+    def forward(
         self,
         owner: types.PeerName,
         waiter: jobs.Waiter,
@@ -64,31 +66,33 @@
         team: str,
         specs: tuple[types.JobSpec, ...] = (),
     ) -> list[object]:
-        """Forward a request; :meth:`answered` returns its answer."""
-        request = self._next
-        self._next += 1
-        self._passed[request] = _Passed(waiter, key, owner)
+        """Forward a request; :meth:`complete` returns its answer."""
+        request = self._next_id
+        self._next_id += 1
+        self._requests[request] = _ForwardedRequest(waiter, key, owner)
         forward = messages.Forward(request, action, key, team, specs)
         return [core.Send(owner, forward)]
 
-    def answered(self, message: messages.Forwarded) -> list[Answered]:
+    def complete(self, message: messages.Forwarded) -> list[WaiterAnswer]:
         """Return the owner's answer with its waiter, if one still waits."""
-        passed = self._passed.pop(message.request, None)
-        if passed is None:
+        forwarded = self._requests.pop(message.request, None)
+        if forwarded is None:
             return []
-        return [Answered(passed.waiter, answers.decode(message.answer))]
+        return [WaiterAnswer(forwarded.waiter, answers.decode(message.answer))]
 
-    def owner_lost(self, owner: types.PeerName) -> list[Answered]:
+    def close_requests(self, owner: types.PeerName) -> list[WaiterAnswer]:
         """Return pending answers for all requests of a lost owner."""
         lost = [
-            (request, passed)
-            for request, passed in self._passed.items()
-            if passed.owner == owner
+            (request, forwarded)
+            for request, forwarded in self._requests.items()
+            if forwarded.owner == owner
         ]
         reason = "the job's owner can't be reached"
         for request, _ in lost:
-            del self._passed[request]
+            del self._requests[request]
         return [
-            Answered(passed.waiter, pending(passed.key, reason, owner))
-            for _, passed in lost
+            WaiterAnswer(
+                forwarded.waiter, build_pending(forwarded.key, reason, owner)
+            )
+            for _, forwarded in lost
         ]
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled:
+class SettledJob:
     """A job's final answer and the waiters to send it to."""
 
     waiters: tuple[Waiter, ...]
@@ -122,8 +122,8 @@
         self._retention = retention_seconds
         self._jobs: dict[types.JobKey, Job] = {}
         self._running: dict[types.JobKey, Job] = {}
-        self._ended: dict[types.JobKey, float] = {}
-        self._refused: dict[types.JobKey, types.JobAnswer] = {}
+        self._ended_at: dict[types.JobKey, float] = {}
+        self._refusals: dict[types.JobKey, types.JobAnswer] = {}
 
     def __len__(self) -> int:
         return len(self._jobs)
@@ -134,7 +134,7 @@
 
     def refusal(self, key: types.JobKey) -> types.JobAnswer | None:
         """Return the stored refusal of a key, or ``None``."""
-        return self._refused.get(key)
+        return self._refusals.get(key)
 
     def running(self) -> list[Job]:
         """Return the jobs without a final answer."""
@@ -147,8 +147,8 @@
         the answer "not run".  Without this record the copy would be admitted
         and run, and the answer would be false.
         """
-        self._refused[answer.key] = answer
-        self._end(answer.key, now)
+        self._refusals[answer.key] = answer
+        self._record_end(answer.key, now)
 
     def add(self, spec: types.JobSpec, now: float) -> Job:
         """Store a new job."""
@@ -157,7 +157,7 @@
         self._running[spec.key] = job
         return job
 
-    def settle(self, job: Job, now: float) -> Settled | None:
+    def settle(self, job: Job, now: float) -> SettledJob | None:
         """End a job that has no open task.
 
         :returns: the answer and its waiters; ``None`` while a task is open.
@@ -167,40 +167,40 @@
         job.answer = _final_answer(job)
         job.ended_at = now
         del self._running[job.spec.key]
-        self._end(job.spec.key, now)
+        self._record_end(job.spec.key, now)
         waiters = tuple(job.waiters)
         job.waiters.clear()
-        return Settled(waiters, job.answer)
+        return SettledJob(waiters, job.answer)
 
-    def forget(self, now: float) -> None:
+    def delete_expired(self, now: float) -> None:
         """Delete jobs and refusals that ended before the retention window."""
-        while self._ended:
+        while self._ended_at:
             # Keys are in the order in which their jobs ended.
-            key = next(iter(self._ended))
-            if self._ended[key] + self._retention > now:
+            key = next(iter(self._ended_at))
+            if self._ended_at[key] + self._retention > now:
                 return
-            del self._ended[key]
+            del self._ended_at[key]
             self._jobs.pop(key, None)
-            self._refused.pop(key, None)
+            self._refusals.pop(key, None)
 
-    def _end(self, key: types.JobKey, now: float) -> None:
-        self._ended.pop(key, None)
-        self._ended[key] = now
+    def _record_end(self, key: types.JobKey, now: float) -> None:
+        self._ended_at.pop(key, None)
+        self._ended_at[key] = now
 
-    def outstanding(
+    def list_open_tasks(
         self, agent: types.PeerName
     ) -> list[tuple[Job, messages.TaskRef, int]]:
         """Return the open tasks of an agent.
 
         :returns: job, task and the agent's incarnation at the start.
         """
-        found = []
+        open_tasks = []
         for job in self.running():
             for index, record in enumerate(job.tasks):
                 if record.agent == agent and record.answer is None:
                     ref = messages.TaskRef(job.spec.key, index, record.attempt)
-                    found.append((job, ref, record.incarnation))
-        return found
+                    open_tasks.append((job, ref, record.incarnation))
+        return open_tasks
 
 
 def _final_answer(job: Job) -> types.JobAnswer:
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -86,7 +86,7 @@
         self._config = config
         self._dispatch = dispatcher
         self._deadlines: list[tuple[float, types.JobKey]] = []
-        self._lapsed_at = math.inf
+        self._lease_expired_at = math.inf
         self.zone_work = zonework.ZoneCounter()
 
     @property
@@ -96,7 +96,7 @@
 
     # Requests.
 
-    def known(
+    def answer_resubmission(
         self, spec: types.JobSpec, waiter: jobs.Waiter
     ) -> list[object] | None:
         """Answer a resubmission.
@@ -110,7 +110,7 @@
         if job is None:
             return None
         if job.spec.digest != spec.digest or job.spec.team != spec.team:
-            answer = answers.key_reused(spec.key, self._name)
+            answer = answers.build_key_reused(spec.key, self._name)
             return answers.deliver((waiter,), answer)
         if job.answer is not None:
             return answers.deliver((waiter,), job.answer)
@@ -132,7 +132,7 @@
         )
         if fault is None:
             return None
-        answer = answers.bad_key(spec.key, fault, self._name)
+        answer = answers.build_bad_key(spec.key, fault, self._name)
         return answers.deliver((waiter,), answer)
 
     def adopt(
@@ -148,16 +148,16 @@
         """
         if not self.takeover.concerns(spec.key, members):
             return None
-        if not self.takeover.gathered(spec.key, members, self.agents, now):
-            answer = answers.gathering(spec.key, self._name)
+        if not self.takeover.is_complete(spec.key, members, self.agents, now):
+            answer = answers.build_gathering(spec.key, self._name)
             return answers.deliver((waiter,), answer)
-        if not self.takeover.fits(spec):
-            answer = answers.key_reused(spec.key, self._name)
+        if not self.takeover.matches(spec):
+            answer = answers.build_key_reused(spec.key, self._name)
             return answers.deliver((waiter,), answer)
         job = self.jobs.add(spec, now)
         job.waiters.append(waiter)
         heapq.heappush(self._deadlines, (spec.deadline, spec.key))
-        takeover.adopt(job, self.takeover.take(spec.key), self.agents)
+        takeover.adopt(job, self.takeover.pop(spec.key), self.agents)
         return [
             core.note('job_adopted', job=spec.key, open=job.open),
             *self._settle(job, now),
@@ -189,14 +189,14 @@
         now: float,
     ) -> list[object]:
         """Refuse a job permanently under its key."""
-        answer = answers.refused(spec.key, refusal, self._name)
+        answer = answers.build_refused(spec.key, refusal, self._name)
         self.jobs.refuse(answer, now)
         return [
             core.note('job_refused', job=spec.key, code=refusal.code),
             *answers.deliver((waiter,), answer),
         ]
 
-    def ask(
+    def send_status(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter
     ) -> list[object]:
         """Send the state of a job to a waiter.
@@ -207,9 +207,9 @@
         job = self.jobs.get(key)
         if job is None or team not in ('', job.spec.team):
             answer = self.jobs.refusal(key)
-            if answer is None and self.takeover.reported(key):
-                answer = answers.submit_again(key, self._name)
-            answer = answer or answers.unknown_job(key, self._name)
+            if answer is None and self.takeover.has_reports(key):
+                answer = answers.build_submit_again(key, self._name)
+            answer = answer or answers.build_unknown_job(key, self._name)
             return answers.deliver((waiter,), answer)
         return answers.deliver((waiter,), job.answer or job.pending())
 
@@ -219,7 +219,7 @@
         """Cancel a job: drop its queued tasks and stop its running ones."""
         job = self.jobs.get(key)
         if job is None or job.ended or team not in ('', job.spec.team):
-            return self.ask(key, team, waiter)
+            return self.send_status(key, team, waiter)
         job.cancelled = True
         for index in self._dispatch.drop(key):
             job.end_task(
@@ -233,7 +233,7 @@
             core.note('job_cancelled', job=key),
             *self._stop_at_agents(job),
             *self._settle(job, now),
-            *self.ask(key, team, waiter),
+            *self.send_status(key, team, waiter),
         ]
 
     # Agents.
@@ -247,32 +247,32 @@
             self.takeover.on_orphans(peer, hello.incarnation, message)
         return []
 
-    def agent_up(self, hello: messages.Hello, now: float) -> list[object]:
+    def on_agent_up(self, hello: messages.Hello, now: float) -> list[object]:
         """Request the state of an agent's open tasks when it connects."""
         name = hello.name
-        self._agents.up(hello)
+        self._agents.add(hello)
         effects: list[object] = []
         refs = []
-        for job, ref, incarnation in self.jobs.outstanding(name):
+        for job, ref, incarnation in self.jobs.list_open_tasks(name):
             if incarnation == hello.incarnation:
                 refs.append(ref)
             else:
-                effects += self._unknown(job, ref.index, name, now)
+                effects += self._end_unknown(job, ref.index, name, now)
         if refs:
             settle = messages.Settle(hello.incarnation, tuple(refs))
             effects.append(core.Send(name, settle))
         return effects
 
-    def agent_down(self, name: types.PeerName, now: float) -> None:
+    def on_agent_down(self, name: types.PeerName, now: float) -> None:
         """Remove a disconnected agent and start its reconnect timeout."""
-        self._agents.down(name, now)
+        self._agents.remove(name, now)
 
     def on_offer(
         self, peer: types.PeerName, message: messages.Offer, now: float
     ) -> list[object]:
         """Handle an agent's offer of slots."""
-        if self._agents.speaks(peer, message.agent_incarnation):
-            self._agents.offered(peer, message, now)
+        if self._agents.is_current(peer, message.agent_incarnation):
+            self._agents.update_offer(peer, message, now)
         return []
 
     def set_leaving(
@@ -285,7 +285,7 @@
         self, peer: types.PeerName, message: messages.Results, now: float
     ) -> list[object]:
         """Handle an agent's task reports and the slots it grants."""
-        if not self._agents.speaks(peer, message.agent_incarnation):
+        if not self._agents.is_current(peer, message.agent_incarnation):
             return []
         effects: list[object] = []
         for report in message.reports:
@@ -307,12 +307,12 @@
         if record.agent != agent or record.attempt != report.attempt:
             return []
         if report.state == types.TaskState.REFUSED:
-            return self._on_refused(job, agent, report, now)
+            return self._on_refusal(job, agent, report, now)
         if report.state not in _OUTCOMES:
             return []
-        return self._on_ended(job, agent, report, now)
+        return self._on_end_report(job, agent, report, now)
 
-    def _on_refused(
+    def _on_refusal(
         self,
         job: jobs.Job,
         agent: types.PeerName,
@@ -322,7 +322,7 @@
         self._dispatch.refused(agent, job.spec.team, now)
         record = job.tasks[report.index]
         record.agent = ''
-        self.zone_work.ended(agent)
+        self.zone_work.count_end(agent)
         if record.answer is not None:
             return []
         task = dispatch.Pending(job.spec, report.index, record.attempt)
@@ -337,7 +337,7 @@
         )
         return self._settle(job, now)
 
-    def _on_ended(
+    def _on_end_report(
         self,
         job: jobs.Job,
         agent: types.PeerName,
@@ -356,34 +356,34 @@
         )
         # A second copy of the report must not release the slot again.
         job.tasks[report.index].agent = ''
-        self.zone_work.ended(agent)
+        self.zone_work.count_end(agent)
         return self._settle(job, now)
 
     # Time.
 
     def on_tick(self, now: float) -> list[object]:
         """Delete old jobs, and end the tasks of agents that are lost."""
-        self.jobs.forget(now)
-        self.takeover.forget(now)
+        self.jobs.delete_expired(now)
+        self.takeover.delete_expired(now)
         effects: list[object] = []
-        for name in self._agents.given_up(now):
-            effects += self._agent_lost(name, now)
+        for name in self._agents.pop_expired(now):
+            effects += self._on_agent_lost(name, now)
         return effects
 
     def advance(self, now: float) -> list[object]:
         """End jobs at their deadlines and place queued tasks."""
-        may = self._config.permits(now)
-        if may.lease > now:
-            self._lapsed_at = math.inf
+        snapshot = self._config.permits(now)
+        if snapshot.lease > now:
+            self._lease_expired_at = math.inf
         else:
-            self._lapsed_at = min(self._lapsed_at, now)
+            self._lease_expired_at = min(self._lease_expired_at, now)
         effects: list[object] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, key = heapq.heappop(self._deadlines)
             job = self.jobs.get(key)
             if job is not None and not job.ended:
                 effects += self._end_at_deadline(job, now)
-        effects += self._place(may, now)
+        effects += self._place(snapshot, now)
         effects += self._dispatch.take_notes()
         wakes = [self._deadlines[0][0]] if self._deadlines else []
         wake = self._dispatch.next_wake(now)
@@ -396,16 +396,16 @@
     def _admit(
         self, spec: types.JobSpec, now: float
     ) -> dispatch.Refusal | None:
-        if now >= self._lapsed_at + LEASE_GRACE_SECONDS:
+        if now >= self._lease_expired_at + LEASE_GRACE_SECONDS:
             return dispatch.Refusal(
                 answers.CODE_NO_LEASE,
                 'this entry may start nothing until it reads the '
                 'configuration again',
                 forwarding.RETRY_AFTER_SECONDS,
             )
-        may = self._config.permits(now)
+        snapshot = self._config.permits(now)
         return self._dispatch.admit(
-            spec, lambda zone: now < may.zone_bound(zone), now
+            spec, lambda zone: now < snapshot.zone_bound(zone), now
         )
 
     def _stop_at_agents(self, job: jobs.Job) -> list[object]:
@@ -428,60 +428,62 @@
         return effects + self._settle(job, now)
 
     def _settle(self, job: jobs.Job, now: float) -> list[object]:
-        settled = self.jobs.settle(job, now)
-        if settled is None:
+        ended_job = self.jobs.settle(job, now)
+        if ended_job is None:
             return []
-        status = settled.answer.status
+        status = ended_job.answer.status
         return [
             core.note('job_ended', job=job.spec.key, status=status),
-            *answers.deliver(settled.waiters, settled.answer),
+            *answers.deliver(ended_job.waiters, ended_job.answer),
         ]
 
-    def _place(self, may: permits.Snapshot, now: float) -> list[object]:
-        if not self._dispatch.waiting() or may.lease <= now:
+    def _place(self, snapshot: permits.Snapshot, now: float) -> list[object]:
+        if not self._dispatch.waiting() or snapshot.lease <= now:
             return []
 
         def zone_share(zone: str) -> float:
-            if may.start_before(zone) <= now:
+            if snapshot.start_before(zone) <= now:
                 return 0.0
-            return zones.share(may.zone(zone), now)
+            return zones.share(snapshot.zone(zone), now)
 
         placed = self._dispatch.place(zone_share, now)
-        effects: list[object] = [self._starts(one, may, now) for one in placed]
+        effects: list[object] = [
+            self._start_placement(one, snapshot, now) for one in placed
+        ]
         for agent, want in self._dispatch.asks(now):
             effects.append(core.Send(agent, messages.Ask(want)))
         return effects
 
-    def _starts(
+    def _start_placement(
         self,
         placement: dispatch.Placement,
-        may: permits.Snapshot,
+        snapshot: permits.Snapshot,
         now: float,
     ) -> core.Send:
         agent = placement.agent
         zone = self.agents[agent].zone
         count = len(placement.tasks)
-        self.zone_work.started(agent, zone, count, now)
+        self.zone_work.count_starts(agent, zone, count, now)
         sender = starting.Sender(
             self._name, self._incarnation, self._config.version
         )
-        message = starting.starts(
+        message = starting.build_starts(
             sender,
             placement,
             self.jobs,
-            may.start_before(zone),
+            snapshot.start_before(zone),
             self._dispatch.demand(now),
         )
         return core.Send(agent, message)
 
-    def _agent_lost(self, name: types.PeerName, now: float) -> list[object]:
-        self.zone_work.lost(name)
+    def _on_agent_lost(self, name: types.PeerName, now: float) -> list[object]:
+        self.zone_work.drop_agent(name)
         effects: list[object] = [core.note('agent_lost', agent=name)]
-        for job, ref, _ in self.jobs.outstanding(name):
-            effects += self._unknown(job, ref.index, name, now)
+        for job, ref, _ in self.jobs.list_open_tasks(name):
+            effects += self._end_unknown(job, ref.index, name, now)
         return effects
 
-    def _unknown(
+    def _end_unknown(
         self, job: jobs.Job, index: int, agent: types.PeerName, now: float
     ) -> list[object]:
         """End a task with an unknown outcome because its agent is lost.
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -18,17 +18,17 @@
 from agatepick.net import messages
 from agatepick import types
 
-SKEW = 2.0
+KEY_SKEW_SECONDS = 2.0
 """Seconds that a key may be stamped ahead of a process's clock.
 
 This covers callers whose NTP synchronisation is poor.  A newly listed entry
 gets its first keys that much later.
 """
 
-WINDOW = 600.0
+KEY_WINDOW_SECONDS = 600.0
 """Seconds after its stamp for which a key is valid."""
 
-_KEY = re.compile(
+_KEY_PATTERN = re.compile(
     '[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}'
 )
 _MILLISECONDS = 1000.0
@@ -44,7 +44,7 @@
 
 def is_key(key: types.JobKey) -> bool:
     """Return whether ``key`` is a UUIDv7 in canonical text form."""
-    return _KEY.fullmatch(key) is not None
+    return _KEY_PATTERN.fullmatch(key) is not None
 
 
 def stamp(key: types.JobKey) -> float:
@@ -61,8 +61,8 @@
 def check(
     key: types.JobKey,
     now: float,
-    window: float = WINDOW,
-    skew: float = SKEW,
+    window: float = KEY_WINDOW_SECONDS,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> KeyFault | None:
     """Return the fault of a key at ``now``, or ``None`` if it is valid.
 
@@ -71,12 +71,12 @@
     could stay valid after the record of its first run has been deleted.
     """
     try:
-        minted = stamp(key)
+        created_at = stamp(key)
     except exceptions.BadKey:
         return KeyFault.MALFORMED
-    if minted < now - window:
+    if created_at < now - window:
         return KeyFault.EXPIRED
-    if minted > now + skew:
+    if created_at > now + skew:
         return KeyFault.AHEAD
     return None
 
@@ -84,17 +84,17 @@
 def owner(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
-    skew: float = SKEW,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> messages.Member | None:
     """Return the listed entry that owns ``key``; ``None`` if there is none."""
     listed = [member for member in members if not member.removed_at]
-    return _pick(key, listed, skew)
+    return _select_owner(key, listed, skew)
 
 
 def taken_over(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
-    skew: float = SKEW,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> bool:
     """Return whether a removed entry may have started the job of ``key``.
 
@@ -104,16 +104,18 @@
     after its end.
     """
     members = tuple(members)
-    minted = stamp(key)
+    created_at = stamp(key)
     listed = [member for member in members if not member.removed_at]
     return any(
-        _pick(key, [*listed, member], skew) is member
+        _select_owner(key, [*listed, member], skew) is member
         for member in members
-        if minted < suspect_until(member, skew)
+        if created_at < suspect_until(member, skew)
     )
 
 
-def suspect_until(member: messages.Member, skew: float = SKEW) -> float:
+def suspect_until(
+    member: messages.Member, skew: float = KEY_SKEW_SECONDS
+) -> float:
     """Return the stamp from which on an entry can't have accepted a key.
 
     :return: 0 while the entry is listed, so that no key is suspect.
@@ -126,13 +128,13 @@
     return (member.stopped_at or member.removed_at) + skew
 
 
-def _pick(
+def _select_owner(
     key: types.JobKey, listed: list[messages.Member], skew: float
 ) -> messages.Member | None:
     if not listed:
         return None
-    minted = stamp(key)
-    eligible = [one for one in listed if one.listed_at + skew <= minted]
+    created_at = stamp(key)
+    eligible = [one for one in listed if one.listed_at + skew <= created_at]
     if not eligible:
         # The key was created in the first seconds of the cluster.  A choice
         # among all listed entries would move the key to an owner without a
@@ -140,9 +142,11 @@
         # listed first stays the same.
         first = min(one.listed_at for one in listed)
         eligible = [one for one in listed if one.listed_at == first]
-    return max(eligible, key=lambda one: _weight(key, one))
+    return max(eligible, key=lambda one: _hash_weight(key, one))
 
 
-def _weight(key: types.JobKey, member: messages.Member) -> tuple[int, str]:
+def _hash_weight(
+    key: types.JobKey, member: messages.Member
+) -> tuple[int, str]:
     text = f'{key}/{member.name}/{member.incarnation}'.encode()
     return xxhash.xxh3_64_intdigest(text), member.name
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -20,10 +20,10 @@
     version: int
 
 
-def starts(
+def build_starts(
     sender: Sender,
     placement: dispatch.Placement,
-    owned: jobs.Jobs,
+    all_jobs: jobs.Jobs,
     start_before: float,
     waiting: int,
 ) -> messages.Starts:
@@ -32,7 +32,9 @@
     :param start_before: time before which the tasks must start.
     :param waiting: number of slots that the remaining queue needs.
     """
-    tasks = [_start(placement, one, owned) for one in placement.tasks]
+    tasks = [
+        _build_start_task(placement, one, all_jobs) for one in placement.tasks
+    ]
     return messages.Starts(
         owner=sender.name,
         owner_incarnation=sender.incarnation,
@@ -44,10 +46,10 @@
     )
 
 
-def _start(
-    placement: dispatch.Placement, one: dispatch.Pending, owned: jobs.Jobs
+def _build_start_task(
+    placement: dispatch.Placement, one: dispatch.Pending, all_jobs: jobs.Jobs
 ) -> messages.StartTask:
-    job = owned.get(one.job.key)
+    job = all_jobs.get(one.job.key)
     assert job is not None
     record = job.tasks[one.index]
     record.agent = placement.agent
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -29,17 +29,17 @@
         self._skew = skew
         self._version = -1
         self._members: tuple[messages.Member, ...] = ()
-        self._removed: dict[ledger.Owner, float] = {}
-        self._lost: frozenset[ledger.Owner] = frozenset()
+        self._removed_at: dict[ledger.Owner, float] = {}
+        self._in_force: frozenset[ledger.Owner] = frozenset()
         self._changed = False
 
-    def take(self, message: messages.Members) -> bool:
+    def update_members(self, message: messages.Members) -> bool:
         """Store the members and return whether they are newer than before."""
         if message.version <= self._version:
             return False
         self._version = message.version
         self._members = message.entries
-        self._removed = {
+        self._removed_at = {
             _owner(one): one.removed_at
             for one in sorted(message.entries, key=lambda one: one.removed_at)
             if one.removed_at
@@ -47,16 +47,16 @@
         self._changed = True
         return True
 
-    def advance(self, now: float) -> bool:
+    def update_removals(self, now: float) -> bool:
         """Update the removals in force.
 
         :returns: whether reports must be sent to the successors again.
         """
-        lost = frozenset(
-            owner for owner, at in self._removed.items() if at <= now
+        removed = frozenset(
+            owner for owner, at in self._removed_at.items() if at <= now
         )
-        changed = self._changed or lost != self._lost
-        self._lost = lost
+        changed = self._changed or removed != self._in_force
+        self._in_force = removed
         self._changed = False
         return changed
 
@@ -64,39 +64,41 @@
         """Return the members that are listed."""
         return [one for one in self._members if not one.removed_at]
 
-    def lost(self, owner: ledger.Owner) -> bool:
+    def is_removed(self, owner: ledger.Owner) -> bool:
         """Return whether an entry's removal is in force."""
-        return owner in self._lost
+        return owner in self._in_force
 
-    def current(
+    def get_current_owner(
         self, job: types.JobKey, owner: ledger.Owner
     ) -> ledger.Owner | None:
         """Return the entry to report a job to; ``None`` if there is none."""
-        if owner not in self._lost:
+        if owner not in self._in_force:
             return owner
-        heir = ownership.owner(job, self._members, self._skew)
-        return _owner(heir) if heir is not None else None
+        successor = ownership.owner(job, self._members, self._skew)
+        return _owner(successor) if successor is not None else None
 
-    def orphans(
-        self, heir: ledger.Owner, record: ledger.Ledger
+    def iter_orphans(
+        self, successor: ledger.Owner, task_ledger: ledger.Ledger
     ) -> collections.abc.Iterator[messages.Orphans]:
         """Yield the messages for a successor on tasks of removed entries.
 
         The messages are in the order of the removals: the last one about an
         entry arrives after all messages about its own predecessors.
         """
-        if heir not in {_owner(one) for one in self.listed()}:
+        if successor not in {_owner(one) for one in self.listed()}:
             return
-        for lost in self._removed:
-            if lost not in self._lost:
+        for removed in self._removed_at:
+            if removed not in self._in_force:
                 continue
             reports = [
                 report
-                for report in record.started_for(lost)
-                if self.current(report.job, lost) == heir
+                for report in task_ledger.iter_started(removed)
+                if self.get_current_owner(report.job, removed) == successor
             ]
-            message = messages.Orphans(lost.name, lost.incarnation, (), False)
-            for batch in outbox.batches(reports):
+            message = messages.Orphans(
+                removed.name, removed.incarnation, (), False
+            )
+            for batch in outbox.split_batches(reports):
                 yield dataclasses.replace(message, reports=batch)
             yield dataclasses.replace(message, last=True)
 
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -16,9 +16,9 @@
 from agatepick.owning import ownership
 from agatepick import types
 
-FORGET_SECONDS = 1.0
+EXPIRY_INTERVAL_SECONDS = 1.0
 """Time between two searches for expired reports, as each scans all reports."""
-GATHER_SECONDS = 5.0
+REPORT_WAIT_SECONDS = 5.0
 """How long a successor waits for reports after a removal.
 
 An agent that redials pauses up to 1.5 s between two attempts.  Tasks that are
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class ReportedTask:
     """An agent's report on a task, with the agent's name and incarnation."""
 
     agent: types.PeerName
@@ -48,7 +48,7 @@
     report: messages.TaskReport
 
 
-Tasks = dict[int, Found]
+ReportedTasks = dict[int, ReportedTask]
 """Reported tasks of one job, by their index."""
 
 
@@ -64,12 +64,14 @@
         self._name = name
         self._retention = retention
         self._skew = skew
-        self._found: dict[types.JobKey, Tasks] = {}
-        self._forget_at = 0.0
-        self._told: dict[ledger.Owner, set[tuple[types.PeerName, int]]] = {}
+        self._reported: dict[types.JobKey, ReportedTasks] = {}
+        self._next_expiry_at = 0.0
+        self._agents_done: dict[
+            ledger.Owner, set[tuple[types.PeerName, int]]
+        ] = {}
 
     def __len__(self) -> int:
-        return len(self._found)
+        return len(self._reported)
 
     def on_orphans(
         self,
@@ -79,34 +81,34 @@
     ) -> None:
         """Store an agent's reports on a removed entry's tasks."""
         for report in message.reports:
-            if not _usable(report):
+            if not _is_usable(report):
                 continue
-            tasks = self._found.setdefault(report.job, {})
-            tasks[report.index] = Found(agent, incarnation, report)
+            tasks = self._reported.setdefault(report.job, {})
+            tasks[report.index] = ReportedTask(agent, incarnation, report)
         if message.last:
             lost = ledger.Owner(message.owner, message.owner_incarnation)
-            self._told.setdefault(lost, set()).add((agent, incarnation))
+            self._agents_done.setdefault(lost, set()).add((agent, incarnation))
 
     def on_result(
         self, agent: types.PeerName, report: messages.TaskReport
     ) -> None:
         """Store the end of a task whose job has not been resubmitted yet."""
-        if not _usable(report):
+        if not _is_usable(report):
             return
-        tasks = self._found.get(report.job)
-        found = tasks.get(report.index) if tasks is not None else None
-        if tasks is None or found is None or found.agent != agent:
+        tasks = self._reported.get(report.job)
+        reported = tasks.get(report.index) if tasks is not None else None
+        if tasks is None or reported is None or reported.agent != agent:
             return
-        digest = found.report.digest
+        digest = reported.report.digest
         tasks[report.index] = dataclasses.replace(
-            found, report=dataclasses.replace(report, digest=digest)
+            reported, report=dataclasses.replace(report, digest=digest)
         )
 
     def concerns(self, key: types.JobKey, members: Members) -> bool:
         """Return whether a removed entry may have started tasks of a job."""
         return ownership.taken_over(key, members, self._skew)
 
-    def gathered(
+    def is_complete(
         self,
         key: types.JobKey,
         members: Members,
@@ -117,76 +119,80 @@
 
         Every connected agent must have completed its reports on every entry
         that was removed late enough to have owned the key.  Once
-        ``GATHER_SECONDS`` have passed, missing reports are ignored.
+        ``REPORT_WAIT_SECONDS`` have passed, missing reports are ignored.
         """
-        minted = ownership.stamp(key)
+        created_at = ownership.stamp(key)
         removed = [
             one
             for one in members
-            if minted < ownership.suspect_until(one, self._skew)
+            if created_at < ownership.suspect_until(one, self._skew)
         ]
         since = [one.removed_at for one in removed]
         # Agents must first connect to an entry listed after the removal.
         since += [one.listed_at for one in members if one.name == self._name]
-        if now >= max(since, default=0.0) + GATHER_SECONDS:
+        if now >= max(since, default=0.0) + REPORT_WAIT_SECONDS:
             return True
-        present = {(one.name, one.incarnation) for one in agents.values()}
+        connected = {(one.name, one.incarnation) for one in agents.values()}
         return all(
-            present
-            <= self._told.get(ledger.Owner(one.name, one.incarnation), set())
+            connected
+            <= self._agents_done.get(
+                ledger.Owner(one.name, one.incarnation), set()
+            )
             for one in removed
         )
 
-    def fits(self, spec: types.JobSpec) -> bool:
+    def matches(self, spec: types.JobSpec) -> bool:
         """Return whether the reported tasks belong to this job.
 
         Without this check, a different body under the same key would get the
         results of the first one.
         """
-        tasks = self._found.get(spec.key, {})
+        tasks = self._reported.get(spec.key, {})
         return all(
             index < len(spec.tasks)
-            and found.report.digest
+            and reported.report.digest
             == ledger.task_digest(
                 spec.team, spec.tasks[index].kind, spec.tasks[index].payload
             )
-            for index, found in tasks.items()
+            for index, reported in tasks.items()
         )
 
-    def reported(self, key: types.JobKey) -> bool:
+    def has_reports(self, key: types.JobKey) -> bool:
         """Return whether an agent has reported tasks of a job."""
-        return key in self._found
+        return key in self._reported
 
-    def take(self, key: types.JobKey) -> Tasks:
+    def pop(self, key: types.JobKey) -> ReportedTasks:
         """Remove and return the reported tasks of a job."""
-        return self._found.pop(key, {})
+        return self._reported.pop(key, {})
 
-    def forget(self, now: float) -> None:
+    def delete_expired(self, now: float) -> None:
         """Delete the reports on expired keys."""
-        if now < self._forget_at:
+        if now < self._next_expiry_at:
             return
-        self._forget_at = now + FORGET_SECONDS
+        self._next_expiry_at = now + EXPIRY_INTERVAL_SECONDS
         expired = [
             key
-            for key in self._found
+            for key in self._reported
             if ownership.stamp(key) + self._retention < now
         ]
         for key in expired:
-            del self._found[key]
+            del self._reported[key]
 
 
-def adopt(job: jobs.Job, found: Tasks, agents: Agents) -> None:
+def adopt(job: jobs.Job, reported: ReportedTasks, agents: Agents) -> None:
     """Apply the agents' reports to a resubmitted job.
 
     The end of a task that still runs arrives as a result, or as the answer to
     ``Settle`` after its agent has reconnected.
     """
     for index in range(len(job.tasks)):
-        task = found.get(index)
+        task = reported.get(index)
         if task is None:
-            _end(job, index, types.Outcome.UNKNOWN, REASON_OWNER_LOST)
+            _end_in_takeover(
+                job, index, types.Outcome.UNKNOWN, REASON_OWNER_LOST
+            )
         elif task.report.state == _RUNNING:
-            _await(job, index, task, agents)
+            _await_end(job, index, task, agents)
         else:
             report = task.report
             job.end_task(
@@ -199,16 +205,18 @@
             )
 
 
-def _usable(report: messages.TaskReport) -> bool:
+def _is_usable(report: messages.TaskReport) -> bool:
     """Return whether a report has a valid key and a started task's state."""
-    known = report.state in _OUTCOMES or report.state == _RUNNING
-    return known and ownership.is_key(report.job)
+    has_valid_state = report.state in _OUTCOMES or report.state == _RUNNING
+    return has_valid_state and ownership.is_key(report.job)
 
 
-def _await(job: jobs.Job, index: int, task: Found, agents: Agents) -> None:
+def _await_end(
+    job: jobs.Job, index: int, task: ReportedTask, agents: Agents
+) -> None:
     hello = agents.get(task.agent)
     if hello is None or hello.incarnation != task.incarnation:
-        _end(job, index, types.Outcome.UNKNOWN, REASON_AGENT_LOST)
+        _end_in_takeover(job, index, types.Outcome.UNKNOWN, REASON_AGENT_LOST)
         return
     record = job.tasks[index]
     record.agent = task.agent
@@ -217,7 +225,7 @@
     record.adopted = True
 
 
-def _end(
+def _end_in_takeover(
     job: jobs.Job, index: int, outcome: types.Outcome, reason: str
 ) -> None:
     job.end_task(index, outcome, reason=reason, step='takeover')
--- a/src/agatepick/owning/zonework.py
+++ b/src/agatepick/owning/zonework.py
@@ -31,31 +31,31 @@
         self._running: collections.Counter[types.PeerName] = (
             collections.Counter()
         )
-        self._last: dict[str, float] = {}
+        self._last_starts: dict[str, float] = {}
 
-    def started(
+    def count_starts(
         self, agent: types.PeerName, zone: str, count: int, now: float
     ) -> None:
         """Count starts that are sent to an agent."""
         self._zones[agent] = zone
         self._running[agent] += count
-        self._last[zone] = now
+        self._last_starts[zone] = now
 
-    def ended(self, agent: types.PeerName) -> None:
+    def count_end(self, agent: types.PeerName) -> None:
         """Count a task's end or refusal that an agent reported."""
         if self._running[agent] > 0:
             self._running[agent] -= 1
 
-    def lost(self, agent: types.PeerName) -> None:
+    def drop_agent(self, agent: types.PeerName) -> None:
         """Delete the count of a lost agent, which reports no more ends."""
         self._running.pop(agent, None)
 
-    def show(self) -> tuple[ZoneWork, ...]:
+    def list_zones(self) -> tuple[ZoneWork, ...]:
         """Return the tasks in each zone that had any, by zone name."""
         running: collections.Counter[str] = collections.Counter()
         for agent, count in self._running.items():
             running[self._zones[agent]] += count
         return tuple(
             ZoneWork(zone, running[zone], at)
-            for zone, at in sorted(self._last.items())
+            for zone, at in sorted(self._last_starts.items())
         )
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,4 +1,4 @@
-"""An agent under test: entries to play, messages to build, what it sent."""
+"""Helpers that drive one agent in tests and inspect the messages it sends."""
 
 from agatepick.agentside import agent
 from agatepick.agentside import upstream
@@ -34,7 +34,7 @@
 
 
 class Rig:
-    """One agent, driven by hand in virtual time."""
+    """One agent, driven by a test in virtual time."""
 
     def __init__(self, incarnation=7, **cfg):
         cfg = agent.AgentConfig('agent', seeds=('seed:1',), **cfg)
@@ -45,7 +45,7 @@
         self.incarnations = {}
 
     def feed(self, event):
-        """Effects of one event."""
+        """Handle one event and return its effects."""
         effects = self.agent.reduce(event, self.now)
         self.effects += effects
         return effects
@@ -54,7 +54,7 @@
         return self.feed(core.Received(peer, message))
 
     def connect(self, name, incarnation=1, ahead=0.0):
-        """An entry connects; its clock is ``ahead`` of the agent's."""
+        """Connect an entry whose clock is ``ahead`` of the agent's."""
         self.incarnations[name] = incarnation
         hello = messages.Hello(name, 'entry', incarnation, 'z', '', '', 0)
         effects = self.feed(core.PeerUp(hello))
@@ -89,7 +89,7 @@
         )
 
     def tick(self, seconds=0.25):
-        """Let time pass, ticking as the shell does."""
+        """Advance the time, with ticks at the shell's interval."""
         effects = []
         until = self.now + seconds
         while self.now < until:
@@ -99,7 +99,7 @@
 
 
 def ready(*entries, slots=8, **cfg):
-    """An agent with an upstream and these entries connected."""
+    """Return an agent with an upstream and these entries connected."""
     rig = Rig(**cfg)
     rig.feed(announced(slots=slots, term=1000.0))
     for name in entries or ('e',):
@@ -108,7 +108,7 @@
 
 
 def ran(effects):
-    """Tasks that the upstream was told to run."""
+    """Return key and index of each task sent to the upstream to run."""
     return [
         (one.job, one.index)
         for one in effects
@@ -117,7 +117,7 @@
 
 
 def sent(effects, kind, peer=None):
-    """Messages of a kind that were sent."""
+    """Return the messages of a kind that were sent."""
     return [
         one.message
         for one in effects
@@ -128,7 +128,7 @@
 
 
 def reports(effects, peer=None):
-    """State and reason of each task reported, by its index."""
+    """Return the state and reason of each reported task, by its index."""
     return {
         report.index: (report.state, report.reason)
         for message in sent(effects, messages.Results, peer)
--- a/tests/playing.py
+++ b/tests/playing.py
@@ -1,4 +1,4 @@
-"""Plays load patterns against a dispatch, without a network."""
+"""A simulation of load patterns on a dispatcher, without a network."""
 
 import dataclasses
 import heapq
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job with the run times that its tasks turn out to have."""
+    """A job with its arrival time and the run times of its tasks."""
 
     at: float
     job: types.JobSpec
@@ -16,8 +16,16 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Played:
-    """What the callers got: ends of answered jobs and refusals, by key."""
+class Results:
+    """Results of a simulation.
+
+    :ivar ended: time at which all tasks of a job had ended, by key.
+    :ivar refused: refusals by key.
+    :ivar expired: keys of jobs with tasks that expired in the queue.
+    :ivar failed: times of failed tasks, by agent.
+    :ivar starts: times of task starts, by agent.
+    :ivar busy: run time of all tasks, in seconds.
+    """
 
     ended: dict = dataclasses.field(default_factory=dict)
     refused: dict = dataclasses.field(default_factory=dict)
@@ -28,12 +36,12 @@
 
 
 def play(made, arrivals, works=None, pace=None):
-    """Play arrivals in virtual time; what the callers got.
+    """Simulate arrivals in virtual time and return the results.
 
-    ``works(agent, now)`` says whether a task succeeds there, or fails after a
-    millisecond; ``pace(agent)`` stretches run times.
+    ``works(agent, now)`` returns whether a task succeeds on an agent; other
+    tasks fail after a millisecond.  ``pace(agent)`` is a factor on run times.
     """
-    got = Played()
+    results = Results()
     events = [(one.at, i, one) for i, one in enumerate(arrivals)]
     heapq.heapify(events)
     number = len(events)
@@ -44,7 +52,7 @@
         if isinstance(event, Arrival):
             refusal = made.admit(event.job, lambda zone: True, now)
             if refusal is not None:
-                got.refused[event.job.key] = refusal
+                results.refused[event.job.key] = refusal
             else:
                 made.enqueue(event.job, now)
         elif event is not None:
@@ -53,18 +61,18 @@
             made.ended(agent, task.job, task.index, ok, took, now)
             left[key] -= 1
             if not ok:
-                got.failed.setdefault(agent, []).append(now)
+                results.failed.setdefault(agent, []).append(now)
             if not left[key]:
-                got.ended[key] = now
-        got.expired.update(task.job.key for task in made.expire(now))
+                results.ended[key] = now
+        results.expired.update(task.job.key for task in made.expire(now))
         for placed in made.place(lambda zone: 1.0, now):
             for task in placed.tasks:
                 took = seconds[task.job.key][task.index]
                 took *= pace(placed.agent) if pace else 1.0
                 ok = works(placed.agent, now) if works else True
                 took = took if ok else 0.001
-                got.busy += took
-                got.starts.setdefault(placed.agent, []).append(now)
+                results.busy += took
+                results.starts.setdefault(placed.agent, []).append(now)
                 number += 1
                 event = (placed.agent, task, ok, took)
                 heapq.heappush(events, (now + took, number, event))
@@ -72,4 +80,4 @@
         if wake is not None and made.waiting() and not events:
             number += 1
             heapq.heappush(events, (max(wake, now + 0.001), number, None))
-    return got
+    return results
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -1,10 +1,10 @@
-"""Whole sessions in virtual time: real reducers, fakes at the interfaces.
+"""Whole sessions in virtual time, with real reducers and faked interfaces.
 
 Entries and agents are the product's reducers.  The network delivers every
-message after a fixed time, the table service is the stand-in's memory, and a
-worker takes the seconds that a task's payload names.  What goes over the
-network or to a caller is written down, a line each, with the periodic
-messages left out.
+message after a fixed time, the table service is the in-memory table of the
+stand-in, and a worker runs a task for the seconds in its payload.  Each
+message over the network or to a caller is logged as one line, except for the
+periodic ones.
 """
 
 import heapq
@@ -44,7 +44,7 @@
 
 
 class Process:
-    """One process: its reducer, and whether it lives."""
+    """One process with its reducer, alive until it is killed."""
 
     def __init__(self, name, role, zone, reducer):
         self.name = name
@@ -61,12 +61,12 @@
 
 
 class Session:
-    """Two entries, an agent in each of three zones, one table service."""
+    """Two entries, an agent in each of three zones, and one table service."""
 
     def __init__(self):
         self.now = START
         self.lines = []
-        self.telling = False
+        self.recording = False
         self.table = standin_table.MemoryTable()
         self.replies = {}
         self.answers = []
@@ -77,20 +77,20 @@
         self._order = itertools.count()
         self._calls = itertools.count(1)
         self._jobs = {}
-        self._specs = {}
+        self._submitted = {}
         self._wakes = {}
-        self._up = set()
+        self._connected = set()
         self._dials = set()
         for place, name in enumerate(('entry-1', 'entry-2')):
             self._add_entry(name, 'ab'[place], place)
         for name, zone in (('a-1', 'a'), ('b-1', 'b'), ('c-1', 'c')):
             self._add_agent(name, zone)
         self.run(8.0)
-        self.telling = True
-        self._began = self.now
+        self.recording = True
+        self._started_at = self.now
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time and run the steps that are due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, step = heapq.heappop(self._events)
@@ -98,7 +98,7 @@
         self.now = until
 
     def submit(self, name, tasks, at='entry-1', timeout=10.0, kind='slot'):
-        """A caller hands in tasks of so many seconds each."""
+        """Submit a job whose tasks run for these seconds."""
         job = types.JobSpec(
             self._key(name),
             'team',
@@ -109,16 +109,16 @@
             self.now + timeout,
             digest=name.encode(),
         )
-        self._specs[name] = job
+        self._submitted[name] = job
         self.submit_again(name, at)
 
     def submit_again(self, name, at):
-        """The caller hands in the same job, under the same key."""
-        job = self._specs[name]
+        """Submit the same job again, under the same key."""
+        job = self._submitted[name]
         self._call(at, lambda number: calls.JobSubmitted(number, job), name)
 
     def owner_of(self, name):
-        """The entry that sent a job's tasks to agents."""
+        """Return the entry that sent a job's tasks to agents."""
         for line in self.lines:
             words = line.split()
             if words[4:5] == ['Starts'] and words[5] == name:
@@ -126,7 +126,7 @@
         raise AssertionError(f'nobody owns {name}')
 
     def propose(self, change, at='entry-1', based_on=None):
-        """An operator proposes a change."""
+        """Propose a change of the configuration as an operator."""
         self._call(
             at,
             lambda number: calls.ChangeProposed(number, change, based_on),
@@ -135,20 +135,20 @@
 
     def kill(self, name):
         """End a process at once."""
-        self._tell(f'{name} is killed')
+        self._log(f'{name} is killed')
         self.processes[name].alive = False
-        for pair in [one for one in self._up if name in one]:
-            self._up.discard(pair)
+        for pair in [one for one in self._connected if name in one]:
+            self._connected.discard(pair)
             (other,) = pair - {name}
             self._feed(other, core.PeerDown(name, 1, False))
 
     def cut(self, name):
-        """Break every connection of a process; it may dial again."""
-        self._tell(f'{name} is cut off')
+        """Close every connection of a process, which may then reconnect."""
+        self._log(f'{name} is cut off')
         for pair in sorted(
-            [one for one in self._up if name in one], key=sorted
+            [one for one in self._connected if name in one], key=sorted
         ):
-            self._up.discard(pair)
+            self._connected.discard(pair)
             for one, two in itertools.permutations(sorted(pair)):
                 self._feed(one, core.PeerDown(two, 1))
 
@@ -162,7 +162,7 @@
 
     def _call(self, at, make, what):
         number = next(self._calls)
-        self._tell(f'caller > {at}: {what}')
+        self._log(f'caller > {at}: {what}')
         self.replies[number] = what
         self._at(0.0, lambda: self._feed(at, make(number)))
 
@@ -234,8 +234,8 @@
                 self._dials.add((name, address))
                 self._at(0.0, lambda: self._dial(name, address))
             case core.Note(event, fields):
-                told = ' '.join(f'{key}={val}' for key, val in fields)
-                self._tell(f'{name}: {event} {self._named(told)}')
+                text = ' '.join(f'{key}={val}' for key, val in fields)
+                self._log(f'{name}: {event} {self._replace_keys(text)}')
             case core.WakeAt(at):
                 self._wake(name, at)
             case calls.Reply(number, answer):
@@ -245,22 +245,22 @@
             case upstream.RunTask():
                 self._start(name, effect)
             case upstream.StopTask():
-                self._tell(f'{name} > worker: stop {effect.index}')
+                self._log(f'{name} > worker: stop {effect.index}')
 
     def _dial(self, name, address):
-        """Connect, and again after the connection or the try has failed."""
+        """Connect, and retry while the peer isn't connected."""
         if not self.processes[name].alive:
             return
         peer = address.partition(':')[0]
         pair = frozenset((name, peer))
-        if pair not in self._up and self.processes[peer].alive:
+        if pair not in self._connected and self.processes[peer].alive:
             self._connect(pair)
         elif not self.processes[peer].alive:
             self._feed(name, core.PeerDown(peer, 0, True))
         self._at(REDIAL, lambda: self._dial(name, address))
 
     def _connect(self, pair):
-        self._up.add(pair)
+        self._connected.add(pair)
         for one, two in itertools.permutations(sorted(pair)):
             hello = self.processes[two].hello()
             self._feed(one, core.PeerUp(hello))
@@ -268,14 +268,14 @@
             self._feed(one, core.Received(two, pong))
 
     def _send(self, name, peer, message):
-        if frozenset((name, peer)) not in self._up:
+        if frozenset((name, peer)) not in self._connected:
             return
         if not isinstance(message, PERIODIC):
-            self._tell(f'{name} > {peer}: {self._shown(message)}')
+            self._log(f'{name} > {peer}: {self._describe(message)}')
         data = messages.encode(message)
 
         def arrive():
-            if frozenset((name, peer)) in self._up:
+            if frozenset((name, peer)) in self._connected:
                 received = core.Received(name, messages.decode(data))
                 self._feed(peer, received)
 
@@ -283,7 +283,7 @@
 
     def _start(self, name, effect):
         seconds = json.loads(effect.payload)
-        self._tell(
+        self._log(
             f'{name} > worker: run {self._jobs[effect.job]} {effect.index}'
         )
         self.starts.append(
@@ -316,21 +316,21 @@
             self.answers.append(answer)
         if isinstance(answer, cluster.Proposed):
             self.verdicts.append((what, answer))
-            told = f'{answer.verdict}, version {answer.version}'
+            text = f'{answer.verdict}, version {answer.version}'
             if answer.verdict == 'accepted':
-                told += f', in force at {self._time(answer.in_force_at)}'
+                text += f', in force at {self._time(answer.in_force_at)}'
         else:
-            told = ' '.join(
+            text = ' '.join(
                 [answer.status.value, answer.code]
                 + [f'{one.id}={one.outcome.value}' for one in answer.tasks]
             )
-        self._tell(f'{name} > caller: {what}: {told}')
+        self._log(f'{name} > caller: {what}: {text}')
 
-    def _shown(self, message):
+    def _describe(self, message):
         kind = type(message).__name__
         match message:
             case messages.Starts():
-                tasks = self._refs(message.tasks)
+                tasks = self._describe_tasks(message.tasks)
                 before = self._time(message.start_before)
                 return f'{kind} {tasks} before {before}'
             case messages.Results():
@@ -340,7 +340,7 @@
                 )
                 return f'{kind} {tasks}'.rstrip()
             case messages.Settle():
-                return f'{kind} {self._refs(message.tasks)}'
+                return f'{kind} {self._describe_tasks(message.tasks)}'
             case messages.Forward():
                 return f'{kind} {message.action} {self._jobs[message.key]}'
             case messages.StopJob():
@@ -360,18 +360,18 @@
                 return f'{kind} of {message.owner}: {tasks}'.rstrip()
         return kind
 
-    def _refs(self, refs):
+    def _describe_tasks(self, refs):
         return ' '.join(f'{self._jobs[one.job]} {one.index}' for one in refs)
 
-    def _named(self, text):
+    def _replace_keys(self, text):
         for key, name in self._jobs.items():
             if isinstance(name, str):
                 text = text.replace(key, name)
         return text
 
     def _time(self, instant):
-        return f'{instant - self._began:.3f}'
+        return f'{instant - self._started_at:.3f}'
 
-    def _tell(self, text):
-        if self.telling:
-            self.lines.append(f'{self.now - self._began:8.3f} {text}')
+    def _log(self, text):
+        if self.recording:
+            self.lines.append(f'{self.now - self._started_at:8.3f} {text}')
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -22,9 +22,10 @@
 
 
 def test_a_copy_of_a_start_is_answered_from_the_ledger():
-    """A message arrives twice, while its task runs and after it has ended.
+    """A start message arrives again while its task runs and after its end.
 
-    A user would see a meeting booked twice.
+    If the copy started the task again, a user would see a meeting booked
+    twice.
     """
     rig = agents.ready()
     one = agents.task(KEY)
@@ -38,11 +39,11 @@
     assert agents.reports(effects) == {0: ('finished', '')}
 
 
-def test_a_refusal_stands_against_a_late_copy_and_a_later_attempt_runs():
-    """A start finds no free slot, is refused and is placed elsewhere.
+def test_a_late_copy_stays_refused_and_a_later_attempt_runs():
+    """A start is refused for lack of a slot, and its task placed elsewhere.
 
-    A copy of it, held up on the way, arrives when slots are free again.  If
-    it ran, the task would run twice and "not run" would have been a lie.
+    A delayed copy of the start arrives when a slot is free again.  If it ran,
+    the task would run twice and the answer "not run" would be false.
     """
     rig = agents.ready(slots=1)
     busy, late = agents.task(KEY, 0), agents.task(KEY, 1)
@@ -56,11 +57,11 @@
     assert agents.ran(rig.start('e', agents.task(KEY, 1, 2))) == [(KEY, 1)]
 
 
-def test_settling_refuses_for_good_what_never_arrived():
-    """A connection breaks with a start on its way, and the owner asks.
+def test_settle_refuses_starts_that_have_not_arrived():
+    """A connection breaks with a start in flight, and the owner settles.
 
-    The start arrives after all, held up in a socket.  If it ran, the owner
-    would meanwhile have placed the task elsewhere.
+    The delayed start arrives after all.  If it ran, the task would run twice,
+    as the owner has placed it elsewhere meanwhile.
     """
     rig = agents.ready()
     there, lost = agents.task(KEY, 0), agents.task(KEY, 1)
@@ -88,9 +89,9 @@
 def test_a_start_past_its_permit_or_from_a_wrong_clock_is_refused(
     ahead, before, reason
 ):
-    """A start is held up until its permit is over, or clocks disagree.
+    """A start arrives after its permit has ended, or clocks are too far apart.
 
-    If it ran, a zone that operators took out would still start work.
+    If it ran, a task would start in a zone that operators took out.
     """
     rig = agents.Rig()
     rig.feed(agents.announced())
@@ -101,11 +102,11 @@
     assert len(agents.ran(effects)) == (not reason)
 
 
-def test_a_start_for_an_earlier_life_of_the_agent_is_lost_not_refused():
-    """An agent restarts while starts to it are on their way.
+def test_a_start_for_an_earlier_incarnation_is_lost_not_refused():
+    """An agent restarts while starts to it are in flight.
 
-    Its earlier life may have run them, so neither a start nor "not run"
-    would be right.
+    Its earlier incarnation may have run them, so the agent may neither run
+    them nor answer "not run".
     """
     rig = agents.ready()
     effects = rig.start('e', agents.task(KEY), agent=rig.incarnation - 1)
@@ -113,10 +114,11 @@
     assert agents.reports(effects) == {0: ('lost', 'other_incarnation')}
 
 
-def test_what_runs_never_exceeds_slots_or_resources():
-    """Two owners fill the same agent at the same moment.
+def test_running_tasks_never_exceed_slots_or_resources():
+    """Two owners send starts to the same agent at the same time.
 
-    Overfilled, every task on the worker would slow down or be killed.
+    With more tasks than it has room for, a worker would slow down or kill
+    its tasks.
     """
     rig = agents.ready('a', 'b', slots=3)
     needs = types.Needs(3.0, 0, 0)
@@ -133,7 +135,7 @@
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
 
 
-def test_results_that_end_together_ride_together():
+def test_results_that_end_together_are_sent_together():
     rig = agents.ready()
     tasks = [agents.task(KEY, index) for index in range(5)]
     rig.start('e', *tasks)
@@ -145,16 +147,16 @@
     rig.now += 0.002
     (results,) = agents.sent(rig.feed(core.Tick()), messages.Results)
     assert [one.index for one in results.reports] == [1, 2]
-    # Nothing else runs after these two: no reason to wait.
+    # No other task runs after these two, so their reports aren't held.
     rig.end(tasks[3])
     assert agents.reports(rig.end(tasks[4])).keys() == {3, 4}
 
 
 def test_an_upstream_that_stops_renewing_loses_its_tasks_for_good():
-    """A worker dies in the middle of its tasks, or is paused for long.
+    """A worker dies while it runs tasks, or is paused for long.
 
-    The caller learns that their fate is unknown.  They aren't run again, and
-    the slots of what may still run aren't filled a second time.
+    The caller is told that their outcome is unknown.  They aren't run again,
+    and the slots of tasks that may still run aren't used for others.
     """
     rig = agents.Rig()
     rig.feed(agents.announced(slots=2, term=5.0))
@@ -172,10 +174,10 @@
 
 
 def test_an_agent_that_was_paused_gives_its_upstream_time_to_renew():
-    """The agent's machine stands still while the upstream renews its lease.
+    """The agent's machine is paused while the upstream renews its lease.
 
-    The renewals wait in a socket.  Given up at once, all running tasks would
-    be unknown although they run and end well.
+    The renewals wait in a socket.  If the lease expired at once, all running
+    tasks would end as unknown although they run and finish.
     """
     rig = agents.Rig()
     rig.feed(agents.announced(term=5.0))
@@ -187,10 +189,11 @@
     assert agents.reports(rig.tick(5.0)) == {0: ('lost', 'upstream_lapsed')}
 
 
-def test_another_life_of_the_upstream_loses_what_the_former_ran():
+def test_a_new_session_of_the_upstream_loses_the_tasks_of_the_old_one():
     """A worker's process is restarted and announces itself at once.
 
-    What its former life ran has no answer; the caller is told so.
+    The tasks of the earlier process will have no answer.  The caller is told
+    that they are lost.
     """
     rig = agents.ready(slots=1)
     one = agents.task(KEY)
@@ -202,10 +205,11 @@
     assert agents.reports(rig.end(one)) == {}
 
 
-def test_a_leaving_upstream_gets_nothing_new_and_ends_what_it_runs():
+def test_a_leaving_upstream_gets_no_new_task_and_ends_its_running_ones():
     """A worker is taken down for maintenance while tasks run on it.
 
-    Cut off, they would be lost; given more, it would never come to an end.
+    If they were cut off, they would be lost; if it got new tasks, the worker
+    would never be idle.
     """
     rig = agents.ready()
     one = agents.task(KEY)
@@ -217,11 +221,11 @@
     assert agents.reports(rig.end(one)) == {0: ('finished', '')}
 
 
-def test_a_stopping_agent_delivers_its_results_before_it_goes():
+def test_a_stopping_agent_delivers_its_results_before_it_exits():
     """An agent is stopped for an upgrade while a task runs on its worker.
 
-    The result must reach its owner, also one whose connection is broken
-    just then: lost with the process, the task would be unknown.
+    If the agent exited while the owner is disconnected, the result would be
+    lost and the task would end as unknown.
     """
     rig = agents.ready()
     one = agents.task(KEY)
@@ -236,10 +240,10 @@
     assert isinstance(effects[-2].message, messages.Goodbye)
 
 
-def test_stopping_a_job_reaches_its_running_tasks_and_bars_late_starts():
-    """A caller cancels a job whose starts are still on their way.
+def test_stopping_a_job_stops_its_running_tasks_and_refuses_late_starts():
+    """A caller cancels a job whose starts are still in flight.
 
-    A start that arrives after the cancellation would run for nobody.
+    A start that ran after the cancellation would waste a slot.
     """
     rig = agents.ready()
     tasks = [agents.task(KEY, index) for index in range(3)]
@@ -255,11 +259,11 @@
     assert agents.reports(effects) == {2: ('refused', 'job_stopped')}
 
 
-def test_heirs_learn_what_a_removed_entry_started():
-    """An entry dies while its tasks run, and its jobs pass to others.
+def test_successors_get_reports_on_the_tasks_of_a_removed_entry():
+    """An entry dies while its tasks run, and its jobs pass to successors.
 
-    Without the reports the heirs could only call every task unknown.  Reports
-    before the removal is in force could miss what is still being started.
+    Without the agent's reports, every task would end as unknown.  Reports sent
+    before the removal is in force could miss tasks that start later.
     """
     rig = agents.ready('a', 'b')
     done, runs = agents.task(KEY, 0), agents.task(KEY, 1)
@@ -298,10 +302,10 @@
     assert rig.receive('a', messages.Members(1, members)) == []
 
 
-def test_an_upstream_that_nobody_answers_for_gets_no_further_task():
-    """A worker's process is gone, and its announcement hasn't lapsed yet.
+def test_an_unreachable_upstream_gets_no_further_task():
+    """A worker's process has ended before its announcement expires.
 
-    Each task given to it until then would be lost, and it would look idle.
+    Each task sent to it until then would be lost, while it seems idle.
     """
     rig = agents.ready()
     one = agents.task(KEY)
@@ -352,11 +356,11 @@
 
 
 @pytest.mark.parametrize('before', [float('nan'), float('-inf')])
-def test_a_permit_that_is_no_instant_has_passed(before):
-    """An owner computes an end of its lease that is no number.
+def test_a_permit_whose_end_is_not_a_time_has_expired(before):
+    """An owner computes an end of its lease that is NaN or infinite.
 
-    Compared the wrong way round it would never pass, and tasks would start
-    in a zone that was taken out.
+    With the comparison the other way round, a permit until NaN would never
+    expire, and tasks would start in a zone that was taken out.
     """
     rig = agents.ready()
     effects = rig.start('e', agents.task(KEY), before=before)
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -23,7 +23,7 @@
 
 
 def call(*calls, **cfg):
-    """Status and JSON of the answer to each call, and what was fed."""
+    """Return status and JSON of each answer, and the events fed."""
     events = []
 
     async def main():
@@ -86,17 +86,17 @@
     ],
 )
 def test_a_fault_in_an_announcement_names_its_field(change, field):
-    """A new upstream is set up with a wrong value.
+    """A new upstream is set up with an invalid value.
 
-    Without the field's name its operator would have to guess, and a task
-    could be sent to a machine that it should never reach.
+    Without the field's name its operator could not find the fault.  If it
+    were accepted, a task could be sent to a machine that must not get it.
     """
     answers, events = call(('PUT', GOOD | change))
     ((code, data),) = answers
     assert (code, data['field'], events) == (400, field, [])
 
 
-def test_an_address_beyond_loopback_is_taken_if_the_settings_say_so():
+def test_an_address_beyond_loopback_is_accepted_if_the_settings_allow_it():
     far = GOOD | {'url': 'http://10.0.0.1:80'}
     answers, events = call(('PUT', far), plain_beyond_loopback=True)
     assert (answers[0][0], len(events)) == (200, 1)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""An owner, two agents and their workers under an adverse network."""
+"""An owner, two agents and their workers on an unreliable network."""
 
 import collections
 import dataclasses
@@ -18,14 +18,14 @@
 
 OWNER = 'owner'
 TASKS = 3
-FLYING = 10
+IN_FLIGHT_LIMIT = 10
 JOB = agents.key()
 ENDED = ('finished', 'failed', 'lost')
 
 
 @dataclasses.dataclass
 class Sent:
-    """Where the owner's last start of a task went."""
+    """The agent and attempt of the owner's last start of a task."""
 
     name: str
     incarnation: int
@@ -33,7 +33,7 @@
 
 
 class Worker:
-    """A worker with its agent, which may be restarted on its own."""
+    """A worker with its agent, which can be restarted separately."""
 
     def __init__(self, world, name):
         self.world = world
@@ -94,11 +94,11 @@
 
 
 class World:
-    """Owner, agents and whatever is on its way between them."""
+    """An owner, agents and the messages in flight between them."""
 
     def __init__(self):
         self.now = agents.NOW
-        self.flying = []
+        self.in_flight = []
         self.starts = collections.Counter()
         self.started = set()
         self.refused = set()
@@ -109,33 +109,33 @@
         self.workers = [Worker(self, 'x'), Worker(self, 'y')]
 
     def post(self, target, worker, message):
-        self.flying.append((target, worker, message))
-        del self.flying[:-FLYING]
+        self.in_flight.append((target, worker, message))
+        del self.in_flight[:-IN_FLIGHT_LIMIT]
 
     def deliver(self, number, keep):
-        if not self.flying:
+        if not self.in_flight:
             return
-        at = number % len(self.flying)
-        target, worker, message = self.flying[at]
+        at = number % len(self.in_flight)
+        target, worker, message = self.in_flight[at]
         if not keep:
-            del self.flying[at]
+            del self.in_flight[at]
         if target != OWNER:
             worker.feed(core.Received(OWNER, message))
         elif isinstance(message, messages.Results):
             for report in message.reports:
-                self.take(worker, message.agent_incarnation, report)
+                self.handle_report(worker, message.agent_incarnation, report)
         elif isinstance(message, messages.Offer):
-            self.meet(worker, message.agent_incarnation)
+            self.handle_offer(worker, message.agent_incarnation)
 
-    def meet(self, worker, incarnation):
-        """The owner sees another life of the agent: the former is gone."""
+    def handle_offer(self, worker, incarnation):
+        """End the tasks of earlier incarnations of an agent as lost."""
         for index, sent in self.sent.items():
             if sent is None or sent.name != worker.name:
                 continue
             if sent.incarnation < incarnation:
                 self.answers.setdefault(index, 'lost')
 
-    def take(self, worker, incarnation, report):
+    def handle_report(self, worker, incarnation, report):
         found = Sent(worker.name, incarnation, report.attempt)
         if report.state == 'refused':
             self.refused.add((report.index, report.attempt))
@@ -181,8 +181,8 @@
             self.start(worker, number % TASKS)
         elif move in ('deliver', 'copy'):
             self.deliver(number, keep=move == 'copy')
-        elif move == 'lose' and self.flying:
-            del self.flying[number % len(self.flying)]
+        elif move == 'lose' and self.in_flight:
+            del self.in_flight[number % len(self.in_flight)]
         elif move == 'settle':
             self.settle(worker)
         elif move == 'end':
@@ -218,7 +218,7 @@
 
 
 def history(seed):
-    """Moves drawn one by one; a list drawn whole is short and tame."""
+    """Return moves drawn one by one; drawn lists are short and uniform."""
     rng = random.Random(seed)
     kinds = [*COMMON * 4, *RARE]
     return [
@@ -261,14 +261,14 @@
     monkeypatch.setattr(ledger.Ledger, 'known', lambda *args: None)
 
 
-def serve_other_lives(monkeypatch):
+def serve_other_incarnations(monkeypatch):
     def answer(self, incarnation, ref, now):
         return self._ledger.known(ref, now)
 
     monkeypatch.setattr(agent.Agent, '_answer', answer)
 
 
-def refuse_for_other_lives(monkeypatch):
+def refuse_for_other_incarnations(monkeypatch):
     answer = agent.Agent._answer
 
     def refuse(self, incarnation, ref, now):
@@ -282,13 +282,18 @@
 
 @pytest.mark.parametrize(
     'broken',
-    [forget_refusals, start_copies, serve_other_lives, refuse_for_other_lives],
+    [
+        forget_refusals,
+        start_copies,
+        serve_other_incarnations,
+        refuse_for_other_incarnations,
+    ],
 )
-def test_the_property_notices_each_broken_rule(broken, monkeypatch):
-    """A check that can't fail would prove nothing.
+def test_the_property_test_detects_each_broken_rule(broken, monkeypatch):
+    """One of the agent's rules is disabled.
 
-    With any one rule of the agent taken away, a history must be found that
-    starts a task twice or makes a refusal false.
+    The property test above must then find a history that starts a task twice
+    or makes a refusal false; otherwise it would not test that rule.
     """
     broken(monkeypatch)
 
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -17,7 +17,7 @@
 
 
 def owner(key, known):
-    members = known.may_own(key, MEMBERS)
+    members = known.exclude_dead(key, MEMBERS)
     return ownership.owner(key, members, SKEW)
 
 
@@ -52,13 +52,13 @@
 
 
 def test_a_key_minted_after_its_owner_died_has_another_owner_at_once():
-    """The store is down and an entry is killed, so it stays listed.
+    """An entry is killed while the store is down, so it stays listed.
 
-    Callers of new jobs must not wait for the store to come back.
+    New jobs must not have to wait until the store is available again.
     """
     known = deaths.Deaths(SKEW)
     known.proved(MEMBERS[0], NOW)
-    late = NOW + SKEW + deaths.DEATH_MARGIN + 0.1
+    late = NOW + SKEW + deaths.DEATH_MARGIN_SECONDS + 0.1
     owners = {owner(key_at(late, seed), known).name for seed in range(50)}
     assert owners == {'b', 'c'}
     early = {owner(key_at(NOW, seed), known).name for seed in range(50)}
@@ -68,8 +68,8 @@
 def test_keys_minted_between_death_and_removal_need_no_takeover():
     """An entry died and was removed ten seconds later.
 
-    Jobs that others took in between must not be marked failed as if the
-    dead entry might have started them.
+    Jobs that others accepted in between must not fail as if the dead entry
+    might have started them.
     """
     known = deaths.Deaths(SKEW)
     known.proved(MEMBERS[0], NOW)
@@ -83,17 +83,17 @@
     assert seeds
     for seed in seeds:
         key = key_at(NOW + 5, seed)
-        suspects = known.may_own(key, members)
+        suspects = known.exclude_dead(key, members)
         assert not ownership.taken_over(key, suspects, SKEW)
     early = key_at(NOW - 1, seeds[0])
-    assert known.may_own(early, members) == members
+    assert known.exclude_dead(early, members) == members
 
 
-def test_an_heir_of_a_dead_entry_that_is_lost_too_is_taken_over_from():
+def test_a_lost_successor_of_a_dead_entry_is_taken_over_from():
     """One entry is killed, another serves its new keys and is lost as well.
 
     The second is removed while the first is still listed.  Unless the third
-    asks for reports of the second's tasks, it runs them a second time.
+    entry takes the second's jobs over, it runs their tasks a second time.
     """
     known = deaths.Deaths(SKEW)
     known.proved(MEMBERS[0], NOW)
@@ -106,6 +106,6 @@
     ]
     assert served_by_b
     for key in served_by_b:
-        suspects = known.may_own(key, members)
+        suspects = known.exclude_dead(key, members)
         assert ownership.owner(key, suspects, SKEW).name == 'c'
         assert ownership.taken_over(key, suspects, SKEW)
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -1,4 +1,4 @@
-"""Entries, agents and workers as reducers, under an adverse network."""
+"""Entries, agents and workers as reducers on an unreliable network."""
 
 import collections
 import dataclasses
@@ -25,20 +25,20 @@
 
 FENCE = 3.0
 LEASE = 2.75
-FLYING = 25
+IN_FLIGHT_LIMIT = 25
 MOVES = 300
 JOBS = 4
 TASKS = 2
 
 
 class FakeConfiguration:
-    """What an entry knows of the cluster, while it can read the store."""
+    """The configuration that an entry reads from the store at each tick."""
 
     def __init__(self, world, name):
         self._world = world
         self._name = name
         self._read_at = world.now
-        self._known = list(world.configs)
+        self._configs = list(world.configs)
 
     @property
     def version(self):
@@ -53,7 +53,7 @@
         return []
 
     def in_force(self, now):
-        return [one for one in self._known if one.in_force_at <= now][-1]
+        return [one for one in self._configs if one.in_force_at <= now][-1]
 
     def lease_until(self, now):
         return self._read_at + LEASE
@@ -68,7 +68,7 @@
 
     def on_tick(self, now):
         self._read_at = now
-        self._known = list(self._world.configs)
+        self._configs = list(self._world.configs)
         return []
 
     def on_peer_up(self, hello, now):
@@ -82,7 +82,7 @@
 
 
 class Node:
-    """An entry or agent, with what the network knows of it."""
+    """An entry or agent, and its state in the simulation."""
 
     def __init__(self, world, name, role):
         self.world = world
@@ -108,7 +108,7 @@
             elif isinstance(effect, core.Exit):
                 self.dead = True
             elif isinstance(effect, calls.Reply):
-                self.world.answered(effect.answer)
+                self.world.check_answer(effect.answer)
             elif isinstance(effect, upstream.RunTask):
                 self.running[effect.job, effect.index] = effect
                 self.world.starts[effect.job, effect.index] += 1
@@ -127,7 +127,7 @@
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.now = agents.NOW
-        self.flying = []
+        self.in_flight = []
         self.starts = collections.Counter()
         self.finished = set()
         self.not_run = set()
@@ -138,7 +138,7 @@
         self.entries = [self.entry(one) for one in members]
         self.agents = [Node(self, name, 'agent') for name in 'xy']
         for one in self.agents:
-            self.begin(one)
+            self.start_agent(one)
         self.nodes = {one.name: one for one in self.entries + self.agents}
         for one in self.agents:
             self.connect_all(one)
@@ -161,7 +161,7 @@
                 node.feed(core.PeerUp(other))
         return node
 
-    def begin(self, node):
+    def start_agent(self, node):
         cfg = agent.AgentConfig(node.name)
         node.reducer = agent.Agent.from_config(cfg, node.incarnation)
         session = f'{node.name}{node.incarnation}'
@@ -187,25 +187,27 @@
             one.feed(core.PeerDown(node.name, node.incarnation))
 
     def post(self, node, effect):
-        self.flying.append((node.name, effect.peer, effect.message))
-        del self.flying[:-FLYING]
+        self.in_flight.append((node.name, effect.peer, effect.message))
+        del self.in_flight[:-IN_FLIGHT_LIMIT]
 
     def drain(self):
-        while self.flying:
+        while self.in_flight:
             self.deliver(0)
 
     def deliver(self, number, keep=False):
-        if not self.flying:
+        if not self.in_flight:
             return
-        at = number % len(self.flying)
-        source, target, message = self.flying[at]
+        at = number % len(self.in_flight)
+        source, target, message = self.in_flight[at]
         node = self.nodes[target]
         if node.paused:
             return
         if not keep:
-            del self.flying[at]
-        known = node.role == 'agent' or self.nodes[source].role == 'entry'
-        if known or source in node.reducer.owner.agents:
+            del self.in_flight[at]
+        is_connected = (
+            node.role == 'agent' or self.nodes[source].role == 'entry'
+        )
+        if is_connected or source in node.reducer.owner.agents:
             node.feed(core.Received(source, message))
 
     def submit(self, one, number):
@@ -221,7 +223,7 @@
         spec = dataclasses.replace(self.jobs[number], deadline=self.now + 60)
         one.feed(calls.JobSubmitted(0, spec))
 
-    def answered(self, answer):
+    def check_answer(self, answer):
         self.statuses[answer.status.value, answer.code] += 1
         keys = [(answer.key, index) for index in range(TASKS)]
         if answer.status == types.JobStatus.COMPLETE:
@@ -235,7 +237,7 @@
                 assert key in self.finished
 
     def remove(self, one, stopped_at=0.0):
-        """The entry's removal is written, and in force after the fence."""
+        """Write an entry's removal, which is in force after the fence."""
         latest = self.configs[-1]
         if len(latest.listed()) == 1 or latest.member(one.name) is None:
             return
@@ -255,7 +257,7 @@
             self.disconnect(one, node)
         node.incarnation += 1
         node.running.clear()
-        self.begin(node)
+        self.start_agent(node)
         self.connect_all(node)
 
     def tick(self, seconds):
@@ -271,8 +273,8 @@
         node = self.rng.choice(self.agents)
         if kind in ('deliver', 'copy'):
             self.deliver(number, keep=kind == 'copy')
-        elif kind == 'lose' and self.flying:
-            del self.flying[number % len(self.flying)]
+        elif kind == 'lose' and self.in_flight:
+            del self.in_flight[number % len(self.in_flight)]
         elif kind == 'submit':
             self.submit(one, number)
         elif kind == 'end':
@@ -343,11 +345,12 @@
         test_at_most_once.start_copies,
     ],
 )
-def test_the_property_notices_each_broken_rule(broken, monkeypatch):
-    """A check that can't fail would prove nothing.
+def test_the_property_test_detects_each_broken_rule(broken, monkeypatch):
+    """One of the rules for successors or agents is disabled.
 
-    A successor that runs a lost entry's jobs anew, or an agent that forgets
-    what it refused or started, must be caught.
+    A successor then runs a lost entry's jobs as new ones, or an agent has no
+    records of its refusals or starts.  The property test above must detect
+    each of these faults; otherwise it would not test that rule.
     """
     broken(monkeypatch)
 
--- a/tests/test_httpupstream.py
+++ b/tests/test_httpupstream.py
@@ -13,7 +13,7 @@
 from tests import test_standin_upstream
 
 
-class Pair:
+class AgentAndWorker:
     """An agent's HTTP side and a stand-in worker that announces to it."""
 
     def __init__(self):
@@ -36,8 +36,8 @@
             'j', index, 1, 'k', payload, types.Needs(), 0.0, url, 's'
         )
 
-    async def ended(self, count=1):
-        """State, body and reason of the tasks that have ended."""
+    async def wait_for_ends(self, count=1):
+        """Return state and reason of the ended tasks, at least ``count``."""
         kind = upstream.TaskEnded
         async with asyncio.timeout(10):
             while True:
@@ -49,7 +49,7 @@
 
 def play(scenario):
     async def main():
-        pair = Pair()
+        pair = AgentAndWorker()
         await pair.worker.start()
         await pair.events.until(1)
         try:
@@ -67,11 +67,11 @@
     async def scenario(pair):
         assert pair.events[0].url == pair.worker.announced.url
         pair.upstream.run(pair.task())
-        assert await pair.ended() == [('finished', '')]
+        assert await pair.wait_for_ends() == [('finished', '')]
         assert pair.events[-1].body == b'{"job":"j","index":0}'
         assert pair.worker.worker.starts == {('j', 0): 1}
         pair.upstream.run(pair.task(1, b'{"fail": true}'))
-        assert (await pair.ended(2))[1] == ('failed', 'standin_fault')
+        assert (await pair.wait_for_ends(2))[1] == ('failed', 'standin_fault')
         await pair.worker.leave()
         assert pair.events[-1] == upstream.UpstreamLeft('s')
 
@@ -87,7 +87,7 @@
         stop = upstream.Action.STOP
         url = pair.worker.announced.url
         pair.upstream.stop(upstream.StopTask('j', 0, stop, url))
-        assert await pair.ended() == [('failed', 'stopped')]
+        assert await pair.wait_for_ends() == [('failed', 'stopped')]
 
     play(scenario)
 
@@ -95,8 +95,8 @@
 def test_a_worker_that_dies_in_the_middle_leaves_its_tasks_unknown():
     """A worker's process is killed while it runs a task.
 
-    The task may have taken effect.  Called failed or sent again, the caller
-    would repeat it and file a quote twice.
+    The task may have taken effect.  If it were reported as failed or sent
+    again, a quote would be filed twice.
     """
 
     async def scenario(pair):
@@ -105,18 +105,19 @@
             while not pair.worker.worker.running:
                 await asyncio.sleep(0.001)
         await pair.worker.stop()
-        assert await pair.ended() == [('lost', 'no_answer')]
+        assert await pair.wait_for_ends() == [('lost', 'no_answer')]
         pair.upstream.run(pair.task(1))
-        assert (await pair.ended(2))[1] == ('lost', 'no_answer')
+        assert (await pair.wait_for_ends(2))[1] == ('lost', 'no_answer')
         assert upstream.UpstreamGone('s') in pair.events
 
     play(scenario)
 
 
 def test_an_answer_that_is_no_json_is_a_failure():
-    """An upstream answers with an HTML page from something in between.
+    """A proxy in front of an upstream answers with an HTML page.
 
-    Put into a job's answer as it is, it would break the whole answer.
+    If the page were copied into a job's answer, the answer would be invalid
+    JSON.
     """
 
     async def scenario(pair):
@@ -130,7 +131,7 @@
             's', ('k',), 1, types.Needs(), url, 5.0
         )
         pair.upstream.run(pair.task())
-        assert await pair.ended() == [('failed', 'answer_not_json')]
+        assert await pair.wait_for_ends() == [('failed', 'answer_not_json')]
         server.stop()
 
     play(scenario)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -10,18 +10,18 @@
     return types.JobSpec(key, 'team', tasks, NOW + 60)
 
 
-def ended(made, key, at):
-    job = made.add(spec(key), at)
+def add_ended_job(all_jobs, key, at):
+    job = all_jobs.add(spec(key), at)
     job.end_task(0, types.Outcome.FINISHED)
-    return made.settle(job, at)
+    return all_jobs.settle(job, at)
 
 
-def refused(key):
+def refused_answer(key):
     return types.JobAnswer(key, types.JobStatus.NOT_RUN)
 
 
 def test_only_a_job_whose_tasks_all_finished_is_complete():
-    made = jobs.Jobs(WINDOW)
+    all_jobs = jobs.Jobs(WINDOW)
     outcomes = types.Outcome
     for one, status in (
         (outcomes.FINISHED, types.JobStatus.COMPLETE),
@@ -29,11 +29,11 @@
         (outcomes.UNKNOWN, types.JobStatus.FAILED),
         (outcomes.NOT_RUN, types.JobStatus.FAILED),
     ):
-        job = made.add(spec(one, 2), NOW)
+        job = all_jobs.add(spec(one, 2), NOW)
         job.end_task(0, outcomes.FINISHED)
-        assert made.settle(job, NOW) is None
+        assert all_jobs.settle(job, NOW) is None
         job.end_task(1, one)
-        settled = made.settle(job, NOW)
+        settled = all_jobs.settle(job, NOW)
         assert settled.answer.status is status
         assert [answer.outcome for answer in settled.answer.tasks] == [
             outcomes.FINISHED,
@@ -42,32 +42,32 @@
 
 
 def test_an_answer_once_given_never_changes():
-    """A result comes in after its job was given up at its deadline.
+    """A result arrives after its job ended at its deadline.
 
-    A caller who asks again must not be told another story than the first.
+    A caller that requests the job again must get the first answer.
     """
-    made = jobs.Jobs(WINDOW)
-    job = made.add(spec('j', 2), NOW)
+    all_jobs = jobs.Jobs(WINDOW)
+    job = all_jobs.add(spec('j', 2), NOW)
     job.end_task(0, types.Outcome.UNKNOWN)
     job.end_task(0, types.Outcome.FINISHED)
     job.end_task(1, types.Outcome.NOT_RUN)
-    first = made.settle(job, NOW).answer
+    first = all_jobs.settle(job, NOW).answer
     job.end_task(0, types.Outcome.FINISHED)
-    assert made.settle(job, NOW + 1) is None
-    assert made.get('j').answer is first
+    assert all_jobs.settle(job, NOW + 1) is None
+    assert all_jobs.get('j').answer is first
     assert first.status is types.JobStatus.FAILED
-    assert made.running() == []
+    assert all_jobs.running() == []
 
 
-def test_what_ended_is_forgotten_after_the_window_and_not_before():
-    made = jobs.Jobs(WINDOW)
-    made.refuse(refused('a'), NOW)
-    ended(made, 'b', NOW + 1)
-    made.refuse(refused('a'), NOW + 2)
-    running = made.add(spec('c'), NOW)
-    made.forget(NOW + WINDOW + 1)
-    assert made.get('b') is None
-    assert made.refusal('a') is not None
-    made.forget(NOW + WINDOW + 2)
-    assert made.refusal('a') is None
-    assert made.running() == [running]
+def test_ended_jobs_are_deleted_after_the_window_and_not_before():
+    all_jobs = jobs.Jobs(WINDOW)
+    all_jobs.refuse(refused_answer('a'), NOW)
+    add_ended_job(all_jobs, 'b', NOW + 1)
+    all_jobs.refuse(refused_answer('a'), NOW + 2)
+    running = all_jobs.add(spec('c'), NOW)
+    all_jobs.delete_expired(NOW + WINDOW + 1)
+    assert all_jobs.get('b') is None
+    assert all_jobs.refusal('a') is not None
+    all_jobs.delete_expired(NOW + WINDOW + 2)
+    assert all_jobs.refusal('a') is None
+    assert all_jobs.running() == [running]
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -17,7 +17,7 @@
     return process.outside.clock.now()
 
 
-def suspicion_ends(process):
+def last_suspect_stamp(process):
     entries = config(process).in_force.entries
     removed_at = max(one.removed_at for one in entries)
     return removed_at + whole.TIMING.skew_seconds
@@ -30,17 +30,17 @@
 
 
 async def submit(cluster, process):
-    """A job's answer; asked again while its owner is being replaced."""
+    """Submit a job through a process and return its answer."""
     key = {'Idempotency-Key': str(uuid_utils.uuid7())}
     body = whole.job(5)
     return await cluster.call(process, 'POST', '/v1/jobs', body, **key)
 
 
 def test_jobs_complete_while_the_table_service_is_down():
-    """The service is down for longer than a lease; a departure then fails.
+    """The service is down for longer than a lease.
 
-    Callers notice nothing.  The operator is told that nothing was written,
-    and the same departure holds once the service is back.
+    Jobs still complete.  Taking a zone out fails with a status that says that
+    nothing was written, and succeeds once the service is available again.
     """
 
     async def main():
@@ -73,23 +73,26 @@
     asyncio.run(main())
 
 
-def test_an_entry_killed_in_an_outage_stops_nobody():
-    """Its port refuses connections, so the other entry goes on alone."""
+def test_an_entry_killed_in_an_outage_stops_no_other_entry():
+    """An entry is killed during an outage of the table service.
+
+    Its port refuses connections, so the other entry continues alone.
+    """
 
     async def main():
         async with whole.cluster() as cluster:
-            left, gone = cluster.entries
+            survivor, killed = cluster.entries
             cluster.table.faults.outage = True
-            await until(lambda: config(left).lease_source == 'peers')
-            gone.kill()
+            await until(lambda: config(survivor).lease_source == 'peers')
+            killed.kill()
             for _ in range(2 * round(whole.TIMING.fence_seconds)):
                 await asyncio.sleep(1.0)
-                assert config(left).lease_source == 'peers'
+                assert config(survivor).lease_source == 'peers'
             cluster.table.faults.outage = False
-            await until(lambda: len(config(left).in_force.listed()) == 1)
+            await until(lambda: len(config(survivor).in_force.listed()) == 1)
             # Keys stamped sooner may have been started by the lost entry.
-            await until(lambda: suspicion_ends(left) < now(left))
-            code, _ = await submit(cluster, left)
+            await until(lambda: last_suspect_stamp(survivor) < now(survivor))
+            code, _ = await submit(cluster, survivor)
             assert code == 200
 
     asyncio.run(main())
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -19,7 +19,7 @@
 
 
 class Config:
-    """The part of the configuration that an owner asks."""
+    """The part of the configuration that an owner uses."""
 
     version = 1
 
@@ -39,13 +39,13 @@
 
 @pytest.fixture
 def made(config):
-    """An owner with one agent of two slots."""
+    """Return an owner with one agent of two slots."""
     rng = random.Random(1)
     settings = dispatch.DispatchSettings('e')
     dispatcher = dispatch.Dispatch.from_config(settings, rng)
     made = owner.Owner('e', 1, owner.OwnerConfig(), config, dispatcher)
     hello = messages.Hello('a', 'agent', 7, 'z', 'r', '', 0)
-    made.agent_up(hello, NOW)
+    made.on_agent_up(hello, NOW)
     offer = messages.Offer(7, 2, 2, ('k',), types.Needs(), False)
     made.on_offer('a', offer, NOW)
     return made
@@ -83,8 +83,8 @@
 def test_a_job_sent_after_a_pause_waits_for_the_lease(made, config):
     """The process was paused for longer than its read lease.
 
-    The first callers after it goes on are served a moment later, when the
-    configuration was read again, and are not turned away.
+    The first jobs after it resumes must not be refused.  They start a moment
+    later, when the configuration has been read again.
     """
     late = NOW + LEASE + 5
     effects = made.submit(job('j'), jobs.LocalWaiter(1), late)
@@ -95,10 +95,10 @@
     assert sent.start_before == config.lease
 
 
-def test_jobs_are_refused_once_the_lease_stays_away(made):
-    """The store is out of reach and so are the peers.
+def test_jobs_are_refused_after_the_grace_of_an_expired_lease(made):
+    """The store and the peers are unreachable.
 
-    New callers are told at once, and truly, that their jobs did not run.
+    New jobs must get the answer "not run" at once instead of waiting.
     """
     lapsed = NOW + LEASE
     made.advance(lapsed)
@@ -119,9 +119,10 @@
 
 
 def test_a_report_of_an_older_attempt_changes_nothing(made):
-    """A report was held up on the way and crosses with a later attempt.
+    """A delayed report about an earlier attempt arrives.
 
-    Taken for the later one, a task that runs would be called ended.
+    If it were applied to the current attempt, a running task would count as
+    ended.
     """
     submit(made, 'j', NOW)
     assert not replies(made.on_results('a', report('finished', 5), NOW))
@@ -130,10 +131,10 @@
     assert not replies(made.on_results('a', report('failed'), NOW))
 
 
-def test_a_deadline_ends_a_job_at_once_and_tells_what_may_have_run(made):
-    """A straggler runs on past the deadline while other tasks wait.
+def test_a_deadline_ends_a_job_and_shows_which_tasks_may_have_run(made):
+    """A task runs past the deadline while other tasks are queued.
 
-    The caller is told which task may have run and which never will.
+    The answer must show which tasks may have run and which never will.
     """
     submit(made, 'j', NOW, count=3)
     (answer,) = replies(made.advance(NOW + 60))
@@ -142,11 +143,11 @@
     assert outcomes == ['unknown', 'unknown', 'not_run']
 
 
-def test_a_key_ahead_of_the_clock_is_remembered_until_it_expires():
-    """A caller's clock is ahead, and a copy of its request comes very late.
+def test_the_refusal_of_a_key_ahead_of_the_clock_is_stored_until_it_expires():
+    """A caller's clock is ahead, and a copy of its request arrives very late.
 
-    The key is valid for the window and two seconds more.  Forgotten in
-    between, its job would be let in after its caller was told "not run".
+    The key is valid for the window and two seconds more.  If its refusal were
+    deleted before that, the job would run after the answer "not run".
     """
     settings = dispatch.DispatchSettings()
     made = dispatch.Dispatch.from_config(settings, random.Random(1))
@@ -160,4 +161,4 @@
     late = agents.NOW + 601
     found.on_tick(late)
     assert ownership.check(key, late) is None
-    assert found.known(spec, waiter) is not None
+    assert found.answer_resubmission(spec, waiter) is not None
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -20,7 +20,7 @@
     return messages.Member(name, 1, '', 'z', listed_at, removed_at)
 
 
-def test_a_key_tells_its_instant_and_is_refused_out_of_the_window():
+def test_a_key_contains_its_time_stamp_and_is_refused_out_of_the_window():
     assert ownership.stamp(key_at(NOW)) == NOW
     faults = ownership.KeyFault
     for shift, fault in (
@@ -37,8 +37,8 @@
 def test_another_spelling_of_a_key_is_refused(change):
     """A caller writes the same UUID in capitals when it submits again.
 
-    Taken as another key it would hash to another owner and its tasks would
-    run a second time.
+    If that counted as another key, it would hash to another owner and its
+    tasks would run a second time.
     """
     key = change(key_at(NOW, 0xABC))
     assert ownership.check(key, NOW) is ownership.KeyFault.MALFORMED
@@ -46,7 +46,7 @@
         ownership.stamp(key)
 
 
-def test_keys_spread_evenly_and_nobody_owns_them_without_entries():
+def test_keys_spread_evenly_and_have_no_owner_without_entries():
     members = tuple(member(name, NOW - 60) for name in 'abc')
     owners = [
         ownership.owner(key_at(NOW, seed), members).name
@@ -59,8 +59,8 @@
 def test_a_planned_stop_leaves_no_new_key_suspect():
     """An operator replaces entries one by one while callers submit jobs.
 
-    A new key that falls to the next owner has never been let in before; were
-    it suspect, its job would be marked failed after every planned stop.
+    No entry has accepted a new key that the next owner gets.  If the key were
+    suspect, its job would fail after every planned stop.
     """
     lost = member('a', NOW - 60, NOW)
     stopped = dataclasses.replace(lost, stopped_at=NOW - 3)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,7 +1,7 @@
-"""Golden files of whole sessions: what goes where, and when.
+"""Snapshot tests of the messages in whole sessions, with their times.
 
-After a change that is meant to alter a session, look at the difference and
-write the files anew by ``pytest tests/test_sessions.py --snapshot-update``.
+After a change that is meant to alter a session, check the difference and
+update the snapshots by ``pytest tests/test_sessions.py --snapshot-update``.
 """
 
 import collections
@@ -21,7 +21,10 @@
 
 
 def told(session):
-    """The session's lines; its promises are checked by the way."""
+    """Check that no task started twice and no "not run" is false.
+
+    :returns: the session's lines.
+    """
     starts = collections.Counter((job, i) for _, _, job, i in session.starts)
     assert all(count == 1 for count in starts.values()), 'started twice'
     ran = {job for job, _ in starts}
@@ -38,9 +41,9 @@
 
 
 def test_a_refused_job(session, snapshot):
-    """No upstream serves the kind of task that a caller asks for.
+    """No upstream runs the kind of task that a caller submits.
 
-    It is told at once that nothing ran, and nothing goes to an agent.
+    The answer is "not run", and no task is sent to an agent.
     """
     session.submit('job', [0.1], kind='unheard-of')
     session.run(12.0)
@@ -49,10 +52,9 @@
 
 
 def test_a_zone_departure(session, snapshot):
-    """Operators take a zone out while callers keep handing in jobs.
+    """Operators take a zone out while callers keep submitting jobs.
 
-    Nothing starts there once the change is in force, and again when the
-    zone is back.
+    No task starts there once the change is in force, until the zone is back.
     """
     session.propose(cluster.ZoneOut('b'))
     for number in range(8):
@@ -66,9 +68,9 @@
 
 
 def test_a_preset_switch(session, snapshot):
-    """Two operators switch the preset at the same moment.
+    """Two operators switch the preset at the same time.
 
-    One of them wins; the other learns so, and nothing of its change holds.
+    One change is accepted; the other is rejected and has no effect.
     """
     session.propose(cluster.PresetUse('peak'), based_on=2)
     session.propose(cluster.PresetUse('maintenance'), at='entry-2', based_on=2)
@@ -81,8 +83,8 @@
 def test_an_entry_lost(session, snapshot):
     """An entry is killed while it owns a running job.
 
-    Its caller asks the other entry, which never starts a task again and
-    answers once the lost one is removed.
+    The caller submits the job to the other entry, which starts no task again
+    and answers once the lost entry is removed.
     """
     session.submit('job', [0.3, 3.0], timeout=60.0)
     session.run(0.5)
@@ -98,7 +100,7 @@
 
 
 def test_an_entry_lost_and_asked_for_too_late(session, snapshot):
-    """The caller comes back only after its job's deadline has passed.
+    """The caller submits again only after its job's deadline has passed.
 
     Its tasks ran, so the answer must not be "not run".
     """
@@ -131,7 +133,7 @@
 
 
 class Player:
-    """Plays steps against a session; at most one entry is killed."""
+    """A runner of steps in a session, which kills at most one entry."""
 
     def __init__(self):
         self.session = sessions.Session()
@@ -206,14 +208,14 @@
 
 
 def is_unknown(answer):
-    """Whether a failed job's answer says that some outcome is unknown."""
+    """Return whether a failed job's answer has a task of unknown outcome."""
     return answer.status == types.JobStatus.FAILED and any(
         task.outcome == types.Outcome.UNKNOWN for task in answer.tasks
     )
 
 
 def late_starts(session):
-    """Starts in zone b while it was out, by the accepted changes."""
+    """Return the starts in zone b while accepted changes had it out."""
     changes = sorted(
         (verdict.version, verdict.in_force_at, what.startswith('ZoneOut'))
         for what, verdict in session.verdicts
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -20,14 +20,14 @@
     return [found.credits(owner) for owner in owners]
 
 
-def test_slots_that_nobody_waits_for_are_spread_evenly():
+def test_slots_without_demand_are_spread_evenly():
     assert sorted(credits(leased(A, B, C), A, B, C)) == [2, 3, 3]
 
 
 def test_one_entry_with_all_the_demand_gets_all_slots():
     """One caller's job fills the queue of one entry; the others are idle.
 
-    Slots kept for the others would stand empty and the job take longer.
+    Slots leased to the others would stay unused and the job take longer.
     """
     found = leased(A, B)
     found.want(A, 100)
@@ -36,11 +36,11 @@
     assert found.revise() == []
 
 
-def test_a_burst_leaves_its_neighbour_an_equal_share_as_tasks_end():
-    """An entry asks for slots while a neighbour's burst holds them all.
+def test_a_burst_leaves_another_entry_an_equal_share_as_tasks_end():
+    """An entry needs slots while the burst of another entry uses all of them.
 
-    Left waiting for the end of the burst, its callers would starve; the
-    first slot that comes free must be its own.
+    If it had to wait for the end of the burst, its callers would starve.  It
+    must get the first slot that is released.
     """
     found = leased(A, B)
     found.want(A, 100)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -14,9 +14,9 @@
 from tests import whole
 
 NOW = agents.NOW
-LOST = agents.member('lost', removed_at=NOW + 1)
-HEIR = agents.member('heir')
-MEMBERS = (LOST, HEIR)
+REMOVED = agents.member('lost', removed_at=NOW + 1)
+SUCCESSOR = agents.member('heir')
+MEMBERS = (REMOVED, SUCCESSOR)
 KEY = next(
     agents.key(seed)
     for seed in range(100)
@@ -37,17 +37,17 @@
     return messages.TaskReport(KEY, index, 1, state, b'1', digest=digest)
 
 
-def told(*reports, last=True):
-    found = takeover.Takeover('heir', 600.0, 2.0)
+def make_takeover(*reports, last=True):
+    state = takeover.Takeover('heir', 600.0, 2.0)
     orphans = messages.Orphans('lost', 1, reports, last)
-    found.on_orphans('x', 7, orphans)
-    return found
+    state.on_orphans('x', 7, orphans)
+    return state
 
 
-def adopted(found, connected=None, count=3):
+def adopt_job(state, connected=None, count=3):
     job = jobs.Job(spec(count), NOW)
     takeover.adopt(
-        job, found.take(KEY), AGENTS if connected is None else connected
+        job, state.pop(KEY), AGENTS if connected is None else connected
     )
     return job
 
@@ -59,25 +59,25 @@
 def test_a_resubmitted_job_takes_over_what_agents_report():
     """An entry is killed while its job runs, and its caller submits again.
 
-    Finished tasks keep their answers, running ones are awaited, and one that
-    no agent reports may have run: the caller must not be told "not run".
+    Finished tasks keep their answers and running ones are awaited.  A task
+    that no agent reports may have run, so it must not end as "not run".
     """
-    found = told(report(0, 'finished'), report(1, 'running'))
-    job = adopted(found)
+    state = make_takeover(report(0, 'finished'), report(1, 'running'))
+    job = adopt_job(state)
     assert outcomes(job) == ['finished', None, 'unknown']
     assert job.tasks[1] == jobs.TaskRecord('x', 7, 1, adopted=True)
     assert job.open == 1
 
 
-def test_a_task_that_ends_before_its_job_is_asked_for_is_kept():
-    """The caller of a lost entry waits a while before it submits again.
+def test_a_task_that_ends_before_its_job_is_resubmitted_is_kept():
+    """The caller of a lost entry waits before it submits again.
 
-    Its task ends meanwhile.  If that were forgotten, the caller would be
-    told that the task still runs, for ever.
+    Its task ends meanwhile.  If that report were dropped, the task would stay
+    running for ever in the caller's view.
     """
-    found = told(report(1, 'running'))
-    found.on_result('x', report(1, 'finished'))
-    assert outcomes(adopted(found))[1] == 'finished'
+    state = make_takeover(report(1, 'running'))
+    state.on_result('x', report(1, 'finished'))
+    assert outcomes(adopt_job(state))[1] == 'finished'
 
 
 @pytest.mark.parametrize(
@@ -85,70 +85,72 @@
     [{}, {'x': dataclasses.replace(AGENTS['x'], incarnation=8)}],
 )
 def test_a_running_task_of_a_lost_agent_is_unknown(connected):
-    """An entry and an agent of its tasks die together.
+    """An entry and an agent that runs its tasks die together.
 
-    A running task is awaited at an agent that can't tell its end any more.
+    If the task were awaited, the job would never end, as the agent sends no
+    report any more.
     """
-    found = told(report(0, 'running'))
-    assert outcomes(adopted(found, connected, 1)) == ['unknown']
+    state = make_takeover(report(0, 'running'))
+    assert outcomes(adopt_job(state, connected, 1)) == ['unknown']
 
 
 def test_another_body_under_a_taken_over_key_is_refused():
-    """A caller reuses a key for another job, or another team has the key.
+    """A caller reuses a key for another job, or another team uses the key.
 
-    The new owner never saw the first body.  It must not hand out the results
+    The new owner doesn't have the first body.  It must not send the results
     of one request as the answer to another.
     """
-    found = told(report(0, 'finished'), report(1, 'finished'))
-    assert found.fits(spec())
-    assert not found.fits(spec(count=1))
-    assert not found.fits(spec(payload=b'{"other": 1}'))
-    assert not found.fits(spec(team='other'))
+    state = make_takeover(report(0, 'finished'), report(1, 'finished'))
+    assert state.matches(spec())
+    assert not state.matches(spec(count=1))
+    assert not state.matches(spec(payload=b'{"other": 1}'))
+    assert not state.matches(spec(team='other'))
 
 
-def test_a_job_waits_until_each_agent_has_told_all():
-    """Reports arrive one message after another while a caller asks.
+def test_a_job_waits_until_each_agent_has_sent_all_reports():
+    """Reports arrive one message after another while a caller submits again.
 
-    Judged by half of them, finished tasks would be called unknown.
+    If the job were answered after half of them, finished tasks would end as
+    unknown.
     """
     now = NOW + 1.5
-    found = told(last=False)
-    assert found.concerns(KEY, MEMBERS)
-    assert not found.gathered(KEY, MEMBERS, AGENTS, now)
-    found = told()
-    assert found.gathered(KEY, MEMBERS, AGENTS, now)
+    state = make_takeover(last=False)
+    assert state.concerns(KEY, MEMBERS)
+    assert not state.is_complete(KEY, MEMBERS, AGENTS, now)
+    state = make_takeover()
+    assert state.is_complete(KEY, MEMBERS, AGENTS, now)
     other = dataclasses.replace(AGENTS['x'], name='y')
     more = AGENTS | {'y': other}
-    assert not found.gathered(KEY, MEMBERS, more, now)
-    assert found.gathered(KEY, MEMBERS, more, now + 5)
-    late = (LOST, dataclasses.replace(HEIR, listed_at=NOW + 60))
-    assert not found.gathered(KEY, late, more, now + 60)
+    assert not state.is_complete(KEY, MEMBERS, more, now)
+    assert state.is_complete(KEY, MEMBERS, more, now + 5)
+    late = (REMOVED, dataclasses.replace(SUCCESSOR, listed_at=NOW + 60))
+    assert not state.is_complete(KEY, late, more, now + 60)
 
 
-def test_reports_that_make_no_sense_are_left_out():
-    """A peer of another version reports a state or key of its own.
+def test_invalid_reports_are_ignored():
+    """A peer of another version sends a report with an invalid state or key.
 
-    Kept, it would stop this entry when the report is used or forgotten.
+    If it were stored, this entry would crash when it uses or deletes it.
     """
     odd = dataclasses.replace(report(1, 'finished'), job='x')
-    found = told(report(0, 'odd'), odd)
-    found.on_result('x', odd)
-    assert len(found) == 0
+    state = make_takeover(report(0, 'odd'), odd)
+    state.on_result('x', odd)
+    assert len(state) == 0
 
 
-def test_reports_are_forgotten_with_their_keys():
-    found = told(report(0, 'finished'))
-    found.forget(NOW + 599)
-    assert found.reported(KEY)
-    found.forget(NOW + 601)
-    assert not found.reported(KEY)
-    assert len(found) == 0
+def test_reports_are_deleted_when_their_keys_expire():
+    state = make_takeover(report(0, 'finished'))
+    state.delete_expired(NOW + 599)
+    assert state.has_reports(KEY)
+    state.delete_expired(NOW + 601)
+    assert not state.has_reports(KEY)
+    assert len(state) == 0
 
 
 def test_a_killed_entry_s_job_is_answered_by_its_successor():
-    """An entry's machine dies while the caller waits for its job.
+    """An entry's machine fails while the caller waits for its job.
 
-    The caller submits the job again to another entry.  It gets the whole
+    The caller submits the job again to another entry.  It gets the complete
     answer, and no task is started a second time.
     """
 
@@ -182,9 +184,9 @@
 
 
 def test_new_jobs_run_at_once_after_a_planned_stop():
-    """An operator replaces an entry while callers go on submitting jobs.
+    """An operator replaces an entry while callers keep submitting jobs.
 
-    The jobs that the next owner gets first must run, not be marked failed.
+    The first jobs of the next owner must run instead of failing.
     """
 
     async def main():
@@ -215,13 +217,13 @@
 
 
 async def _key_of(entry):
-    """A new key that an entry owns."""
+    """Return a new key that an entry owns."""
     now = entry.outside.clock.now()
     members = entry.entry.configuration.in_force(now).entries
     while True:
         key = str(uuid_utils.uuid7())
         if ownership.owner(key, members).name == entry.name:
             return key
-        # Soon after a start all keys are another's; the loop must go on
-        # meanwhile, or every entry's lease runs out.
+        # Soon after a start, another entry may own all keys.  The event loop
+        # must run meanwhile, otherwise every entry's lease expires.
         await asyncio.sleep(0.01)
