--- a/tests/playing.py
+++ b/tests/playing.py
@@ -35,7 +35,7 @@
     busy: float = 0.0
 
 
-def play(made, arrivals, works=None, pace=None):
+def play(dispatcher, arrivals, works=None, pace=None):
     """Simulate arrivals in virtual time and return the results.
 
     ``works(agent, now)`` returns whether a task succeeds on an agent; other
@@ -50,22 +50,22 @@
     while events:
         now, _, event = heapq.heappop(events)
         if isinstance(event, Arrival):
-            refusal = made.admit(event.job, lambda zone: True, now)
+            refusal = dispatcher.admit(event.job, lambda zone: True, now)
             if refusal is not None:
                 results.refused[event.job.key] = refusal
             else:
-                made.enqueue(event.job, now)
+                dispatcher.enqueue(event.job, now)
         elif event is not None:
             agent, task, ok, took = event
             key = task.job.key
-            made.ended(agent, task.job, task.index, ok, took, now)
+            dispatcher.ended(agent, task.job, task.index, ok, took, now)
             left[key] -= 1
             if not ok:
                 results.failed.setdefault(agent, []).append(now)
             if not left[key]:
                 results.ended[key] = now
-        results.expired.update(task.job.key for task in made.expire(now))
-        for placed in made.place(lambda zone: 1.0, now):
+        results.expired.update(task.job.key for task in dispatcher.expire(now))
+        for placed in dispatcher.place(lambda zone: 1.0, now):
             for task in placed.tasks:
                 took = seconds[task.job.key][task.index]
                 took *= pace(placed.agent) if pace else 1.0
@@ -76,8 +76,8 @@
                 number += 1
                 event = (placed.agent, task, ok, took)
                 heapq.heappush(events, (now + took, number, event))
-        wake = made.next_wake(now)
-        if wake is not None and made.waiting() and not events:
+        wake = dispatcher.next_wake(now)
+        if wake is not None and dispatcher.waiting() and not events:
             number += 1
             heapq.heappush(events, (max(wake, now + 0.001), number, None))
     return results
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -38,17 +38,17 @@
 
 
 @pytest.fixture
-def made(config):
+def job_owner(config):
     """Return an owner with one agent of two slots."""
     rng = random.Random(1)
     settings = dispatch.DispatchSettings('e')
     dispatcher = dispatch.Dispatch.from_config(settings, rng)
-    made = owner.Owner('e', 1, owner.OwnerConfig(), config, dispatcher)
+    job_owner = owner.Owner('e', 1, owner.OwnerConfig(), config, dispatcher)
     hello = messages.Hello('a', 'agent', 7, 'z', 'r', '', 0)
-    made.on_agent_up(hello, NOW)
+    job_owner.on_agent_up(hello, NOW)
     offer = messages.Offer(7, 2, 2, ('k',), types.Needs(), False)
-    made.on_offer('a', offer, NOW)
-    return made
+    job_owner.on_offer('a', offer, NOW)
+    return job_owner
 
 
 def job(name, count=1):
@@ -56,10 +56,10 @@
     return types.JobSpec(name, 'team', tasks, NOW + 60)
 
 
-def submit(made, name, now, count=1):
-    made.advance(now)
-    effects = made.submit(job(name, count), jobs.LocalWaiter(1), now)
-    return effects + made.advance(now)
+def submit(job_owner, name, now, count=1):
+    job_owner.advance(now)
+    effects = job_owner.submit(job(name, count), jobs.LocalWaiter(1), now)
+    return effects + job_owner.advance(now)
 
 
 def replies(effects):
@@ -80,64 +80,64 @@
     return messages.Results(7, 2, (one,))
 
 
-def test_a_job_sent_after_a_pause_waits_for_the_lease(made, config):
+def test_a_job_sent_after_a_pause_waits_for_the_lease(job_owner, config):
     """The process was paused for longer than its read lease.
 
     The first jobs after it resumes must not be refused.  They start a moment
     later, when the configuration has been read again.
     """
     late = NOW + LEASE + 5
-    effects = made.submit(job('j'), jobs.LocalWaiter(1), late)
-    effects += made.advance(late)
+    effects = job_owner.submit(job('j'), jobs.LocalWaiter(1), late)
+    effects += job_owner.advance(late)
     assert not replies(effects) and not starts(effects)
     config.lease = late + LEASE
-    (sent,) = starts(made.advance(late + 0.01))
+    (sent,) = starts(job_owner.advance(late + 0.01))
     assert sent.start_before == config.lease
 
 
-def test_jobs_are_refused_after_the_grace_of_an_expired_lease(made):
+def test_jobs_are_refused_after_the_grace_of_an_expired_lease(job_owner):
     """The store and the peers are unreachable.
 
     New jobs must get the answer "not run" at once instead of waiting.
     """
     lapsed = NOW + LEASE
-    made.advance(lapsed)
-    effects = submit(made, 'j', lapsed + owner.LEASE_GRACE_SECONDS)
+    job_owner.advance(lapsed)
+    effects = submit(job_owner, 'j', lapsed + owner.LEASE_GRACE_SECONDS)
     (answer,) = replies(effects)
     assert answer.status is types.JobStatus.NOT_RUN
     assert answer.code == 'no_lease'
     assert not starts(effects)
 
 
-def test_a_refused_start_is_tried_again_under_the_next_attempt(made):
-    (sent,) = starts(submit(made, 'j', NOW))
+def test_a_refused_start_is_tried_again_under_the_next_attempt(job_owner):
+    (sent,) = starts(submit(job_owner, 'j', NOW))
     assert sent.tasks[0].attempt == 0
-    effects = made.on_results('a', report('refused'), NOW + 0.1)
+    effects = job_owner.on_results('a', report('refused'), NOW + 0.1)
     assert not replies(effects)
-    (again,) = starts(effects + made.advance(NOW + 1.5))
+    (again,) = starts(effects + job_owner.advance(NOW + 1.5))
     assert again.tasks[0].attempt == 1
 
 
-def test_a_report_of_an_older_attempt_changes_nothing(made):
+def test_a_report_of_an_older_attempt_changes_nothing(job_owner):
     """A delayed report about an earlier attempt arrives.
 
     If it were applied to the current attempt, a running task would count as
     ended.
     """
-    submit(made, 'j', NOW)
-    assert not replies(made.on_results('a', report('finished', 5), NOW))
-    (answer,) = replies(made.on_results('a', report('finished'), NOW))
+    submit(job_owner, 'j', NOW)
+    assert not replies(job_owner.on_results('a', report('finished', 5), NOW))
+    (answer,) = replies(job_owner.on_results('a', report('finished'), NOW))
     assert answer.status is types.JobStatus.COMPLETE
-    assert not replies(made.on_results('a', report('failed'), NOW))
+    assert not replies(job_owner.on_results('a', report('failed'), NOW))
 
 
-def test_a_deadline_ends_a_job_and_shows_which_tasks_may_have_run(made):
+def test_a_deadline_ends_a_job_and_shows_which_tasks_may_have_run(job_owner):
     """A task runs past the deadline while other tasks are queued.
 
     The answer must show which tasks may have run and which never will.
     """
-    submit(made, 'j', NOW, count=3)
-    (answer,) = replies(made.advance(NOW + 60))
+    submit(job_owner, 'j', NOW, count=3)
+    (answer,) = replies(job_owner.advance(NOW + 60))
     assert answer.status is types.JobStatus.FAILED
     outcomes = [one.outcome for one in answer.tasks]
     assert outcomes == ['unknown', 'unknown', 'not_run']
@@ -150,15 +150,15 @@
     deleted before that, the job would run after the answer "not run".
     """
     settings = dispatch.DispatchSettings()
-    made = dispatch.Dispatch.from_config(settings, random.Random(1))
-    found = owner.Owner('e', 1, owner.OwnerConfig(), None, made)
+    dispatcher = dispatch.Dispatch.from_config(settings, random.Random(1))
+    job_owner = owner.Owner('e', 1, owner.OwnerConfig(), None, dispatcher)
     key = agents.key(at=agents.NOW + 2)
     spec = types.JobSpec(key, 'team', (types.TaskSpec('t', 'k'),), 0.0)
     waiter = jobs.LocalWaiter(1)
-    found.refuse(
+    job_owner.refuse(
         spec, dispatch.Refusal('busy', 'full', 0.0), waiter, agents.NOW
     )
     late = agents.NOW + 601
-    found.on_tick(late)
+    job_owner.on_tick(late)
     assert ownership.check(key, late) is None
-    assert found.answer_resubmission(spec, waiter) is not None
+    assert job_owner.answer_resubmission(spec, waiter) is not None
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -38,16 +38,16 @@
 
 
 def make_takeover(*reports, last=True):
-    state = takeover.Takeover('heir', 600.0, 2.0)
+    job_takeover = takeover.Takeover('heir', 600.0, 2.0)
     orphans = messages.Orphans('lost', 1, reports, last)
-    state.on_orphans('x', 7, orphans)
-    return state
+    job_takeover.on_orphans('x', 7, orphans)
+    return job_takeover
 
 
-def adopt_job(state, connected=None, count=3):
+def adopt_job(job_takeover, connected=None, count=3):
     job = jobs.Job(spec(count), NOW)
     takeover.adopt(
-        job, state.pop(KEY), AGENTS if connected is None else connected
+        job, job_takeover.pop(KEY), AGENTS if connected is None else connected
     )
     return job
 
@@ -62,8 +62,8 @@
     Finished tasks keep their answers and running ones are awaited.  A task
     that no agent reports may have run, so it must not end as "not run".
     """
-    state = make_takeover(report(0, 'finished'), report(1, 'running'))
-    job = adopt_job(state)
+    job_takeover = make_takeover(report(0, 'finished'), report(1, 'running'))
+    job = adopt_job(job_takeover)
     assert outcomes(job) == ['finished', None, 'unknown']
     assert job.tasks[1] == jobs.TaskRecord('x', 7, 1, adopted=True)
     assert job.open == 1
@@ -75,9 +75,9 @@
     Its task ends meanwhile.  If that report were dropped, the task would stay
     running for ever in the caller's view.
     """
-    state = make_takeover(report(1, 'running'))
-    state.on_result('x', report(1, 'finished'))
-    assert outcomes(adopt_job(state))[1] == 'finished'
+    job_takeover = make_takeover(report(1, 'running'))
+    job_takeover.on_result('x', report(1, 'finished'))
+    assert outcomes(adopt_job(job_takeover))[1] == 'finished'
 
 
 @pytest.mark.parametrize(
@@ -90,8 +90,8 @@
     If the task were awaited, the job would never end, as the agent sends no
     report any more.
     """
-    state = make_takeover(report(0, 'running'))
-    assert outcomes(adopt_job(state, connected, 1)) == ['unknown']
+    job_takeover = make_takeover(report(0, 'running'))
+    assert outcomes(adopt_job(job_takeover, connected, 1)) == ['unknown']
 
 
 def test_another_body_under_a_taken_over_key_is_refused():
@@ -100,11 +100,11 @@
     The new owner doesn't have the first body.  It must not send the results
     of one request as the answer to another.
     """
-    state = make_takeover(report(0, 'finished'), report(1, 'finished'))
-    assert state.matches(spec())
-    assert not state.matches(spec(count=1))
-    assert not state.matches(spec(payload=b'{"other": 1}'))
-    assert not state.matches(spec(team='other'))
+    job_takeover = make_takeover(report(0, 'finished'), report(1, 'finished'))
+    assert job_takeover.matches(spec())
+    assert not job_takeover.matches(spec(count=1))
+    assert not job_takeover.matches(spec(payload=b'{"other": 1}'))
+    assert not job_takeover.matches(spec(team='other'))
 
 
 def test_a_job_waits_until_each_agent_has_sent_all_reports():
@@ -114,17 +114,17 @@
     unknown.
     """
     now = NOW + 1.5
-    state = make_takeover(last=False)
-    assert state.concerns(KEY, MEMBERS)
-    assert not state.is_complete(KEY, MEMBERS, AGENTS, now)
-    state = make_takeover()
-    assert state.is_complete(KEY, MEMBERS, AGENTS, now)
+    job_takeover = make_takeover(last=False)
+    assert job_takeover.concerns(KEY, MEMBERS)
+    assert not job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
+    job_takeover = make_takeover()
+    assert job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
     other = dataclasses.replace(AGENTS['x'], name='y')
     more = AGENTS | {'y': other}
-    assert not state.is_complete(KEY, MEMBERS, more, now)
-    assert state.is_complete(KEY, MEMBERS, more, now + 5)
+    assert not job_takeover.is_complete(KEY, MEMBERS, more, now)
+    assert job_takeover.is_complete(KEY, MEMBERS, more, now + 5)
     late = (REMOVED, dataclasses.replace(SUCCESSOR, listed_at=NOW + 60))
-    assert not state.is_complete(KEY, late, more, now + 60)
+    assert not job_takeover.is_complete(KEY, late, more, now + 60)
 
 
 def test_invalid_reports_are_ignored():
@@ -133,18 +133,18 @@
     If it were stored, this entry would crash when it uses or deletes it.
     """
     odd = dataclasses.replace(report(1, 'finished'), job='x')
-    state = make_takeover(report(0, 'odd'), odd)
-    state.on_result('x', odd)
-    assert len(state) == 0
+    job_takeover = make_takeover(report(0, 'odd'), odd)
+    job_takeover.on_result('x', odd)
+    assert len(job_takeover) == 0
 
 
 def test_reports_are_deleted_when_their_keys_expire():
-    state = make_takeover(report(0, 'finished'))
-    state.delete_expired(NOW + 599)
-    assert state.has_reports(KEY)
-    state.delete_expired(NOW + 601)
-    assert not state.has_reports(KEY)
-    assert len(state) == 0
+    job_takeover = make_takeover(report(0, 'finished'))
+    job_takeover.delete_expired(NOW + 599)
+    assert job_takeover.has_reports(KEY)
+    job_takeover.delete_expired(NOW + 601)
+    assert not job_takeover.has_reports(KEY)
+    assert len(job_takeover) == 0
 
 
 def test_a_killed_entry_s_job_is_answered_by_its_successor():
