--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -70,7 +70,7 @@
         self._spawn(self._request_action(effect))
 
     def close(self) -> None:
-        """Cancel all open requests and close the client."""
+        """Cancel all open requests, as the end of the process would."""
         for task in self._requests:
             task.cancel()
         self._client.close()
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -1,11 +1,11 @@
 """Queues of task reports that are sent together in ``Results`` messages.
 
 Load pattern: short tasks of one owner end within microseconds of each other,
-as do all tasks of a cancelled job.  One message per report would cost both
-ends about 50 us each and overload the entry with wakeups.  Delaying every
-report would leave freed slots idle for that time, so the first report is sent
-at once, and only reports that follow within the delay are held until it has
-passed.
+as do all tasks of a cancelled job.  Each message has a fixed cost of about
+50 us at both ends, and one per report would overload the entry with wakeups.
+Delaying every report would leave freed slots idle for that time, so the first
+report is sent at once, and only reports that follow within the delay are held
+until it has passed.
 """
 
 import dataclasses
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -10,10 +10,11 @@
 reduce the equal shares of the others.  Slots without demand are spread
 evenly, so that the first tasks of a burst start without a request.
 
-Leases change only while some demand isn't met: a change at every message
-would cost an ``Offer`` to a second entry per result.  A slot with a running
-task moves only when the task ends.  A start that was sent before a smaller
-lease arrived is accepted while a slot is free, and refused otherwise.
+Leases change only while some demand isn't met, or when entries or slots come
+or go: a change at every message would cost an ``Offer`` to a second entry per
+result.  A slot with a running task moves only when the task ends.  A start
+that was sent before a smaller lease arrived is accepted while a slot is free,
+and refused otherwise.
 """
 
 import dataclasses
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -35,7 +35,7 @@
         self._reconnect_deadlines[name] = now + self._reconnect_timeout
 
     def pop_expired(self, now: float) -> list[types.PeerName]:
-        """Return the agents whose reconnect timeout passed, each once."""
+        """Remove and return the agents whose reconnect timeout passed."""
         expired = [
             name for name, at in self._reconnect_deadlines.items() if at <= now
         ]
@@ -44,7 +44,7 @@
         return expired
 
     def is_current(self, name: types.PeerName, incarnation: int) -> bool:
-        """Return whether a message is from the connected incarnation.
+        """Return whether an incarnation of an agent is the connected one.
 
         Messages of an earlier incarnation about slots and tasks are invalid.
         """
