--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -1,8 +1,9 @@
-"""Runs an agent's tasks at its upstream over HTTP.
+"""HTTP client that runs an agent's tasks at its upstream.
 
-``POST /tasks`` runs one task and answers when it has ended; a status of 200
-to 299 means that it finished, with a body of JSON or none; any other that it
-failed.  No answer means that its fate is unknown: it is never sent again.
+``POST /tasks`` runs one task and answers when it has ended.  A status of 200
+to 299 means that the task finished, with a JSON body or none; any other
+status means that it failed.  Without an answer the outcome is unknown, and
+the task is never sent again.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 ACTION_SECONDS = 5.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_CLIENTS = 100_000
-"""Far more than slots: a task that has been started must not wait in the
-client's queue, past the instant before which it may start."""
+"""The limit is far above the number of slots: a started task that waited in
+the client's queue could run after the time before which it may start."""
 
 NO_ANSWER = 599
-"""Status by which the client says that there was no whole answer."""
+"""Status that the client returns when there was no complete answer."""
 
 REASON_NO_ANSWER = 'no_answer'
 REASON_NOT_JSON = 'answer_not_json'
@@ -39,15 +40,15 @@
 
 
 class Failure(msgspec.Struct):
-    """Body of a failed task's answer, as far as it is understood."""
+    """Body of a failed task's answer; other fields are ignored."""
 
     reason: str = ''
 
 
 class HttpUpstream:
-    """An :class:`.upstream.Upstream` that is reached over HTTP.
+    """An :class:`.upstream.Upstream` that runs tasks over HTTP.
 
-    :param feed: takes the agent's events.
+    :param feed: callback that receives the agent's events.
     """
 
     def __init__(self, feed: typing.Callable[[object], None]):
@@ -57,19 +58,19 @@
             max_clients=MAX_CLIENTS,
             max_body_size=MAX_ANSWER_BYTES,
         )
-        # The loop itself keeps only weak references to its tasks.
+        # The event loop keeps only weak references to its tasks.
         self._requests: set[asyncio.Task[None]] = set()
 
     def run(self, effect: upstream.RunTask) -> None:
-        """Start a task; its end is fed as ``TaskEnded``."""
+        """Start a task; its end is passed to ``feed`` as ``TaskEnded``."""
         self._spawn(self._run(effect))
 
     def stop(self, effect: upstream.StopTask) -> None:
-        """Pass an action on; an upstream that doesn't answer is left be."""
-        self._spawn(self._act(effect))
+        """Send an action to a task; a failure is logged, not retried."""
+        self._spawn(self._request_action(effect))
 
     def close(self) -> None:
-        """Give up all requests, as the end of the process does."""
+        """Cancel all open requests, as the end of the process would."""
         for task in self._requests:
             task.cancel()
         self._client.close()
@@ -81,8 +82,8 @@
 
     async def _run(self, effect: upstream.RunTask) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        state, body, reason = await self._outcome(effect)
+        started_at = loop.time()
+        state, body, reason = await self._request_run(effect)
         self._feed(
             upstream.TaskEnded(
                 effect.job,
@@ -91,11 +92,11 @@
                 state,
                 body,
                 reason,
-                loop.time() - began,
+                loop.time() - started_at,
             )
         )
 
-    async def _outcome(
+    async def _request_run(
         self, effect: upstream.RunTask
     ) -> tuple[types.TaskState, bytes, str]:
         try:
@@ -103,21 +104,21 @@
                 f'{effect.url}/tasks',
                 method='POST',
                 body=effect.payload,
-                headers=_headers(effect),
+                headers=_build_headers(effect),
                 connect_timeout=CONNECT_SECONDS,
-                # The announcement's lease bounds the wait, not a timeout.
+                # The announcement's term limits the wait, not a timeout.
                 request_timeout=0,
                 follow_redirects=False,
                 decompress_response=False,
                 raise_error=False,
             )
         except (OSError, httpclient.HTTPError) as exc:
-            return self._unanswered(effect, exc)
+            return self._handle_no_answer(effect, exc)
         if response.code == NO_ANSWER:
-            return self._unanswered(effect, response.error)
-        return _answered(response)
+            return self._handle_no_answer(effect, response.error)
+        return _parse_answer(response)
 
-    def _unanswered(
+    def _handle_no_answer(
         self, effect: upstream.RunTask, exc: BaseException | None
     ) -> tuple[types.TaskState, bytes, str]:
         logs.event(
@@ -129,12 +130,12 @@
             error=repr(exc),
         )
         if isinstance(exc, ConnectionRefusedError):
-            # Nothing listens there.  Until the announcement lapsed, every
-            # further task given to it would be lost as well.
+            # No process listens there.  Without this event, further tasks
+            # would be sent there and lost until the announcement expires.
             self._feed(upstream.UpstreamGone(effect.session))
         return types.TaskState.LOST, b'', REASON_NO_ANSWER
 
-    async def _act(self, effect: upstream.StopTask) -> None:
+    async def _request_action(self, effect: upstream.StopTask) -> None:
         path = f'{effect.job}/{effect.index}/{effect.action.value}'
         try:
             await self._client.fetch(
@@ -156,7 +157,7 @@
             )
 
 
-def _headers(effect: upstream.RunTask) -> httputil.HTTPHeaders:
+def _build_headers(effect: upstream.RunTask) -> httputil.HTTPHeaders:
     return httputil.HTTPHeaders(
         {
             'Content-Type': 'application/json',
@@ -168,23 +169,23 @@
     )
 
 
-def _answered(
+def _parse_answer(
     response: httpclient.HTTPResponse,
 ) -> tuple[types.TaskState, bytes, str]:
     body = response.body or b''
     if not 200 <= response.code < 300:
-        return types.TaskState.FAILED, b'', _reason(response.code, body)
+        return types.TaskState.FAILED, b'', _parse_reason(response.code, body)
     if body and not _is_json(body):
         return types.TaskState.FAILED, b'', REASON_NOT_JSON
     return types.TaskState.FINISHED, body, ''
 
 
-def _reason(status: int, body: bytes) -> str:
+def _parse_reason(status: int, body: bytes) -> str:
     try:
-        found = msgspec.json.decode(body, type=Failure).reason
+        reason = msgspec.json.decode(body, type=Failure).reason
     except (msgspec.DecodeError, UnicodeDecodeError):
-        found = ''
-    return found[:200] or f'status_{status}'
+        reason = ''
+    return reason[:200] or f'status_{status}'
 
 
 def _is_json(body: bytes) -> bool:
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -1,10 +1,11 @@
-"""Reports that wait to ride together in one ``Results`` message.
+"""Queues of task reports that are sent together in ``Results`` messages.
 
 Load pattern: short tasks of one owner end within microseconds of each other,
-as do all tasks of a cancelled job.  A message each costs both ends its fixed
-part, about 50 us, and drowns the entry in wakeups.  A plain delay would
-leave a freed slot idle for as long, so the first report goes at once and
-only those that follow within the delay are held, until it has passed.
+as do all tasks of a cancelled job.  Each message has a fixed cost of about
+50 us at both ends, and one per report would overload the entry with wakeups.
+Delaying every report would leave freed slots idle for that time, so the first
+report is sent at once, and only reports that follow within the delay are held
+until it has passed.
 """
 
 import dataclasses
@@ -14,7 +15,7 @@
 
 MAX_REPORTS = 1000
 MAX_BYTES = 4 * 1024 * 1024
-"""Reports in a message at most: far below the largest frame of a link."""
+"""Limits of the reports in a message, far below the largest frame size."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -26,15 +27,15 @@
 
 
 class Outbox:
-    """Reports by the owner that they go to.
+    """Queues of reports, one for each owner.
 
-    :param delay: seconds that a report is held at most.
+    :param delay: longest time that a report is held, in seconds.
     """
 
     def __init__(self, delay: float):
         self._delay = delay
         self._queues: dict[ledger.Owner, _Queue] = {}
-        self._waiting: dict[ledger.Owner, float] = {}
+        self._due_at: dict[ledger.Owner, float] = {}
 
     def add(self, owner: ledger.Owner, report: messages.TaskReport) -> None:
         """Queue a report for an owner."""
@@ -42,55 +43,55 @@
         if queue is None:
             queue = self._queues[owner] = _Queue(0.0)
         queue.reports.append(report)
-        self._waiting.setdefault(owner, queue.sent_at + self._delay)
+        self._due_at.setdefault(owner, queue.sent_at + self._delay)
 
-    def hurry(self, owner: ledger.Owner) -> None:
-        """What is queued for an owner goes with the next :meth:`due`."""
-        if owner in self._waiting:
-            self._waiting[owner] = 0.0
+    def make_due(self, owner: ledger.Owner) -> None:
+        """Make an owner's queued reports due at the next :meth:`list_due`."""
+        if owner in self._due_at:
+            self._due_at[owner] = 0.0
 
-    def holds(self, owner: ledger.Owner) -> bool:
-        """Whether anything is queued for an owner."""
-        return owner in self._waiting
+    def has_reports(self, owner: ledger.Owner) -> bool:
+        """Return whether any report is queued for an owner."""
+        return owner in self._due_at
 
-    def due(self, now: float) -> list[ledger.Owner]:
-        """Owners whose reports have waited long enough."""
-        return [owner for owner, at in self._waiting.items() if at <= now]
+    def list_due(self, now: float) -> list[ledger.Owner]:
+        """Return the owners whose reports are due."""
+        return [owner for owner, at in self._due_at.items() if at <= now]
 
     def next_at(self) -> float | None:
-        """When reports are due next; ``None`` if none are queued."""
-        return min(self._waiting.values(), default=None)
+        """Return when reports are due next; ``None`` if none are queued."""
+        return min(self._due_at.values(), default=None)
 
-    def take(
+    def pop(
         self, owner: ledger.Owner, now: float
     ) -> list[tuple[messages.TaskReport, ...]]:
-        """The reports for an owner, by message; they are queued no more."""
-        self._waiting.pop(owner, None)
+        """Remove an owner's reports and return them in batches."""
+        self._due_at.pop(owner, None)
         queue = self._queues[owner]
         queue.sent_at = now
         reports, queue.reports = queue.reports, []
-        return list(batches(reports))
+        return list(split_batches(reports))
 
     def discard(self, owner: ledger.Owner) -> bool:
-        """Forget an owner; whether reports for it were queued."""
+        """Delete an owner's queue and return whether it had reports."""
         self._queues.pop(owner, None)
-        return self._waiting.pop(owner, None) is not None
+        return self._due_at.pop(owner, None) is not None
 
 
-def batches(
+def split_batches(
     reports: list[messages.TaskReport],
 ) -> list[tuple[messages.TaskReport, ...]]:
-    """Reports in portions that fit a message."""
-    found = []
+    """Split reports into batches that fit a message each."""
+    result = []
     batch: list[messages.TaskReport] = []
     size = 0
     for report in reports:
-        over = size + len(report.body) > MAX_BYTES
-        if batch and (over or len(batch) >= MAX_REPORTS):
-            found.append(tuple(batch))
+        too_large = size + len(report.body) > MAX_BYTES
+        if batch and (too_large or len(batch) >= MAX_REPORTS):
+            result.append(tuple(batch))
             batch, size = [], 0
         batch.append(report)
         size += len(report.body)
     if batch:
-        found.append(tuple(batch))
-    return found
+        result.append(tuple(batch))
+    return result
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -1,9 +1,9 @@
 """An agent's upstream: its announcement and the tasks that run there.
 
-A running task holds its slot and resources until the upstream has said that
-it ended, also when the agent has given it up as lost: an upstream whose
-announcement lapsed because it was paused still runs what it was given, and
-slots leased out again for these tasks would be filled twice.
+A running task holds its slot and resources until the upstream has reported
+its end, even after the agent has marked it as lost: an upstream whose
+announcement expired because it was paused still runs its tasks, and if their
+slots were leased again, two tasks would use one slot.
 """
 
 import dataclasses
@@ -18,7 +18,8 @@
 class RunningTask:
     """A task that holds a slot.
 
-    :param lost: given up; its end changes nothing any more.
+    :param lost: whether the task was reported as lost; its end then only
+        releases the slot.
     """
 
     job: types.JobKey
@@ -31,7 +32,7 @@
 
 
 class Running:
-    """The upstream's announcement, and what runs.
+    """The upstream's announcement and its running tasks.
 
     :param max_term: longest term of an announcement, in seconds.
     """
@@ -39,8 +40,8 @@
     def __init__(self, max_term: float):
         self._max_term = max_term
         self._announced: upstream.Announced | None = None
-        self._until = 0.0
-        self._left_session = ''
+        self._expires_at = 0.0
+        self._leaving_session = ''
         self._tasks: dict[tuple[types.JobKey, int], RunningTask] = {}
 
     def __len__(self) -> int:
@@ -53,50 +54,62 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the upstream ends what runs and takes nothing new."""
-        found = self._announced
-        return found is not None and found.session == self._left_session
+        """Whether the upstream ends its tasks and accepts no new ones."""
+        announced = self._announced
+        return (
+            announced is not None
+            and announced.session == self._leaving_session
+        )
 
-    def announce(
+    def set_announcement(
         self, event: upstream.Announced, now: float
     ) -> list[RunningTask]:
-        """Take an announcement; the tasks of a former session, now gone."""
+        """Store an announcement.
+
+        :returns: the tasks of earlier sessions, which have ended with them.
+        """
         self._announced = event
-        self._until = now + min(event.term, self._max_term)
-        gone = [
+        self._expires_at = now + min(event.term, self._max_term)
+        lost_tasks = [
             task
             for task in self._tasks.values()
             if task.session != event.session
         ]
-        for task in gone:
+        for task in lost_tasks:
             del self._tasks[task.job, task.index]
-        return gone
+        return lost_tasks
+
+    def mark_leaving(self, session: str) -> bool:
+        """Mark the upstream as leaving.
 
-    def leave(self, session: str) -> bool:
-        """The upstream of a session leaves; whether it was here."""
-        found = self._announced
-        if found is None or found.session != session:
+        :returns: whether the session is the announced one.
+        """
+        announced = self._announced
+        if announced is None or announced.session != session:
             return False
-        self._left_session = session
+        self._leaving_session = session
         return True
 
-    def vanish(self, session: str) -> bool:
-        """Nothing answers at a session's address; whether it was in force.
+    def mark_unreachable(self, session: str) -> bool:
+        """Delete the announcement of an upstream that refuses connections.
+
+        Its running tasks are kept: the connection of each task reports its
+        end.
 
-        What runs is not given up: each task's own connection tells.
+        :returns: whether the session is the announced one.
         """
-        found = self._announced
-        if found is None or found.session != session:
+        announced = self._announced
+        if announced is None or announced.session != session:
             return False
         self._announced = None
         return True
 
-    def lapse(self, now: float) -> list[RunningTask] | None:
-        """Give up an upstream that stopped renewing; what is lost by it.
+    def expire(self, now: float) -> list[RunningTask] | None:
+        """Delete an expired announcement and mark its tasks as lost.
 
-        :return: ``None`` if nothing lapses now.
+        :return: the tasks now lost; ``None`` if no announcement expired.
         """
-        if self._announced is None or now < self._until:
+        if self._announced is None or now < self._expires_at:
             return None
         self._announced = None
         lost = [task for task in self._tasks.values() if not task.lost]
@@ -104,14 +117,14 @@
             task.lost = True
         return lost
 
-    def extend(self, now: float) -> None:
-        """Give the upstream a whole term again from now on."""
+    def extend_term(self, now: float) -> None:
+        """Extend the announcement by a whole term from now."""
         if self._announced is not None:
             term = min(self._announced.term, self._max_term)
-            self._until = max(self._until, now + term)
+            self._expires_at = max(self._expires_at, now + term)
 
-    def fits(self, needs: types.Needs) -> bool:
-        """Whether the worker has room for a task's resources."""
+    def has_room(self, needs: types.Needs) -> bool:
+        """Return whether the worker has a task's resources free."""
         if self._announced is None:
             return False
         taken = [task.needs for task in self._tasks.values()]
@@ -125,7 +138,10 @@
     def start(
         self, task: messages.StartTask, owner: ledger.Owner
     ) -> upstream.RunTask:
-        """A task starts; there must be an upstream."""
+        """Add a task and return the effect that runs it.
+
+        There must be an announcement.
+        """
         announced = self._announced
         assert announced is not None
         self._tasks[task.job, task.index] = RunningTask(
@@ -148,10 +164,10 @@
             announced.session,
         )
 
-    def act(
+    def request_action(
         self, job: types.JobKey, indexes: list[int], action: upstream.Action
     ) -> list[upstream.StopTask]:
-        """Pass an action on to running tasks of a job."""
+        """Return the effects that send an action to tasks of a job."""
         if self._announced is None:
             return []
         url = self._announced.url
@@ -162,7 +178,7 @@
     def end(
         self, job: types.JobKey, index: int, attempt: int
     ) -> RunningTask | None:
-        """The task that ended; ``None`` if it doesn't run here."""
+        """Remove and return a task that ended; ``None`` if it didn't run."""
         task = self._tasks.get((job, index))
         if task is None or task.attempt != attempt:
             return None
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -1,4 +1,4 @@
-"""The agents that an entry is connected to, and what they offer."""
+"""The agents that an entry is connected to, and the slots they offer."""
 
 from agatepick.decisions import dispatch
 from agatepick.net import messages
@@ -6,65 +6,70 @@
 
 
 class AgentList:
-    """Connected agents, those that operators drain, and those waited for.
+    """Connected, leaving and disconnected agents of one entry.
 
-    :param patience: seconds that a disconnected agent is waited for.
+    :param reconnect_timeout: seconds that a disconnected agent has to
+        reconnect.
     """
 
-    def __init__(self, dispatcher: dispatch.Dispatch, patience: float):
+    def __init__(
+        self, dispatcher: dispatch.Dispatch, reconnect_timeout: float
+    ):
         self.connected: dict[types.PeerName, messages.Hello] = {}
         self._dispatch = dispatcher
-        self._patience = patience
+        self._reconnect_timeout = reconnect_timeout
         self._offers: dict[types.PeerName, messages.Offer] = {}
         self._leaving: frozenset[types.PeerName] = frozenset()
-        self._awaited: dict[types.PeerName, float] = {}
+        self._reconnect_deadlines: dict[types.PeerName, float] = {}
 
-    def up(self, hello: messages.Hello) -> None:
-        """An agent connected."""
+    def add(self, hello: messages.Hello) -> None:
+        """Add an agent that has connected."""
         self.connected[hello.name] = hello
-        self._awaited.pop(hello.name, None)
+        self._reconnect_deadlines.pop(hello.name, None)
 
-    def down(self, name: types.PeerName, now: float) -> None:
-        """Place nothing at an agent whose connection ended; wait for it."""
+    def remove(self, name: types.PeerName, now: float) -> None:
+        """Remove a disconnected agent and start its reconnect timeout."""
         del self.connected[name]
         self._offers.pop(name, None)
         self._dispatch.agent_gone(name)
-        self._awaited[name] = now + self._patience
+        self._reconnect_deadlines[name] = now + self._reconnect_timeout
 
-    def given_up(self, now: float) -> list[types.PeerName]:
-        """Agents that stayed away for too long, each told once."""
-        late = [name for name, at in self._awaited.items() if at <= now]
-        for name in late:
-            del self._awaited[name]
-        return late
+    def pop_expired(self, now: float) -> list[types.PeerName]:
+        """Remove and return the agents whose reconnect timeout passed."""
+        expired = [
+            name for name, at in self._reconnect_deadlines.items() if at <= now
+        ]
+        for name in expired:
+            del self._reconnect_deadlines[name]
+        return expired
 
-    def speaks(self, name: types.PeerName, incarnation: int) -> bool:
-        """Whether a message is from the life of an agent that is connected.
+    def is_current(self, name: types.PeerName, incarnation: int) -> bool:
+        """Return whether an incarnation of an agent is the connected one.
 
-        What an earlier life said about its slots and tasks is void.
+        Messages of an earlier incarnation about slots and tasks are invalid.
         """
         hello = self.connected.get(name)
         return hello is not None and hello.incarnation == incarnation
 
-    def offered(
+    def update_offer(
         self, name: types.PeerName, offer: messages.Offer, now: float
     ) -> None:
-        """Take an agent's offer of slots."""
+        """Store an agent's offer of slots and pass it to the dispatcher."""
         self._offers[name] = offer
-        self._pass_offer(name, now)
+        self._forward_offer(name, now)
 
     def set_leaving(
         self, leaving: frozenset[types.PeerName], now: float
     ) -> None:
-        """Place nothing at agents that operators have marked as leaving."""
+        """Place no tasks at agents that operators have marked as leaving."""
         for name in sorted(leaving - self._leaving):
             self._dispatch.agent_gone(name)
-        cleared = self._leaving - leaving
+        returning = self._leaving - leaving
         self._leaving = leaving
-        for name in sorted(cleared):
-            self._pass_offer(name, now)
+        for name in sorted(returning):
+            self._forward_offer(name, now)
 
-    def _pass_offer(self, name: types.PeerName, now: float) -> None:
+    def _forward_offer(self, name: types.PeerName, now: float) -> None:
         hello = self.connected.get(name)
         offer = self._offers.get(name)
         if hello is None or offer is None or name in self._leaving:
--- a/src/agatepick/owning/answers.py
+++ b/src/agatepick/owning/answers.py
@@ -1,4 +1,4 @@
-"""The answers that callers get, and how they travel between entries."""
+"""Answers to callers, and their encoding between entries."""
 
 import msgspec
 
@@ -14,18 +14,18 @@
 CODE_UNKNOWN_JOB = 'unknown_job'
 CODE_NO_LEASE = 'no_lease'
 CODE_TAKEN_OVER = 'taken_over'
-GATHERING_RETRY_SECONDS = 0.5
+TAKEOVER_RETRY_SECONDS = 0.5
 
 
 def encode(answer: types.JobAnswer) -> bytes:
-    """An answer as bytes for :class:`agatepick.net.messages.Forwarded`."""
+    """Encode an answer for :class:`agatepick.net.messages.Forwarded`."""
     return msgspec.msgpack.encode(answer)
 
 
 def decode(data: bytes) -> types.JobAnswer:
-    """The answer in ``data``.
+    """Decode an answer from ``data``.
 
-    :raises msgspec.DecodeError: if it is none.
+    :raises msgspec.DecodeError: if ``data`` is not an encoded answer.
     """
     return msgspec.msgpack.decode(data, type=types.JobAnswer)
 
@@ -33,7 +33,7 @@
 def deliver(
     waiters: tuple[jobs.Waiter, ...], answer: types.JobAnswer
 ) -> list[object]:
-    """Effects that bring an answer to each one that waits for it."""
+    """Return the effects that send an answer to each of its waiters."""
     effects: list[object] = []
     for waiter in waiters:
         if isinstance(waiter, jobs.LocalWaiter):
@@ -44,10 +44,10 @@
     return effects
 
 
-def refused(
+def build_refused(
     key: types.JobKey, refusal: dispatch.Refusal, peer: types.PeerName
 ) -> types.JobAnswer:
-    """The answer "not run" to a job that was not let in."""
+    """Return the answer "not run" for a job that was not admitted."""
     return types.JobAnswer(
         key,
         types.JobStatus.NOT_RUN,
@@ -59,12 +59,13 @@
     )
 
 
-def bad_key(
+def build_bad_key(
     key: types.JobKey, fault: ownership.KeyFault, peer: types.PeerName
 ) -> types.JobAnswer:
-    """The answer to a key that is refused for good.
+    """Return the answer for a key that is refused permanently.
 
-    An expired key may have run long ago, so "not run" would be a guess.
+    The job of an expired key may have run before, so its status is "failed"
+    instead of "not run".
     """
     status = types.JobStatus.NOT_RUN
     if fault == ownership.KeyFault.EXPIRED:
@@ -79,8 +80,10 @@
     )
 
 
-def key_reused(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer to another body under a key that is in use."""
+def build_key_reused(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
+    """Return the answer for a different body under a key in use."""
     return types.JobAnswer(
         key,
         types.JobStatus.NOT_RUN,
@@ -91,8 +94,10 @@
     )
 
 
-def unknown_job(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer about a key under which nothing is remembered."""
+def build_unknown_job(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
+    """Return the answer for a key under which no job is stored."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -103,8 +108,10 @@
     )
 
 
-def gathering(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer while agents still report what a lost entry started."""
+def build_gathering(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
+    """Return the answer while agents still report a removed entry's tasks."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -112,12 +119,14 @@
         reason="the job's entry was lost; its tasks are being collected",
         step='takeover',
         peer=peer,
-        retry_after=GATHERING_RETRY_SECONDS,
+        retry_after=TAKEOVER_RETRY_SECONDS,
     )
 
 
-def submit_again(key: types.JobKey, peer: types.PeerName) -> types.JobAnswer:
-    """The answer to a question after a job that only its tasks tell of."""
+def build_submit_again(
+    key: types.JobKey, peer: types.PeerName
+) -> types.JobAnswer:
+    """Return the status answer for a job known only from agents' reports."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
--- a/src/agatepick/owning/forwarding.py
+++ b/src/agatepick/owning/forwarding.py
@@ -1,8 +1,8 @@
-"""Requests that an entry passes on to the owner of their job.
+"""Requests that an entry forwards to the owner of their job.
 
-A request is passed on once.  If its owner is lost before it answers, the
-caller is told that the outcome is pending and to ask again: the owner may
-have started tasks, so "not run" would be a guess.
+A request is forwarded once.  If the connection to the owner ends before it
+answers, the caller gets the answer "pending" with a time to retry: the owner
+may have started tasks, so "not run" could be false.
 """
 
 import dataclasses
@@ -17,8 +17,10 @@
 CODE_PENDING = 'outcome_pending'
 
 
-def pending(key: types.JobKey, reason: str, peer: str = '') -> types.JobAnswer:
-    """The answer "outcome pending, ask again"."""
+def build_pending(
+    key: types.JobKey, reason: str, peer: str = ''
+) -> types.JobAnswer:
+    """Return the answer that the outcome is pending, with a retry time."""
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -31,31 +33,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Passed:
+class _ForwardedRequest:
     waiter: jobs.Waiter
     key: types.JobKey
     owner: types.PeerName
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
-    """An answer for one that waits for it."""
+class WaiterAnswer:
+    """An answer and the waiter that it is for."""
 
     waiter: jobs.Waiter
     answer: types.JobAnswer
 
 
 class Forwarding:
-    """Requests passed on and not yet answered."""
+    """Forwarded requests that have no answer yet."""
 
     def __init__(self) -> None:
-        self._passed: dict[int, _Passed] = {}
-        self._next = 1
+        self._requests: dict[int, _ForwardedRequest] = {}
+        self._next_id = 1
 
     def __len__(self) -> int:
-        return len(self._passed)
+        return len(self._requests)
 
-    def pass_on(
+    def forward(
         self,
         owner: types.PeerName,
         waiter: jobs.Waiter,
@@ -64,31 +66,33 @@
         team: str,
         specs: tuple[types.JobSpec, ...] = (),
     ) -> list[object]:
-        """Pass a request on; :meth:`answered` gives its answer."""
-        request = self._next
-        self._next += 1
-        self._passed[request] = _Passed(waiter, key, owner)
+        """Forward a request; :meth:`complete` returns its answer."""
+        request = self._next_id
+        self._next_id += 1
+        self._requests[request] = _ForwardedRequest(waiter, key, owner)
         forward = messages.Forward(request, action, key, team, specs)
         return [core.Send(owner, forward)]
 
-    def answered(self, message: messages.Forwarded) -> list[Answered]:
-        """The owner's answer, for whoever still waits for it."""
-        passed = self._passed.pop(message.request, None)
-        if passed is None:
+    def complete(self, message: messages.Forwarded) -> list[WaiterAnswer]:
+        """Return the owner's answer with its waiter, if one still waits."""
+        forwarded = self._requests.pop(message.request, None)
+        if forwarded is None:
             return []
-        return [Answered(passed.waiter, answers.decode(message.answer))]
+        return [WaiterAnswer(forwarded.waiter, answers.decode(message.answer))]
 
-    def owner_lost(self, owner: types.PeerName) -> list[Answered]:
-        """Answers to what was passed to an owner that can't be reached."""
+    def close_requests(self, owner: types.PeerName) -> list[WaiterAnswer]:
+        """Return pending answers for all requests of a lost owner."""
         lost = [
-            (request, passed)
-            for request, passed in self._passed.items()
-            if passed.owner == owner
+            (request, forwarded)
+            for request, forwarded in self._requests.items()
+            if forwarded.owner == owner
         ]
         reason = "the job's owner can't be reached"
         for request, _ in lost:
-            del self._passed[request]
+            del self._requests[request]
         return [
-            Answered(passed.waiter, pending(passed.key, reason, owner))
-            for _, passed in lost
+            WaiterAnswer(
+                forwarded.waiter, build_pending(forwarded.key, reason, owner)
+            )
+            for _, forwarded in lost
         ]
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -1,8 +1,8 @@
-"""The owner's side of a job: in, started, ended, answered.
+"""Job handling at the owner: admission, start, end and answer.
 
 One :class:`Owner` holds all jobs whose keys hash to its entry.  A task is
-handed to one agent at a time, with an attempt number that grows only after
-a refusal has come back; a start whose fate is unknown is never repeated.
+sent to one agent at a time.  Its attempt number grows only after an agent's
+refusal has arrived; a start with an unknown result is never repeated.
 """
 
 import dataclasses
@@ -27,13 +27,13 @@
 
 STOP = 'stop'
 LEASE_GRACE_SECONDS = 1.0
-"""How long jobs are let in after a read lease ran out.
+"""How long jobs are admitted after a read lease expired.
 
-A process that was paused for longer than its lease has a new one some
-milliseconds after it goes on.  If it refused what came in between, each long
-garbage collection or slow read would turn callers away.  Nothing starts
-without a lease; what is let in waits that second longer at most, then the
-store is taken to be out of reach, and new jobs are better told so at once.
+A process that was paused for longer than its lease renews it within some
+milliseconds after it resumes.  If jobs were refused until then, each long
+garbage collection or slow read would fail requests.  No task starts without a
+lease, so admitted jobs wait for it.  After this second the store counts as
+unreachable, and new jobs are refused at once.
 """
 REASON_AGENT_LOST = 'agent_lost'
 
@@ -48,11 +48,12 @@
 class OwnerConfig:
     """Limits of an owner.
 
-    :param retention_seconds: how long an ended job is remembered.
-    :param key_skew_seconds: how far a key's stamp may be ahead.
-    :param agent_lost_seconds: silence after which an agent's outstanding
-        tasks are unknown: two redials at their longest pause, and the time
-        for a loaded agent to answer.
+    :param retention_seconds: time that an ended job is stored.
+    :param key_skew_seconds: seconds that a key may be stamped ahead of this
+        entry's clock.
+    :param agent_lost_seconds: time after a disconnect at which an agent's
+        outstanding tasks become unknown.  It covers two redials at their
+        longest pause and the response time of a loaded agent.
     """
 
     retention_seconds: float = 600.0
@@ -71,8 +72,9 @@
         config: configuration.Configuration,
         dispatcher: dispatch.Dispatch,
     ):
-        # A key may be stamped ahead of our clock and is valid that much
-        # longer; forgotten earlier, its job would be taken for a new one.
+        # A key may be stamped ahead of this entry's clock and is valid that
+        # much longer.  If its job were deleted earlier, a resubmission would
+        # run as a new job.
         self.jobs = jobs.Jobs(cfg.retention_seconds + cfg.key_skew_seconds)
         self.takeover = takeover.Takeover(
             name, cfg.retention_seconds, cfg.key_skew_seconds
@@ -84,20 +86,23 @@
         self._config = config
         self._dispatch = dispatcher
         self._deadlines: list[tuple[float, types.JobKey]] = []
-        self._lapsed_at = math.inf
+        self._lease_expired_at = math.inf
         self.zone_work = zonework.ZoneCounter()
 
     @property
     def agents(self) -> dict[types.PeerName, messages.Hello]:
-        """The connected agents."""
+        """The connected agents by name."""
         return self._agents.connected
 
     # Requests.
 
-    def known(
+    def answer_resubmission(
         self, spec: types.JobSpec, waiter: jobs.Waiter
     ) -> list[object] | None:
-        """What a resubmission gets, or ``None`` for a key not seen yet."""
+        """Answer a resubmission.
+
+        :returns: its effects; ``None`` if the key is new here.
+        """
         refusal = self.jobs.refusal(spec.key)
         if refusal is not None:
             return answers.deliver((waiter,), refusal)
@@ -105,7 +110,7 @@
         if job is None:
             return None
         if job.spec.digest != spec.digest or job.spec.team != spec.team:
-            answer = answers.key_reused(spec.key, self._name)
+            answer = answers.build_key_reused(spec.key, self._name)
             return answers.deliver((waiter,), answer)
         if job.answer is not None:
             return answers.deliver((waiter,), job.answer)
@@ -115,7 +120,10 @@
     def check_key(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> list[object] | None:
-        """The answer to a key that may not run, or ``None`` if it may."""
+        """Answer a request whose key is invalid.
+
+        :returns: its effects; ``None`` if the key is valid.
+        """
         fault = ownership.check(
             spec.key,
             now,
@@ -124,7 +132,7 @@
         )
         if fault is None:
             return None
-        answer = answers.bad_key(spec.key, fault, self._name)
+        answer = answers.build_bad_key(spec.key, fault, self._name)
         return answers.deliver((waiter,), answer)
 
     def adopt(
@@ -134,19 +142,22 @@
         members: takeover.Members,
         now: float,
     ) -> list[object] | None:
-        """Take over a lost entry's job; ``None`` if the key is new."""
+        """Take over a removed entry's job.
+
+        :returns: its effects; ``None`` if no removed entry owned the key.
+        """
         if not self.takeover.concerns(spec.key, members):
             return None
-        if not self.takeover.gathered(spec.key, members, self.agents, now):
-            answer = answers.gathering(spec.key, self._name)
+        if not self.takeover.is_complete(spec.key, members, self.agents, now):
+            answer = answers.build_gathering(spec.key, self._name)
             return answers.deliver((waiter,), answer)
-        if not self.takeover.fits(spec):
-            answer = answers.key_reused(spec.key, self._name)
+        if not self.takeover.matches(spec):
+            answer = answers.build_key_reused(spec.key, self._name)
             return answers.deliver((waiter,), answer)
         job = self.jobs.add(spec, now)
         job.waiters.append(waiter)
         heapq.heappush(self._deadlines, (spec.deadline, spec.key))
-        takeover.adopt(job, self.takeover.take(spec.key), self.agents)
+        takeover.adopt(job, self.takeover.pop(spec.key), self.agents)
         return [
             core.note('job_adopted', job=spec.key, open=job.open),
             *self._settle(job, now),
@@ -155,7 +166,7 @@
     def submit(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> list[object]:
-        """Take a job under a new key, or refuse it."""
+        """Admit or refuse a job under a new key."""
         refusal = self._admit(spec, now)
         if refusal is not None:
             return self.refuse(spec, refusal, waiter, now)
@@ -177,38 +188,38 @@
         waiter: jobs.Waiter,
         now: float,
     ) -> list[object]:
-        """Refuse a job for good under its key."""
-        answer = answers.refused(spec.key, refusal, self._name)
+        """Refuse a job permanently under its key."""
+        answer = answers.build_refused(spec.key, refusal, self._name)
         self.jobs.refuse(answer, now)
         return [
             core.note('job_refused', job=spec.key, code=refusal.code),
             *answers.deliver((waiter,), answer),
         ]
 
-    def ask(
+    def send_status(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter
     ) -> list[object]:
-        """Tell how a job stands.
+        """Send the state of a job to a waiter.
 
-        :param team: whose job it must be; empty where callers have no
-            tokens, which tell their team.
+        :param team: team that must own the job; empty where callers have no
+            tokens, from which their team is read.
         """
         job = self.jobs.get(key)
         if job is None or team not in ('', job.spec.team):
             answer = self.jobs.refusal(key)
-            if answer is None and self.takeover.reported(key):
-                answer = answers.submit_again(key, self._name)
-            answer = answer or answers.unknown_job(key, self._name)
+            if answer is None and self.takeover.has_reports(key):
+                answer = answers.build_submit_again(key, self._name)
+            answer = answer or answers.build_unknown_job(key, self._name)
             return answers.deliver((waiter,), answer)
         return answers.deliver((waiter,), job.answer or job.pending())
 
     def cancel(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter, now: float
     ) -> list[object]:
-        """End a job early; what runs is stopped at its agents."""
+        """Cancel a job: drop its queued tasks and stop its running ones."""
         job = self.jobs.get(key)
         if job is None or job.ended or team not in ('', job.spec.team):
-            return self.ask(key, team, waiter)
+            return self.send_status(key, team, waiter)
         job.cancelled = True
         for index in self._dispatch.drop(key):
             job.end_task(
@@ -222,7 +233,7 @@
             core.note('job_cancelled', job=key),
             *self._stop_at_agents(job),
             *self._settle(job, now),
-            *self.ask(key, team, waiter),
+            *self.send_status(key, team, waiter),
         ]
 
     # Agents.
@@ -230,51 +241,51 @@
     def on_orphans(
         self, peer: types.PeerName, message: messages.Orphans, now: float
     ) -> list[object]:
-        """Take an agent's reports on the tasks of a removed entry."""
+        """Handle an agent's reports on the tasks of a removed entry."""
         hello = self.agents.get(peer)
         if hello is not None:
             self.takeover.on_orphans(peer, hello.incarnation, message)
         return []
 
-    def agent_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Settle what is open with an agent that has connected."""
+    def on_agent_up(self, hello: messages.Hello, now: float) -> list[object]:
+        """Request the state of an agent's open tasks when it connects."""
         name = hello.name
-        self._agents.up(hello)
+        self._agents.add(hello)
         effects: list[object] = []
         refs = []
-        for job, ref, incarnation in self.jobs.outstanding(name):
+        for job, ref, incarnation in self.jobs.list_open_tasks(name):
             if incarnation == hello.incarnation:
                 refs.append(ref)
             else:
-                effects += self._unknown(job, ref.index, name, now)
+                effects += self._end_unknown(job, ref.index, name, now)
         if refs:
             settle = messages.Settle(hello.incarnation, tuple(refs))
             effects.append(core.Send(name, settle))
         return effects
 
-    def agent_down(self, name: types.PeerName, now: float) -> None:
-        """Place nothing at an agent whose connection ended; wait for it."""
-        self._agents.down(name, now)
+    def on_agent_down(self, name: types.PeerName, now: float) -> None:
+        """Remove a disconnected agent and start its reconnect timeout."""
+        self._agents.remove(name, now)
 
     def on_offer(
         self, peer: types.PeerName, message: messages.Offer, now: float
     ) -> list[object]:
-        """Take an agent's offer of slots."""
-        if self._agents.speaks(peer, message.agent_incarnation):
-            self._agents.offered(peer, message, now)
+        """Handle an agent's offer of slots."""
+        if self._agents.is_current(peer, message.agent_incarnation):
+            self._agents.update_offer(peer, message, now)
         return []
 
     def set_leaving(
         self, leaving: frozenset[types.PeerName], now: float
     ) -> None:
-        """Place nothing at agents that operators have marked as leaving."""
+        """Place no tasks at agents that operators have marked as leaving."""
         self._agents.set_leaving(leaving, now)
 
     def on_results(
         self, peer: types.PeerName, message: messages.Results, now: float
     ) -> list[object]:
-        """Take an agent's reports and the slots it grants."""
-        if not self._agents.speaks(peer, message.agent_incarnation):
+        """Handle an agent's task reports and the slots it grants."""
+        if not self._agents.is_current(peer, message.agent_incarnation):
             return []
         effects: list[object] = []
         for report in message.reports:
@@ -292,16 +303,16 @@
         if report.index >= len(job.tasks):
             return []
         record = job.tasks[report.index]
-        # An old report may cross with a later attempt elsewhere.
+        # A late report may be about an attempt before the current one.
         if record.agent != agent or record.attempt != report.attempt:
             return []
         if report.state == types.TaskState.REFUSED:
-            return self._on_refused(job, agent, report, now)
+            return self._on_refusal(job, agent, report, now)
         if report.state not in _OUTCOMES:
             return []
-        return self._on_ended(job, agent, report, now)
+        return self._on_end_report(job, agent, report, now)
 
-    def _on_refused(
+    def _on_refusal(
         self,
         job: jobs.Job,
         agent: types.PeerName,
@@ -311,7 +322,7 @@
         self._dispatch.refused(agent, job.spec.team, now)
         record = job.tasks[report.index]
         record.agent = ''
-        self.zone_work.ended(agent)
+        self.zone_work.count_end(agent)
         if record.answer is not None:
             return []
         task = dispatch.Pending(job.spec, report.index, record.attempt)
@@ -326,7 +337,7 @@
         )
         return self._settle(job, now)
 
-    def _on_ended(
+    def _on_end_report(
         self,
         job: jobs.Job,
         agent: types.PeerName,
@@ -343,36 +354,36 @@
         job.end_task(
             report.index, outcome, report.body, report.reason, 'run', agent
         )
-        # Tells a second copy of the report that the slot is free already.
+        # A second copy of the report must not release the slot again.
         job.tasks[report.index].agent = ''
-        self.zone_work.ended(agent)
+        self.zone_work.count_end(agent)
         return self._settle(job, now)
 
     # Time.
 
     def on_tick(self, now: float) -> list[object]:
-        """Forget old jobs; give up on agents that stay away."""
-        self.jobs.forget(now)
-        self.takeover.forget(now)
+        """Delete old jobs, and end the tasks of agents that are lost."""
+        self.jobs.delete_expired(now)
+        self.takeover.delete_expired(now)
         effects: list[object] = []
-        for name in self._agents.given_up(now):
-            effects += self._agent_lost(name, now)
+        for name in self._agents.pop_expired(now):
+            effects += self._on_agent_lost(name, now)
         return effects
 
     def advance(self, now: float) -> list[object]:
-        """End jobs at their deadlines and start what can start."""
-        may = self._config.permits(now)
-        if may.lease > now:
-            self._lapsed_at = math.inf
+        """End jobs at their deadlines and place queued tasks."""
+        snapshot = self._config.permits(now)
+        if snapshot.lease > now:
+            self._lease_expired_at = math.inf
         else:
-            self._lapsed_at = min(self._lapsed_at, now)
+            self._lease_expired_at = min(self._lease_expired_at, now)
         effects: list[object] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, key = heapq.heappop(self._deadlines)
             job = self.jobs.get(key)
             if job is not None and not job.ended:
                 effects += self._end_at_deadline(job, now)
-        effects += self._place(may, now)
+        effects += self._place(snapshot, now)
         effects += self._dispatch.take_notes()
         wakes = [self._deadlines[0][0]] if self._deadlines else []
         wake = self._dispatch.next_wake(now)
@@ -385,16 +396,16 @@
     def _admit(
         self, spec: types.JobSpec, now: float
     ) -> dispatch.Refusal | None:
-        if now >= self._lapsed_at + LEASE_GRACE_SECONDS:
+        if now >= self._lease_expired_at + LEASE_GRACE_SECONDS:
             return dispatch.Refusal(
                 answers.CODE_NO_LEASE,
                 'this entry may start nothing until it reads the '
                 'configuration again',
                 forwarding.RETRY_AFTER_SECONDS,
             )
-        may = self._config.permits(now)
+        snapshot = self._config.permits(now)
         return self._dispatch.admit(
-            spec, lambda zone: now < may.zone_bound(zone), now
+            spec, lambda zone: now < snapshot.zone_bound(zone), now
         )
 
     def _stop_at_agents(self, job: jobs.Job) -> list[object]:
@@ -417,66 +428,68 @@
         return effects + self._settle(job, now)
 
     def _settle(self, job: jobs.Job, now: float) -> list[object]:
-        settled = self.jobs.settle(job, now)
-        if settled is None:
+        ended_job = self.jobs.settle(job, now)
+        if ended_job is None:
             return []
-        status = settled.answer.status
+        status = ended_job.answer.status
         return [
             core.note('job_ended', job=job.spec.key, status=status),
-            *answers.deliver(settled.waiters, settled.answer),
+            *answers.deliver(ended_job.waiters, ended_job.answer),
         ]
 
-    def _place(self, may: permits.Snapshot, now: float) -> list[object]:
-        if not self._dispatch.waiting() or may.lease <= now:
+    def _place(self, snapshot: permits.Snapshot, now: float) -> list[object]:
+        if not self._dispatch.waiting() or snapshot.lease <= now:
             return []
 
         def zone_share(zone: str) -> float:
-            if may.start_before(zone) <= now:
+            if snapshot.start_before(zone) <= now:
                 return 0.0
-            return zones.share(may.zone(zone), now)
+            return zones.share(snapshot.zone(zone), now)
 
         placed = self._dispatch.place(zone_share, now)
-        effects: list[object] = [self._starts(one, may, now) for one in placed]
+        effects: list[object] = [
+            self._start_placement(one, snapshot, now) for one in placed
+        ]
         for agent, want in self._dispatch.asks(now):
             effects.append(core.Send(agent, messages.Ask(want)))
         return effects
 
-    def _starts(
+    def _start_placement(
         self,
         placement: dispatch.Placement,
-        may: permits.Snapshot,
+        snapshot: permits.Snapshot,
         now: float,
     ) -> core.Send:
         agent = placement.agent
         zone = self.agents[agent].zone
         count = len(placement.tasks)
-        self.zone_work.started(agent, zone, count, now)
+        self.zone_work.count_starts(agent, zone, count, now)
         sender = starting.Sender(
             self._name, self._incarnation, self._config.version
         )
-        message = starting.starts(
+        message = starting.build_starts(
             sender,
             placement,
             self.jobs,
-            may.start_before(zone),
+            snapshot.start_before(zone),
             self._dispatch.demand(now),
         )
         return core.Send(agent, message)
 
-    def _agent_lost(self, name: types.PeerName, now: float) -> list[object]:
-        self.zone_work.lost(name)
+    def _on_agent_lost(self, name: types.PeerName, now: float) -> list[object]:
+        self.zone_work.drop_agent(name)
         effects: list[object] = [core.note('agent_lost', agent=name)]
-        for job, ref, _ in self.jobs.outstanding(name):
-            effects += self._unknown(job, ref.index, name, now)
+        for job, ref, _ in self.jobs.list_open_tasks(name):
+            effects += self._end_unknown(job, ref.index, name, now)
         return effects
 
-    def _unknown(
+    def _end_unknown(
         self, job: jobs.Job, index: int, agent: types.PeerName, now: float
     ) -> list[object]:
-        """End a task whose agent is gone: started or not, nobody can say.
+        """End a task with an unknown outcome because its agent is lost.
 
-        It is never started again: the first start may have taken effect,
-        and the caller would find a quote filed twice.
+        The task is never started again: the first start may have taken
+        effect, and the caller would find a quote filed twice.
         """
         job.end_task(
             index,
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -1,10 +1,11 @@
-"""Which entry owns a job, judged from the job's key alone.
-
-A key is a UUIDv7, so it tells when it was minted.  Rendezvous hashing picks
-its owner among the entries listed long enough before that instant: an entry
-listed later never becomes the owner of a key that another entry may already
-have started.  All functions are pure; every process that has the same
-``members`` gives the same answer.  Instants are seconds since the epoch.
+"""Assignment of jobs to owning entries by the job's key alone.
+
+A key is a UUIDv7, which contains the time stamp of its creation.  Rendezvous
+hashing selects its owner among the entries listed long enough before that
+time: an entry listed later never becomes the owner of a key whose job another
+entry may already have started.  All functions are pure; every process that
+has the same ``members`` gets the same result.  Times are seconds since the
+epoch.
 """
 
 import collections.abc
@@ -17,24 +18,24 @@
 from agatepick.net import messages
 from agatepick import types
 
-SKEW = 2.0
-"""How far ahead of a process's clock a key may be stamped.
+KEY_SKEW_SECONDS = 2.0
+"""Seconds that a key may be stamped ahead of a process's clock.
 
-Wide enough for callers that keep time by NTP on a bad day; it delays by as
-much the moment at which a newly listed entry gets its first keys.
+This covers callers whose NTP synchronisation is poor.  A newly listed entry
+gets its first keys that much later.
 """
 
-WINDOW = 600.0
-"""How long after its stamp a key is served."""
+KEY_WINDOW_SECONDS = 600.0
+"""Seconds after its stamp for which a key is valid."""
 
-_KEY = re.compile(
+_KEY_PATTERN = re.compile(
     '[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}'
 )
 _MILLISECONDS = 1000.0
 
 
 class KeyFault(enum.StrEnum):
-    """Why a key is refused; a refused key's job never runs."""
+    """Reasons to refuse a key; a refused key's job never runs."""
 
     MALFORMED = 'malformed'
     EXPIRED = 'expired'
@@ -42,12 +43,12 @@
 
 
 def is_key(key: types.JobKey) -> bool:
-    """Whether ``key`` is a UUIDv7 in canonical text form."""
-    return _KEY.fullmatch(key) is not None
+    """Return whether ``key`` is a UUIDv7 in canonical text form."""
+    return _KEY_PATTERN.fullmatch(key) is not None
 
 
 def stamp(key: types.JobKey) -> float:
-    """The instant at which ``key`` was minted.
+    """Return the time at which ``key`` was created.
 
     :raises agatepick.exceptions.BadKey: if it isn't a UUIDv7 in canonical
         text form.  Two spellings of one UUID would hash to two owners.
@@ -60,22 +61,22 @@
 def check(
     key: types.JobKey,
     now: float,
-    window: float = WINDOW,
-    skew: float = SKEW,
+    window: float = KEY_WINDOW_SECONDS,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> KeyFault | None:
-    """What is wrong with a key at ``now``; ``None`` if nothing is.
+    """Return the fault of a key at ``now``, or ``None`` if it is valid.
 
-    Without the window a late duplicate of a job that everyone has forgotten
-    would run a second time; without the limit ahead, a key could be minted
-    that outlives the memory of its first run.
+    Without the window, a late duplicate of a job whose records have been
+    deleted would run a second time.  Without the limit on stamps ahead, a key
+    could stay valid after the record of its first run has been deleted.
     """
     try:
-        minted = stamp(key)
+        created_at = stamp(key)
     except exceptions.BadKey:
         return KeyFault.MALFORMED
-    if minted < now - window:
+    if created_at < now - window:
         return KeyFault.EXPIRED
-    if minted > now + skew:
+    if created_at > now + skew:
         return KeyFault.AHEAD
     return None
 
@@ -83,64 +84,69 @@
 def owner(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
-    skew: float = SKEW,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> messages.Member | None:
-    """The listed entry that owns ``key``; ``None`` if none is listed."""
+    """Return the listed entry that owns ``key``; ``None`` if there is none."""
     listed = [member for member in members if not member.removed_at]
-    return _pick(key, listed, skew)
+    return _select_owner(key, listed, skew)
 
 
 def taken_over(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
-    skew: float = SKEW,
+    skew: float = KEY_SKEW_SECONDS,
 ) -> bool:
-    """Whether an entry that has been removed may have started ``key``.
+    """Return whether a removed entry may have started the job of ``key``.
 
-    Such a job may run no task that isn't known to be unstarted: its former
-    owner may have started any of them.  An entry accepts keys stamped up to
-    ``skew`` ahead of its clock, so keys stamped that long after its end are
-    still suspect.
+    None of its tasks may be started again, as the former owner may have
+    started any of them.  An entry accepts keys stamped up to ``skew`` ahead
+    of its clock, so it may also have accepted keys stamped up to ``skew``
+    after its end.
     """
     members = tuple(members)
-    minted = stamp(key)
+    created_at = stamp(key)
     listed = [member for member in members if not member.removed_at]
     return any(
-        _pick(key, [*listed, member], skew) is member
+        _select_owner(key, [*listed, member], skew) is member
         for member in members
-        if minted < suspect_until(member, skew)
+        if created_at < suspect_until(member, skew)
     )
 
 
-def suspect_until(member: messages.Member, skew: float = SKEW) -> float:
-    """Stamp from which on no key can have been let in by an entry.
+def suspect_until(
+    member: messages.Member, skew: float = KEY_SKEW_SECONDS
+) -> float:
+    """Return the stamp from which on an entry can't have accepted a key.
 
     :return: 0 while the entry is listed, so that no key is suspect.
     """
     if not member.removed_at:
         return 0.0
-    # An entry that stops lets in nothing for at least a fence before its
-    # removal is in force.  Without its word for that, each planned stop
-    # would fail new jobs for as long as the skew.
+    # A stopping entry admits no jobs from ``stopped_at`` on, at least a fence
+    # before its removal is in force.  Without ``stopped_at``, new jobs would
+    # fail for the length of the skew after each planned stop.
     return (member.stopped_at or member.removed_at) + skew
 
 
-def _pick(
+def _select_owner(
     key: types.JobKey, listed: list[messages.Member], skew: float
 ) -> messages.Member | None:
     if not listed:
         return None
-    minted = stamp(key)
-    eligible = [one for one in listed if one.listed_at + skew <= minted]
+    created_at = stamp(key)
+    eligible = [one for one in listed if one.listed_at + skew <= created_at]
     if not eligible:
-        # Keys of the first seconds of a cluster.  Choosing among all listed
-        # would move a key, unknown to its new owner, whenever another entry
-        # is listed; the earliest listed stay the same.
+        # The key was created in the first seconds of the cluster.  A choice
+        # among all listed entries would move the key to an owner without a
+        # record of it whenever another entry is listed; the set of entries
+        # listed first stays the same.
         first = min(one.listed_at for one in listed)
         eligible = [one for one in listed if one.listed_at == first]
-    return max(eligible, key=lambda one: _weight(key, one))
+    return max(eligible, key=lambda one: _hash_weight(key, one))
 
 
-def _weight(key: types.JobKey, member: messages.Member) -> tuple[int, str]:
+def _hash_weight(
+    key: types.JobKey, member: messages.Member
+) -> tuple[int, str]:
     text = f'{key}/{member.name}/{member.incarnation}'.encode()
     return xxhash.xxh3_64_intdigest(text), member.name
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -1,4 +1,4 @@
-"""Start messages: which tasks an agent is asked to start, and until when."""
+"""Messages that ask an agent to start tasks before a given time."""
 
 import dataclasses
 
@@ -10,9 +10,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sender:
-    """The entry that asks for a start.
+    """The entry that sends a start message.
 
-    :param version: version of the configuration that it knows.
+    :param version: version of the configuration that the entry has read.
     """
 
     name: types.PeerName
@@ -20,19 +20,21 @@
     version: int
 
 
-def starts(
+def build_starts(
     sender: Sender,
     placement: dispatch.Placement,
-    owned: jobs.Jobs,
+    all_jobs: jobs.Jobs,
     start_before: float,
     waiting: int,
 ) -> messages.Starts:
-    """The message for one placement; its tasks count as started from now.
+    """Build the message for one placement and mark its tasks as started.
 
-    :param start_before: instant before which the tasks must start.
-    :param waiting: demand for slots that is left.
+    :param start_before: time before which the tasks must start.
+    :param waiting: number of slots that the remaining queue needs.
     """
-    tasks = [_start(placement, one, owned) for one in placement.tasks]
+    tasks = [
+        _build_start_task(placement, one, all_jobs) for one in placement.tasks
+    ]
     return messages.Starts(
         owner=sender.name,
         owner_incarnation=sender.incarnation,
@@ -44,10 +46,10 @@
     )
 
 
-def _start(
-    placement: dispatch.Placement, one: dispatch.Pending, owned: jobs.Jobs
+def _build_start_task(
+    placement: dispatch.Placement, one: dispatch.Pending, all_jobs: jobs.Jobs
 ) -> messages.StartTask:
-    job = owned.get(one.job.key)
+    job = all_jobs.get(one.job.key)
     assert job is not None
     record = job.tasks[one.index]
     record.agent = placement.agent
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -1,10 +1,10 @@
-"""Jobs of a removed entry, as the entries that own their keys now see them.
+"""Takeover of a removed entry's jobs by the entries that own their keys now.
 
 A removed entry may have started any task of a job whose key it owned.  Its
-successor starts none of them: it learns from the agents what was started,
-takes over results and running tasks once the caller submits the job again,
-and calls a task that no agent reports unknown.  The job is then marked
-failed; a second start would file a quote twice.
+successor starts none of them, since a second start would file a quote twice.
+It collects the agents' reports on started tasks, and takes over results and
+running tasks once the caller submits the job again.  A task that no agent
+reports ends as unknown, and its job fails.
 """
 
 import collections.abc
@@ -16,13 +16,13 @@
 from agatepick.owning import ownership
 from agatepick import types
 
-FORGET_SECONDS = 1.0
-"""Between two searches for expired reports: each goes through all of them."""
-GATHER_SECONDS = 5.0
-"""How long after a removal reports are waited for.
+EXPIRY_INTERVAL_SECONDS = 1.0
+"""Time between two searches for expired reports, as each scans all reports."""
+REPORT_WAIT_SECONDS = 5.0
+"""How long a successor waits for reports after a removal.
 
-An agent that redials takes up to 1.5 s between two attempts; what comes
-later than this only leaves its tasks unknown, which is still true.
+An agent that redials pauses up to 1.5 s between two attempts.  Tasks that are
+reported later end as unknown, which is still a correct answer.
 """
 
 REASON_OWNER_LOST = 'owner_lost'
@@ -40,36 +40,38 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
-    """A task that an agent has reported, with the agent and its life."""
+class ReportedTask:
+    """An agent's report on a task, with the agent's name and incarnation."""
 
     agent: types.PeerName
     incarnation: int
     report: messages.TaskReport
 
 
-Tasks = dict[int, Found]
+ReportedTasks = dict[int, ReportedTask]
 """Reported tasks of one job, by their index."""
 
 
 class Takeover:
-    """What agents have told of the tasks of removed entries.
+    """Agents' reports on the tasks of removed entries.
 
     :param name: the entry that takes over.
-    :param retention: seconds for which a key is served.
-    :param skew: how far ahead of a clock a key may be stamped.
+    :param retention: seconds for which a key is valid.
+    :param skew: seconds that a key may be stamped ahead of a clock.
     """
 
     def __init__(self, name: types.PeerName, retention: float, skew: float):
         self._name = name
         self._retention = retention
         self._skew = skew
-        self._found: dict[types.JobKey, Tasks] = {}
-        self._forget_at = 0.0
-        self._told: dict[ledger.Owner, set[tuple[types.PeerName, int]]] = {}
+        self._reported: dict[types.JobKey, ReportedTasks] = {}
+        self._next_expiry_at = 0.0
+        self._agents_done: dict[
+            ledger.Owner, set[tuple[types.PeerName, int]]
+        ] = {}
 
     def __len__(self) -> int:
-        return len(self._found)
+        return len(self._reported)
 
     def on_orphans(
         self,
@@ -77,115 +79,120 @@
         incarnation: int,
         message: messages.Orphans,
     ) -> None:
-        """Take an agent's reports on a removed entry's tasks."""
+        """Store an agent's reports on a removed entry's tasks."""
         for report in message.reports:
-            if not _usable(report):
+            if not _is_usable(report):
                 continue
-            tasks = self._found.setdefault(report.job, {})
-            tasks[report.index] = Found(agent, incarnation, report)
+            tasks = self._reported.setdefault(report.job, {})
+            tasks[report.index] = ReportedTask(agent, incarnation, report)
         if message.last:
             lost = ledger.Owner(message.owner, message.owner_incarnation)
-            self._told.setdefault(lost, set()).add((agent, incarnation))
+            self._agents_done.setdefault(lost, set()).add((agent, incarnation))
 
     def on_result(
         self, agent: types.PeerName, report: messages.TaskReport
     ) -> None:
-        """Take the end of a task whose job nobody has asked for yet."""
-        if not _usable(report):
+        """Store the end of a task whose job has not been resubmitted yet."""
+        if not _is_usable(report):
             return
-        tasks = self._found.get(report.job)
-        found = tasks.get(report.index) if tasks is not None else None
-        if tasks is None or found is None or found.agent != agent:
+        tasks = self._reported.get(report.job)
+        reported = tasks.get(report.index) if tasks is not None else None
+        if tasks is None or reported is None or reported.agent != agent:
             return
-        digest = found.report.digest
+        digest = reported.report.digest
         tasks[report.index] = dataclasses.replace(
-            found, report=dataclasses.replace(report, digest=digest)
+            reported, report=dataclasses.replace(report, digest=digest)
         )
 
     def concerns(self, key: types.JobKey, members: Members) -> bool:
-        """Whether a removed entry may have started tasks of a job."""
+        """Return whether a removed entry may have started tasks of a job."""
         return ownership.taken_over(key, members, self._skew)
 
-    def gathered(
+    def is_complete(
         self,
         key: types.JobKey,
         members: Members,
         agents: Agents,
         now: float,
     ) -> bool:
-        """Whether all that agents can tell of a job has been told.
+        """Return whether all reports on a job have arrived.
 
-        Every connected agent must have ended its reports on every entry that
-        was removed late enough to have owned the key.
+        Every connected agent must have completed its reports on every entry
+        that was removed late enough to have owned the key.  Once
+        ``REPORT_WAIT_SECONDS`` have passed, missing reports are ignored.
         """
-        minted = ownership.stamp(key)
+        created_at = ownership.stamp(key)
         removed = [
             one
             for one in members
-            if minted < ownership.suspect_until(one, self._skew)
+            if created_at < ownership.suspect_until(one, self._skew)
         ]
         since = [one.removed_at for one in removed]
-        # An entry listed after the removal has to meet the agents first.
+        # Agents must first connect to an entry listed after the removal.
         since += [one.listed_at for one in members if one.name == self._name]
-        if now >= max(since, default=0.0) + GATHER_SECONDS:
+        if now >= max(since, default=0.0) + REPORT_WAIT_SECONDS:
             return True
-        present = {(one.name, one.incarnation) for one in agents.values()}
+        connected = {(one.name, one.incarnation) for one in agents.values()}
         return all(
-            present
-            <= self._told.get(ledger.Owner(one.name, one.incarnation), set())
+            connected
+            <= self._agents_done.get(
+                ledger.Owner(one.name, one.incarnation), set()
+            )
             for one in removed
         )
 
-    def fits(self, spec: types.JobSpec) -> bool:
-        """Whether a job is the one whose tasks were reported.
+    def matches(self, spec: types.JobSpec) -> bool:
+        """Return whether the reported tasks belong to this job.
 
-        Without this check another body under the same key would get the
-        results of the first one as its own.
+        Without this check, a different body under the same key would get the
+        results of the first one.
         """
-        tasks = self._found.get(spec.key, {})
+        tasks = self._reported.get(spec.key, {})
         return all(
             index < len(spec.tasks)
-            and found.report.digest
+            and reported.report.digest
             == ledger.task_digest(
                 spec.team, spec.tasks[index].kind, spec.tasks[index].payload
             )
-            for index, found in tasks.items()
+            for index, reported in tasks.items()
         )
 
-    def reported(self, key: types.JobKey) -> bool:
-        """Whether an agent has told of tasks of a job."""
-        return key in self._found
+    def has_reports(self, key: types.JobKey) -> bool:
+        """Return whether an agent has reported tasks of a job."""
+        return key in self._reported
 
-    def take(self, key: types.JobKey) -> Tasks:
-        """The reported tasks of a job, which is now remembered elsewhere."""
-        return self._found.pop(key, {})
+    def pop(self, key: types.JobKey) -> ReportedTasks:
+        """Remove and return the reported tasks of a job."""
+        return self._reported.pop(key, {})
 
-    def forget(self, now: float) -> None:
-        """Drop reports on keys that nobody may submit again."""
-        if now < self._forget_at:
+    def delete_expired(self, now: float) -> None:
+        """Delete the reports on expired keys."""
+        if now < self._next_expiry_at:
             return
-        self._forget_at = now + FORGET_SECONDS
+        self._next_expiry_at = now + EXPIRY_INTERVAL_SECONDS
         expired = [
             key
-            for key in self._found
+            for key in self._reported
             if ownership.stamp(key) + self._retention < now
         ]
         for key in expired:
-            del self._found[key]
+            del self._reported[key]
 
 
-def adopt(job: jobs.Job, found: Tasks, agents: Agents) -> None:
-    """Bring a resubmitted job to the state that agents have reported.
+def adopt(job: jobs.Job, reported: ReportedTasks, agents: Agents) -> None:
+    """Apply the agents' reports to a resubmitted job.
 
-    What still runs is awaited at its agent; its end comes as a result, or as
-    the answer to the question after a reconnection.
+    The end of a task that still runs arrives as a result, or as the answer to
+    ``Settle`` after its agent has reconnected.
     """
     for index in range(len(job.tasks)):
-        task = found.get(index)
+        task = reported.get(index)
         if task is None:
-            _end(job, index, types.Outcome.UNKNOWN, REASON_OWNER_LOST)
+            _end_in_takeover(
+                job, index, types.Outcome.UNKNOWN, REASON_OWNER_LOST
+            )
         elif task.report.state == _RUNNING:
-            _await(job, index, task, agents)
+            _await_end(job, index, task, agents)
         else:
             report = task.report
             job.end_task(
@@ -198,16 +205,18 @@
             )
 
 
-def _usable(report: messages.TaskReport) -> bool:
-    """Whether a report names a job that can be and a state it can have."""
-    known = report.state in _OUTCOMES or report.state == _RUNNING
-    return known and ownership.is_key(report.job)
+def _is_usable(report: messages.TaskReport) -> bool:
+    """Return whether a report has a valid key and a started task's state."""
+    has_valid_state = report.state in _OUTCOMES or report.state == _RUNNING
+    return has_valid_state and ownership.is_key(report.job)
 
 
-def _await(job: jobs.Job, index: int, task: Found, agents: Agents) -> None:
+def _await_end(
+    job: jobs.Job, index: int, task: ReportedTask, agents: Agents
+) -> None:
     hello = agents.get(task.agent)
     if hello is None or hello.incarnation != task.incarnation:
-        _end(job, index, types.Outcome.UNKNOWN, REASON_AGENT_LOST)
+        _end_in_takeover(job, index, types.Outcome.UNKNOWN, REASON_AGENT_LOST)
         return
     record = job.tasks[index]
     record.agent = task.agent
@@ -216,7 +225,7 @@
     record.adopted = True
 
 
-def _end(
+def _end_in_takeover(
     job: jobs.Job, index: int, outcome: types.Outcome, reason: str
 ) -> None:
     job.end_task(index, outcome, reason=reason, step='takeover')
--- a/src/agatepick/owning/zonework.py
+++ b/src/agatepick/owning/zonework.py
@@ -1,7 +1,7 @@
-"""What one entry has running in each availability zone.
+"""Tasks of one entry that run in each availability zone.
 
-Operators who take a zone out want to know when the last task there has
-ended, and when the last one started.
+Operators who take a zone out need the time of the last start there, and to
+see when the last task there has ended.
 """
 
 import collections
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneWork:
-    """Work of one entry in one zone.
+    """Tasks of one entry in one zone.
 
-    :param running: tasks started there whose end hasn't been reported.
-    :param last_start_at: when the last start was sent there; 0 if none was.
+    :param running: tasks sent to the zone whose end hasn't been reported.
+    :param last_start_at: time of the last start sent there; 0 if none was.
     """
 
     zone: str
@@ -24,38 +24,38 @@
 
 
 class ZoneCounter:
-    """Counts starts and ends by agent, and shows them by zone."""
+    """Counter of started and ended tasks by agent, summed by zone."""
 
     def __init__(self) -> None:
         self._zones: dict[types.PeerName, str] = {}
         self._running: collections.Counter[types.PeerName] = (
             collections.Counter()
         )
-        self._last: dict[str, float] = {}
+        self._last_starts: dict[str, float] = {}
 
-    def started(
+    def count_starts(
         self, agent: types.PeerName, zone: str, count: int, now: float
     ) -> None:
-        """Starts were sent to an agent."""
+        """Count starts that are sent to an agent."""
         self._zones[agent] = zone
         self._running[agent] += count
-        self._last[zone] = now
+        self._last_starts[zone] = now
 
-    def ended(self, agent: types.PeerName) -> None:
-        """A task's end, or a refusal, was reported."""
+    def count_end(self, agent: types.PeerName) -> None:
+        """Count a task's end or refusal that an agent reported."""
         if self._running[agent] > 0:
             self._running[agent] -= 1
 
-    def lost(self, agent: types.PeerName) -> None:
-        """An agent is given up: nobody will report its tasks."""
+    def drop_agent(self, agent: types.PeerName) -> None:
+        """Delete the count of a lost agent, which reports no more ends."""
         self._running.pop(agent, None)
 
-    def show(self) -> tuple[ZoneWork, ...]:
-        """The work in each zone that had any, by name."""
+    def list_zones(self) -> tuple[ZoneWork, ...]:
+        """Return the tasks in each zone that had any, by zone name."""
         running: collections.Counter[str] = collections.Counter()
         for agent, count in self._running.items():
             running[self._zones[agent]] += count
         return tuple(
             ZoneWork(zone, running[zone], at)
-            for zone, at in sorted(self._last.items())
+            for zone, at in sorted(self._last_starts.items())
         )
