--- a/src/agatepick/decisions/__init__.py
+++ b/src/agatepick/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions under load, testable without a network."""
+"""Scheduling decisions under load, without any network access."""
--- a/src/agatepick/decisions/admission.py
+++ b/src/agatepick/decisions/admission.py
@@ -1,19 +1,20 @@
-"""Whether a job is let in: its predicted end against its deadline.
-
-Load pattern: saturation, and bursts beyond what the slots can do in time.
-Without this the queue grows until every job ends after its deadline: the
-slots are busy with work whose answer is of no use, and goodput falls to
-nothing while all slots are taken.
-
-The prediction counts the work that would start before the job, and the job's
-own, over the slots this entry can use; what free slots take at once doesn't
-wait.  To that it adds the run time of the job's longest task, at the
-preset's quantile of the worst of its last tasks.  A job that would end too
-late is refused at once, with the seconds after which the queue will be short
-enough.  A job that fits no worker, or that more likely than not couldn't end
-in time on idle ones either, is refused for good.  The preset keeps a tenth
-to a fifth of the time to the deadline spare, as one task in a hundred takes
-longer than its kind's quantile says.
+"""Admission control: the predicted end of a job against its deadline.
+
+Load pattern: saturation, and bursts that exceed what the slots can run in
+time.  Without admission control the queue grows until every job ends after
+its deadline: all slots run tasks whose results are of no use, and goodput
+falls to zero at full utilisation.
+
+The prediction adds up the work that starts before the job and the job's own
+work, and divides it by the slots that this entry can use; tasks that fit
+into free slots start at once and don't wait.  The run time of the job's
+longest task is added, at the preset's quantile of the maximum over its last
+tasks.  A job that would end too late is refused at once, with the seconds
+after which the queue will be short enough.  A job that fits no worker, or
+whose longest task would more likely than not miss the deadline even on idle
+workers, is refused permanently.  The preset reserves a tenth to a fifth of the
+time to the deadline, because one task in a hundred takes longer than its
+kind's quantile.
 """
 
 import dataclasses
@@ -28,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a job isn't let in.
+    """The reason why a job isn't admitted.
 
-    :param code: a word for programs, such as ``overloaded``.
-    :param reason: the same for people.
-    :param retry_after: seconds; 0 if the job will never run.
+    :param code: machine-readable reason, such as ``overloaded``.
+    :param reason: human-readable reason.
+    :param retry_after: seconds; 0 if a retry can't succeed.
     """
 
     code: str
@@ -42,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a job would meet.
+    """The load that a new job would find.
 
-    :param work_before: expected seconds of tasks that start before it.
+    :param work_before: expected seconds of tasks that start before the job.
     :param slots: slots that this entry can use.
-    :param free: those of them that are free.
+    :param free: number of these slots that are free.
     """
 
     work_before: float
@@ -55,52 +56,57 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Demand:
-    """What a job asks for, in expected seconds.
+class JobEstimate:
+    """The estimated run times of a job, in seconds.
 
-    :param work: of all its tasks.
-    :param typical: of its longest task, at the median.
-    :param longest: of its longest task, at the preset's quantile.
+    :param tasks: number of its tasks.
+    :param work: sum of the expected run times of all its tasks.
+    :param median: run time of its longest task at the median.
+    :param longest: run time of its longest task at the preset's quantile.
     """
 
     tasks: int
     work: float
-    typical: float
+    median: float
     longest: float
 
 
-def predicted_wait(load: Load, demand: Demand) -> float:
-    """Seconds until the job's last task starts."""
-    if not demand.tasks:
+def predict_wait(load: Load, estimate: JobEstimate) -> float:
+    """Return the expected seconds until the job's last task starts."""
+    if not estimate.tasks:
         return 0.0
-    at_once = load.free * demand.work / demand.tasks
-    waiting = max(0.0, load.work_before + demand.work - at_once)
+    at_once = load.free * estimate.work / estimate.tasks
+    waiting = max(0.0, load.work_before + estimate.work - at_once)
     return waiting / max(load.slots, 1.0)
 
 
-def judge(
+def check_deadline(
     job: types.JobSpec,
     load: Load,
-    demand: Demand,
+    estimate: JobEstimate,
     spare_share: float,
     now: float,
 ) -> Refusal | None:
-    """Refuse a job that would end after its deadline, else ``None``."""
+    """Return a refusal if a job would end after its deadline.
+
+    :param spare_share: part of the time to the deadline that stays unused.
+    :returns: the refusal, or ``None`` if the job can be admitted.
+    """
     left = job.deadline - now
     if left <= 0.0:
         return Refusal('deadline_passed', 'the deadline has passed', 0.0)
-    if demand.typical > left:
+    if estimate.median > left:
         return Refusal(
             'deadline_too_short',
-            f'its longest task takes {demand.typical:.2f} s, the deadline'
+            f'its longest task takes {estimate.median:.2f} s, the deadline'
             f' is in {left:.2f} s',
             0.0,
         )
-    wait = predicted_wait(load, demand)
+    wait = predict_wait(load, estimate)
     usable = left * (1.0 - spare_share)
-    if not wait or wait + demand.longest <= usable:
+    if not wait or wait + estimate.longest <= usable:
         return None
-    late = wait + demand.longest - usable
+    late = wait + estimate.longest - usable
     return Refusal(
         'overloaded',
         f'would end {late:.2f} s too late: {load.work_before:.1f} s of work'
@@ -109,20 +115,20 @@
     )
 
 
-def no_workers() -> Refusal:
-    """No agent has announced a worker yet."""
+def refuse_no_workers() -> Refusal:
+    """Return the refusal for an entry to which no worker is announced."""
     return Refusal(
         'no_workers', 'no worker has been announced', NO_WORKERS_RETRY_AFTER
     )
 
 
-def no_such_kind(kind: str) -> Refusal:
-    """No worker serves a kind of task."""
+def refuse_unknown_kind(kind: str) -> Refusal:
+    """Return the refusal for a kind of task that no worker serves."""
     return Refusal('no_such_kind', f'no worker serves kind {kind!r}', 0.0)
 
 
-def no_such_zone(zones: tuple[str, ...], kind: str) -> Refusal:
-    """The job's zones have no worker that serves a kind."""
+def refuse_unknown_zone(zones: tuple[str, ...], kind: str) -> Refusal:
+    """Return the refusal for zones without a worker that serves a kind."""
     return Refusal(
         'no_such_zone',
         f'no worker in {", ".join(zones)} serves kind {kind!r}',
@@ -130,8 +136,8 @@
     )
 
 
-def too_large(needs: types.Needs) -> Refusal:
-    """No worker is large enough."""
+def refuse_too_large(needs: types.Needs) -> Refusal:
+    """Return the refusal for needs that exceed every worker's capacity."""
     return Refusal(
         'too_large',
         f'no worker has {needs.cpu:g} cores, {needs.memory_mb} MiB and'
@@ -140,8 +146,8 @@
     )
 
 
-def zones_closed() -> Refusal:
-    """All zones that the job may run in are out."""
+def refuse_closed_zones() -> Refusal:
+    """Return the refusal for a job whose zones are all out of service."""
     return Refusal(
         'zone_closed',
         'every zone that it may run in is out of service',
--- a/src/agatepick/decisions/backoff.py
+++ b/src/agatepick/decisions/backoff.py
@@ -1,9 +1,9 @@
-"""Pauses between attempts at something that fails.
+"""Exponential backoff between attempts at an operation that fails.
 
-Load pattern: a peer refuses, resets its connections or answers an error at
-once.  Asked again without a pause it is asked thousands of times a second:
-each attempt opens a connection, and the process that asks does nothing else
-meanwhile.
+Load pattern: a peer refuses connections, resets them or answers with an
+error at once.  Without a pause the client would retry thousands of times a
+second: each attempt opens a connection, and the client's process does
+nothing else meanwhile.
 """
 
 import dataclasses
@@ -12,36 +12,39 @@
 GROWTH = 2.0
 """Factor from one pause to the next."""
 
-LEAST_PART = 0.5
-"""Part of a pause that is kept at least where pauses are spread."""
+MIN_JITTER_FACTOR = 0.5
+"""Lower bound of the random factor by which a pause is shortened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pauses:
-    """How the pauses after failures in a row grow, in seconds.
+    """The bounds of the pauses after consecutive failures, in seconds.
 
-    :param first: after one failure.
-    :param most: after many.
+    :param first: pause after the first failure.
+    :param most: longest pause.
     """
 
     first: float
     most: float
 
     def after(self, failures: int) -> float:
-        """The pause after so many failures in a row, at least one."""
-        grown = self.first
+        """Return the pause after a number of consecutive failures.
+
+        :param failures: number of failures, at least 1.
+        """
+        pause = self.first
         for _ in range(failures - 1):
-            grown *= GROWTH
-            if grown >= self.most:
+            pause *= GROWTH
+            if pause >= self.most:
                 break
-        return min(grown, self.most)
+        return min(pause, self.most)
 
 
 class Backoff:
-    """Counts one peer's failures in a row.
+    """A counter of one peer's consecutive failures.
 
-    :param rng: spreads the pauses, where many ask the same peer and would
-        else all come back at the same instant.
+    :param rng: source of jitter, for peers that have many clients, which
+        would otherwise all retry at the same instant.
     """
 
     def __init__(
@@ -52,13 +55,13 @@
         self._failures = 0
 
     def failed(self) -> float:
-        """Seconds until the next attempt, after one more failure."""
+        """Record a failure and return the seconds until the next attempt."""
         self._failures += 1
         pause = self._pauses.after(self._failures)
         if self._rng is None:
             return pause
-        return pause * self._rng.uniform(LEAST_PART, 1.0)
+        return pause * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
 
     def succeeded(self) -> None:
-        """The next failure is the first one again."""
+        """Reset the count of consecutive failures."""
         self._failures = 0
--- a/src/agatepick/decisions/demand.py
+++ b/src/agatepick/decisions/demand.py
@@ -1,14 +1,14 @@
-"""How much of its queue an entry tells agents, which move slots by it.
+"""The number of slots that an entry requests from agents.
 
-Load pattern: entries' queues come and go within
-a second, at different times.  If each queued task moved a slot from one
-entry to another, and soon back, a message in nine would only move slots.  A
-queue that an entry's own slots take within :data:`HOLD_SECONDS` moves none.
-Only an entry that has filled three tenths of all slots of late holds back
-so: with fewer, slots idle elsewhere, and a job would take twice its time.
-Twice as long halves the offers once more, but the mean response is then
-above 1.05 times the ideal at 80% load, as slots idle at one entry while
-tasks wait at the other.
+Load pattern: entries' queues build up and drain within a second, at
+different times.  If each queued task moved a slot from one entry to another,
+and soon back, one message in nine would only move slots.  A queue that the
+entry's own slots can start within :data:`HOLD_SECONDS` therefore requests
+none.  This applies only to an entry that has filled three tenths of all
+slots on average: with fewer, slots would idle elsewhere, and a job would
+take twice its time.  Doubling the hold time halves the offers once more, but
+raises the mean response above 1.05 times the ideal at 80% load, as slots
+idle at one entry while tasks wait at the other.
 """
 
 import math
@@ -16,52 +16,52 @@
 from agatepick.decisions import estimates
 
 HOLD_SECONDS = 0.5
-"""Queue, in time, that is left to the slots this entry holds already."""
+"""Length of queue, in time, that the entry's own slots are left to drain."""
 BUSY_SHARE = 0.3
-"""Part of all slots that one entry fills, on average, on busy days."""
+"""Average part of all slots from which on an entry counts as busy."""
 MEAN_WEIGHT = 0.02
 """Weight of one run time in the moving mean over all kinds."""
 BUSY_SECONDS = 10.0
-"""Time constant of the share of slots in use: several jobs long."""
+"""Time constant of the average share of slots in use; several jobs long."""
 
 
-class Demand:
-    """An entry's demand for slots, from its queue and what it runs.
+class SlotDemand:
+    """An entry's demand for slots, from its queue and its running tasks.
 
-    :ivar busy: part of all slots that it fills, on average over time.
+    :ivar average_use: part of all slots that it fills, averaged over time.
     """
 
     def __init__(self) -> None:
-        self.busy = 0.0
-        self._filled = 0.0
-        self._at = 0.0
+        self.average_use = 0.0
+        self._use = 0.0
+        self._updated_at = 0.0
         self._placed_at = 0.0
         self._mean_seconds = estimates.DEFAULT_SECONDS
 
-    def add(self, running: int, slots: int, now: float) -> None:
-        """Take what runs from ``now`` on, of all usable slots."""
-        kept = math.exp(-max(0.0, now - self._at) / BUSY_SECONDS)
-        self.busy = kept * self.busy + (1.0 - kept) * self._filled
-        self._filled = running / max(1, slots)
-        self._at = now
+    def record_use(self, running: int, slots: int, now: float) -> None:
+        """Record the running tasks and usable slots from ``now`` on."""
+        decay = math.exp(-max(0.0, now - self._updated_at) / BUSY_SECONDS)
+        self.average_use = decay * self.average_use + (1.0 - decay) * self._use
+        self._use = running / max(1, slots)
+        self._updated_at = now
 
-    def placed(self, now: float) -> None:
-        """Tasks were placed, or none waits."""
+    def record_placement(self, now: float) -> None:
+        """Record that tasks were placed, or that none waits."""
         self._placed_at = now
 
-    def ended(self, seconds: float) -> None:
-        """Take the run time of a task that ended well."""
-        change = max(seconds, estimates.LEAST) - self._mean_seconds
+    def record_run_time(self, seconds: float) -> None:
+        """Record the run time of a task that succeeded."""
+        change = max(seconds, estimates.MIN_VALUE) - self._mean_seconds
         self._mean_seconds += MEAN_WEIGHT * change
 
-    def told(self, waiting: int, running: int, now: float) -> int:
-        """Tasks that agents should move slots here for.
+    def compute(self, waiting: int, running: int, now: float) -> int:
+        """Return the number of tasks to request slots for.
 
-        On busy days those that the entry's own slots will soon take don't
-        count, unless no slot took any for :data:`HOLD_SECONDS`.
+        If the entry is busy, tasks that its own slots will soon start don't
+        count, unless none was placed for :data:`HOLD_SECONDS`.
         """
-        is_calm = self.busy < BUSY_SHARE
-        if is_calm or now - self._placed_at >= HOLD_SECONDS:
+        has_few_slots = self.average_use < BUSY_SHARE
+        if has_few_slots or now - self._placed_at >= HOLD_SECONDS:
             return waiting
         soon = running * HOLD_SECONDS / self._mean_seconds
         return max(0, waiting - int(soon))
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -1,15 +1,16 @@
-"""An entry's queue, and the slots at agents that it may fill.
-
-Combines the decisions under load: admission, fair queueing, quotas, choice
-of worker, outlier detection, retry budget and run-time estimates.  Tasks
-wait here and are bound to a slot only when one is free (late binding), so a
-straggler or a wrong estimate holds up one slot, not a queue behind it.
-
-Load pattern of :meth:`Dispatch.asks`: work comes to an entry whose share of
-the slots has gone to others while it was idle.  Agents learn of demand from
-start messages, so an entry asks only agents that it has neither sent to nor
-heard from for :data:`ASK_SECONDS`; without asks it would wait for ever,
-asking more often would cost more than 2% of all messages.
+"""The queue of an entry, and the slots at agents that it may fill.
+
+Combines the decisions under load: admission, fair queueing, quotas, worker
+selection, outlier detection, retry budget and run-time estimates.  Tasks
+wait here and are bound to a slot only when one is free (late binding), so
+that a straggler or a wrong estimate holds up one slot, not a queue behind it.
+
+Load pattern of :meth:`Dispatch.asks`: work arrives at an entry whose share
+of the slots went to other entries while it was idle.  Agents learn an
+entry's demand from start messages, so an entry sends requests only to agents
+with which it has exchanged no message for :data:`ASK_SECONDS`.  Without
+these requests it would wait for ever; more frequent ones would make up more
+than 2% of all messages.
 """
 
 import collections
@@ -34,17 +35,19 @@
 from agatepick import types
 
 ASK_SECONDS = 0.25
+"""Least time between two messages that request slots from one agent."""
 IDLE_SHARE = 0.5
-"""Part of all slots that an idle entry counts on getting when it asks."""
+"""Part of all slots that admission expects an idle entry to obtain."""
 EXCLUDED_SECONDS = 0.1
-"""A retry no other agent takes for so long goes back to any agent."""
-LATEST_SPARE = 1.2
-"""Longest run times before the deadline at which a job should have begun."""
-NOTES = {
+"""Time after which a retry may be placed at agents that refused the task."""
+LATEST_START_FACTOR = 1.2
+"""Multiple of the longest run time that a job needs before its deadline."""
+NOTES_BY_STANDING = {
     outliers.Standing.EJECTED: 'worker_ejected',
     outliers.Standing.GOOD: 'worker_readmitted',
 }
-SPARE_DEADLINES = 4096
+PRUNE_LENGTH = 4096
+"""Length from which on the heap of deadlines is pruned of ended jobs."""
 
 Pending = queues.Pending
 Refusal = admission.Refusal
@@ -53,10 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchSettings:
-    """Settings of one entry's dispatch.
+    """The settings of one entry's dispatch.
 
     :param name: the entry's own name.
-    :param policy: a name in :data:`agatepick.placement.POLICIES`.
+    :param preset: a name in :data:`agatepick.decisions.presets.BY_NAME`.
+    :param policy: a name in
+        :data:`agatepick.decisions.placement.POLICIES`.
     """
 
     name: str = 'entry'
@@ -66,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """Tasks to start at one agent."""
+    """The tasks to start at one agent."""
 
     agent: str
     incarnation: int
@@ -75,11 +80,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchStatus:
-    """What the status page shows.
+    """The dispatch state that the status page shows.
 
-    :param queued: waiting tasks by team.
+    :param queued: number of waiting tasks by team.
     :param slots: slots that this entry may fill.
-    :param running: slots that it fills.
+    :param running: slots that this entry fills.
     :param ejected: agents ejected as outliers.
     :param medians: median run time by kind, in seconds.
     """
@@ -93,13 +98,16 @@
 
 
 class Dispatch:
-    """Decides what starts where and when; see the module's text."""
+    """The scheduler that decides when and where each task starts."""
 
     @classmethod
     def from_config(
         cls, cfg: DispatchSettings, rng: random.Random
     ) -> 'Dispatch':
-        """A dispatch without agents; ``rng`` is its only randomness."""
+        """Return a dispatch without agents.
+
+        :param rng: its only source of randomness.
+        """
         return cls(cfg, rng)
 
     def __init__(self, cfg: DispatchSettings, rng: random.Random) -> None:
@@ -118,11 +126,11 @@
         self._sequence = 0
         self._sized: sizing.SizedJob | None = None
         self._blocked: set[placement.Requirement] = set()
-        self._demand = demand.Demand()
+        self._demand = demand.SlotDemand()
         self._notes: list[core.Note] = []
 
     def use_preset(self, preset: presets.Preset, now: float) -> None:
-        """Decide by another preset from now on."""
+        """Apply another preset to later decisions."""
         self._preset = preset
         self._outliers.max_ejected_share = preset.max_ejected_share
         self._queue.urgent_run = preset.urgent_run
@@ -131,16 +139,16 @@
     def agent_offers(
         self, info: AgentInfo, offer: messages.Offer, now: float
     ) -> None:
-        """Take an agent's offer: its upstream and the slots leased here."""
-        self._workers.offered(info, offer, now)
+        """Apply an agent's offer: its upstream and the slots leased here."""
+        self._workers.apply_offer(info, offer, now)
 
     def agent_credits(self, agent: str, credits: int, now: float) -> None:
-        """Take the slots now leased here, those filled included."""
-        self._workers.credited(agent, credits, now)
+        """Set the number of slots leased here, filled ones included."""
+        self._workers.set_credits(agent, credits, now)
 
     def agent_gone(self, agent: str) -> None:
-        """Place nothing at an agent until it offers again."""
-        self._workers.disconnected(agent)
+        """Stop placing tasks at an agent until its next offer."""
+        self._workers.mark_disconnected(agent)
 
     def admit(
         self,
@@ -148,90 +156,100 @@
         zones_open: typing.Callable[[str], bool],
         now: float,
     ) -> Refusal | None:
-        """Why a job isn't let in, or ``None`` if it is."""
-        sized = self._size(job)
+        """Return why a job is refused, or ``None`` if it is admitted.
+
+        :param zones_open: whether a zone is in service.
+        """
+        sized = self._estimate(job)
         for requirement in sized.groups:
-            refusal = self._workers.refuses(requirement, zones_open)
+            refusal = self._workers.find_refusal(requirement, zones_open)
             if refusal is not None:
                 return refusal
-        load = self._load(sized, now)
+        load = self._compute_load(sized, now)
         spare = self._preset.spare_share
-        return admission.judge(job, load, sized.demand, spare, now)
+        return admission.check_deadline(job, load, sized.estimate, spare, now)
 
     def enqueue(self, job: types.JobSpec, now: float) -> None:
         """Queue all tasks of a job."""
-        sized = self._size(job)
+        sized = self._estimate(job)
         self._sized = None
-        cost = sized.demand.work / max(1, len(job.tasks))
+        cost = sized.estimate.work / max(1, len(job.tasks))
         groups = {
             requirement: collections.deque(indices)
             for requirement, indices in sized.groups.items()
         }
-        pool = self._workers.pool(sized.groups)
-        latest = self._latest_start(sized)
+        pool = self._workers.get_pool(sized.groups)
+        latest = self._compute_latest_start(sized)
         waiting = queues.WaitingJob(job, cost, groups, pool, latest)
         self._queue.add(waiting, now)
         self._sequence += 1
         entry = (job.deadline, self._sequence, job.key)
         heapq.heappush(self._deadlines, entry)
-        self._trim_deadlines()
+        self._prune_deadlines()
 
     def requeue(self, task: Pending, refused_by: str, now: float) -> bool:
-        """Try a refused task again; ``False`` means to give it up."""
-        self._return_needs(refused_by, task.job, task.index)
+        """Schedule a retry of a refused task.
+
+        :returns: ``False`` if the retry budget or the deadline forbids it.
+        """
+        self._release_needs(refused_by, task.job, task.index)
         left = task.job.deadline - now
         pause = self._budget.delay(task.attempt, left)
         if pause is None:
             return False
         excluded = task.excluded | {refused_by}
         spec = task.job.tasks[task.index]
-        requirement = self._workers.requirement(task.job, spec)
-        if excluded >= self._workers.pool([requirement]):
+        requirement = self._workers.classify(task.job, spec)
+        if excluded >= self._workers.get_pool([requirement]):
             excluded = frozenset()
-        again = Pending(task.job, task.index, task.attempt + 1, excluded)
-        self._retries.push(again, now + pause)
+        retry = Pending(task.job, task.index, task.attempt + 1, excluded)
+        self._retries.push(retry, now + pause)
         return True
 
     def drop(self, key: str) -> tuple[int, ...]:
-        """Remove a job's queued tasks; returns their indices."""
+        """Remove a job's queued tasks and return their indices."""
         dropped = self._queue.drop(key)
-        again = self._retries.remove(lambda task: task.job.key == key)
-        if not again:
+        retried = self._retries.remove(lambda task: task.job.key == key)
+        if not retried:
             return dropped
-        return tuple(sorted([*dropped, *[task.index for task in again]]))
+        return tuple(sorted([*dropped, *[task.index for task in retried]]))
 
     def expire(self, now: float) -> tuple[Pending, ...]:
-        """Remove and return queued tasks whose deadline has passed."""
-        late: list[Pending] = []
+        """Remove and return the queued tasks whose deadline has passed."""
+        expired: list[Pending] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             key = heapq.heappop(self._deadlines)[2]
             waiting = self._queue.get(key)
             if waiting is not None and waiting.job.deadline <= now:
                 indices = self._queue.drop(key)
-                late += [Pending(waiting.job, i, 0) for i in indices]
-        late += self._retries.remove(lambda task: task.job.deadline <= now)
-        return tuple(late)
+                expired += [Pending(waiting.job, i, 0) for i in indices]
+        expired += self._retries.remove(lambda task: task.job.deadline <= now)
+        return tuple(expired)
 
     def place(
         self, zone_share: typing.Callable[[str], float], now: float
     ) -> list[Placement]:
-        """Bind waiting tasks to free slots, which count as taken.
+        """Bind waiting tasks to free slots, which count as filled from now on.
 
-        :param zone_share: part of each zone's slots in use, 0 to 1.
+        :param zone_share: part of a zone's slots that may be filled, 0 to 1.
         """
         self._workers.prepare(zone_share, now)
-        self._demand.add(self._workers.running, self._workers.slots, now)
+        self._demand.record_use(
+            self._workers.running, self._workers.slots, now
+        )
         self._blocked.clear()
         if not self.waiting():
-            self._demand.placed(now)
+            self._demand.record_placement(now)
             return []
         chosen: dict[str, list[Pending]] = {}
         if self._retries:
             self._place_retries(chosen, now)
         self._place_queue(chosen, now)
         if chosen:
-            self._demand.placed(now)
-        return [self._placed(name, chosen[name], now) for name in chosen]
+            self._demand.record_placement(now)
+        return [
+            self._make_placement(name, chosen[name], now) for name in chosen
+        ]
 
     def ended(
         self,
@@ -242,42 +260,48 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take a task's outcome, which frees its slot."""
+        """Record a task's outcome and free its slot.
+
+        :param ok: whether the task succeeded.
+        :param seconds: run time.
+        """
         if ok:
             self._run_times.observe(job.tasks[index], seconds)
-            self._demand.ended(seconds)
-        self._return_needs(agent, job, index)
+            self._demand.record_run_time(seconds)
+        self._release_needs(agent, job, index)
         self.refused(agent, job.team, now)
         if self._outliers.record(agent, ok, now):
-            self._workers.refresh(agent)
+            self._workers.update_limit(agent)
             self._note_standing(agent)
 
     def refused(self, agent: str, team: str, now: float) -> None:
-        """Free the slot of a task that wasn't started."""
-        self._workers.freed(agent)
-        if self.quotas.limited(team):
-            self.quotas.ended(team)
+        """Free the slot of a task that the agent refused to start."""
+        self._workers.free_slot(agent)
+        if self.quotas.has_quota(team):
+            self.quotas.remove_running(team)
 
     def asks(self, now: float) -> list[tuple[str, int]]:
-        """Agents to ask for slots, and how many tasks wait for them."""
+        """Return the agents to request slots from, each with the demand."""
         want = self.demand(now)
         if not self._blocked or not want:
             return []
-        names = self._workers.to_ask(self._blocked, now, ASK_SECONDS)
+        names = self._workers.select_agents_to_ask(
+            self._blocked, now, ASK_SECONDS
+        )
         return [(name, want) for name in names]
 
     def waiting(self) -> int:
-        """Tasks queued, retries included."""
+        """Return the number of queued tasks, retries included."""
         return len(self._queue) + len(self._retries)
 
     def demand(self, now: float) -> int:
-        """Waiting tasks that agents should move slots here for."""
-        return self._demand.told(self.waiting(), self._workers.running, now)
+        """Return the number of waiting tasks to request slots for."""
+        return self._demand.compute(self.waiting(), self._workers.running, now)
 
     def next_wake(self, now: float) -> float | None:
-        """Instant at which something changes without an event."""
+        """Return the next instant at which state changes without an event."""
         wakes = []
-        self._skip_deadlines()
+        self._pop_stale_deadlines()
         if self._deadlines:
             wakes.append(self._deadlines[0][0])
         due = self._retries.next_due()
@@ -287,14 +311,15 @@
             wakes.append(now + ASK_SECONDS)
         trial = self._outliers.next_wake()
         if trial is not None and self.waiting():
-            # Only a round of placements begins a trial, and without a lease
-            # there is none: an instant that passed would come back at once.
+            # Only a round of placements starts a trial, and none takes place
+            # without a lease: an instant in the past would wake the entry
+            # again at once.
             wakes.append(max(trial, now + retries.BASE_SECONDS))
         return min(wakes, default=None)
 
     def status(self, now: float) -> DispatchStatus:
-        """The present state for the status page."""
-        queued = collections.Counter(self._queue.by_team())
+        """Return the current state for the status page."""
+        queued = collections.Counter(self._queue.count_by_team())
         queued.update(task.job.team for task in self._retries)
         return DispatchStatus(
             preset=self._preset.name,
@@ -306,59 +331,67 @@
         )
 
     def take_notes(self) -> list[core.Note]:
-        """Entries for the time line since the last call."""
+        """Return the timeline notes recorded since the last call."""
         notes, self._notes = self._notes, []
         return notes
 
     def _note_standing(self, agent: str) -> None:
         standing = self._outliers.standing(agent)
-        name = NOTES.get(standing)
+        name = NOTES_BY_STANDING.get(standing)
         if name is not None:
             self._notes.append(core.note(name, agent=agent))
 
-    def _size(self, job: types.JobSpec) -> sizing.SizedJob:
-        # admit and enqueue follow one another: size a job once.
+    def _estimate(self, job: types.JobSpec) -> sizing.SizedJob:
+        # Caches the estimate, as enqueue directly follows admit for a job.
         if self._sized is None or self._sized.job is not job:
-            self._sized = sizing.size(
+            self._sized = sizing.estimate_job(
                 job,
-                self._workers.requirement,
+                self._workers.classify,
                 self._run_times,
                 self._preset.confidence,
             )
         return self._sized
 
-    def _latest_start(self, sized: sizing.SizedJob) -> float:
-        demand = sized.demand
-        spread = demand.work / max(1, self._workers.limit)
-        return sized.job.deadline - LATEST_SPARE * demand.longest - spread
+    def _compute_latest_start(self, sized: sizing.SizedJob) -> float:
+        estimate = sized.estimate
+        spread = estimate.work / max(1, self._workers.limit)
+        return (
+            sized.job.deadline
+            - LATEST_START_FACTOR * estimate.longest
+            - spread
+        )
 
-    def _load(self, sized: sizing.SizedJob, now: float) -> admission.Load:
-        job, demand = sized.job, sized.demand
-        pool = self._workers.pool(sized.groups)
-        limit, free, slots = self._workers.capacity(pool)
+    def _compute_load(
+        self, sized: sizing.SizedJob, now: float
+    ) -> admission.Load:
+        job, estimate = sized.job, sized.estimate
+        pool = self._workers.get_pool(sized.groups)
+        limit, free, slots = self._workers.sum_slots(pool)
         if not len(self._queue):
             limit = max(limit, int(slots * IDLE_SHARE))
-        before = self._queue.work_before(job, demand.work, pool, limit, now)
-        if self.quotas.limited(job.team):
-            allowed = max(1, self.quotas.allowed(job.team, now))
+        before = self._queue.sum_work_before(
+            job, estimate.work, pool, limit, now
+        )
+        if self.quotas.has_quota(job.team):
+            allowed = max(1, self.quotas.get_limit(job.team, now))
             if allowed < limit:
-                before = self._queue.team_work(job.team)
-                room = self.quotas.room(job.team, now)
-                return admission.Load(before, allowed, max(0, room))
+                before = self._queue.sum_team_work(job.team)
+                free_quota = self.quotas.get_free(job.team, now)
+                return admission.Load(before, allowed, max(0, free_quota))
         return admission.Load(before, limit, free)
 
     def _place_retries(
         self, chosen: dict[str, list[Pending]], now: float
     ) -> None:
-        for due, task in self._retries.due(now):
+        for due, task in self._retries.pop_due(now):
             spec = task.job.tasks[task.index]
-            requirement = self._workers.requirement(task.job, spec)
-            index = self._workers.index(requirement)
+            requirement = self._workers.classify(task.job, spec)
+            index = self._workers.get_index(requirement)
             excluded = task.excluded
             if now >= due + EXCLUDED_SECONDS:
                 excluded = frozenset()
             worker = None
-            if self._quota_room(task.job.team, now) > 0:
+            if self._get_free_quota(task.job.team, now) > 0:
                 worker = self._pick(index, task.job, spec, excluded, {})
             if worker is None:
                 self._blocked.add(index.requirement)
@@ -369,19 +402,20 @@
     def _place_queue(
         self, chosen: dict[str, list[Pending]], now: float
     ) -> None:
-        held: set[str] = set()
+        throttled: set[str] = set()
         while True:
-            found = self._queue.next(self._blocked, held, now)
+            found = self._queue.find_next(self._blocked, throttled, now)
             if found is None:
                 return
             waiting, requirement = found
-            room = self._quota_room(waiting.job.team, now)
-            if room <= 0:
-                held.add(waiting.job.team)
+            free_quota = self._get_free_quota(waiting.job.team, now)
+            if free_quota <= 0:
+                throttled.add(waiting.job.team)
                 continue
-            # An urgent run must be checked after each start.
-            most = 1 if waiting.job.urgent else room
-            if not self._place_group(chosen, waiting, requirement, most):
+            # FairQueue limits runs of urgent starts, so it must choose anew
+            # after each one.
+            limit = 1 if waiting.job.urgent else free_quota
+            if not self._place_group(chosen, waiting, requirement, limit):
                 self._blocked.add(requirement)
 
     def _place_group(
@@ -389,22 +423,25 @@
         chosen: dict[str, list[Pending]],
         waiting: queues.WaitingJob,
         requirement: placement.Requirement,
-        most: int,
+        limit: int,
     ) -> bool:
-        """Start up to ``most`` tasks; ``False`` if no worker was free."""
+        """Bind up to ``limit`` tasks of a group.
+
+        :returns: ``False`` if no worker was free for one of them.
+        """
         job = waiting.job
         group = waiting.groups[requirement]
-        index = self._workers.index(requirement)
+        index = self._workers.get_index(requirement)
         racks = waiting.racks
-        while group and most > 0:
+        while group and limit > 0:
             spec = job.tasks[group[0]]
             worker = self._pick(index, job, spec, frozenset(), racks)
             if worker is None:
                 return False
-            task = Pending(job, self._queue.take(waiting, group), 0)
+            task = Pending(job, self._queue.pop_task(waiting, group), 0)
             self._bind(chosen, worker, task, spec)
             racks[worker.rack] = racks.get(worker.rack, 0) + 1
-            most -= 1
+            limit -= 1
         return True
 
     def _pick(
@@ -426,46 +463,47 @@
         task: Pending,
         spec: types.TaskSpec,
     ) -> None:
-        self._workers.taken(worker)
+        self._workers.fill_slot(worker)
         if spec.needs != _NO_NEEDS:
-            worker.take(spec.needs)
-        if self.quotas.limited(task.job.team):
-            self.quotas.started(task.job.team, 1)
+            worker.acquire(spec.needs)
+        if self.quotas.has_quota(task.job.team):
+            self.quotas.add_running(task.job.team, 1)
         chosen.setdefault(worker.name, []).append(task)
 
-    def _placed(
+    def _make_placement(
         self, name: str, tasks: list[Pending], now: float
     ) -> Placement:
-        self._budget.started(len(tasks))
-        incarnation = self._workers.sent_to(name, now)
+        self._budget.earn(len(tasks))
+        incarnation = self._workers.record_start(name, now)
         return Placement(name, incarnation, tuple(tasks))
 
-    def _return_needs(
+    def _release_needs(
         self, agent: str, job: types.JobSpec, index: int
     ) -> None:
         needs = job.tasks[index].needs
         if needs != _NO_NEEDS:
-            self._workers.give_back(agent, needs)
+            self._workers.release(agent, needs)
 
-    def _quota_room(self, team: str, now: float) -> int:
-        if not self.quotas.limited(team):
+    def _get_free_quota(self, team: str, now: float) -> int:
+        if not self.quotas.has_quota(team):
             return _UNLIMITED
-        return self.quotas.room(team, now)
+        return self.quotas.get_free(team, now)
 
-    def _skip_deadlines(self) -> None:
-        """Drop the first deadlines of jobs that no longer wait.
+    def _pop_stale_deadlines(self) -> None:
+        """Drop the earliest deadlines of jobs that no longer wait.
 
-        A deadline of a job that ended before it would stay first after it
-        has passed, and wake the entry again and again without a pause.
+        The deadline of a job that ended before it would stay first in the
+        heap after it has passed, and wake the entry again and again without
+        a pause.
         """
         while self._deadlines:
             if self._queue.get(self._deadlines[0][2]) is not None:
                 return
             heapq.heappop(self._deadlines)
 
-    def _trim_deadlines(self) -> None:
-        """Forget deadlines of jobs that no longer wait."""
-        if len(self._deadlines) < SPARE_DEADLINES:
+    def _prune_deadlines(self) -> None:
+        """Rebuild the heap if most of its jobs no longer wait."""
+        if len(self._deadlines) < PRUNE_LENGTH:
             return
         kept = [
             entry
--- a/src/agatepick/decisions/outliers.py
+++ b/src/agatepick/decisions/outliers.py
@@ -1,35 +1,37 @@
-"""Outlier detection: workers that fail what they start get no more work.
+"""Outlier detection: ejection of workers that fail most of their tasks.
 
 Load pattern: a broken worker fails each task within milliseconds.  It is
-always idle, so late binding gives it most of the work, and a failed task is
-never started again: without ejection one bad worker of ten can fail most of
-all jobs.
+always idle, so late binding assigns it most of the work, and a failed task
+is never started again: without ejection one broken worker of ten can fail
+most of all jobs.
 
 An agent is ejected when its success rate, a moving average in which an
-outcome weighs :data:`WEIGHT`, is below :data:`LOW` and below the others' by
-:data:`GAP`.  From a clean record that takes 7 failures in a row, fewer than
-a worker's 8 slots hold; a worker that fails one task in five, as the others
-do, isn't an outlier and stays.  The others' rate guards against ejecting
-workers for what is a caller's fault.  Never more than the preset's share of
-the agents is ejected, since the rest must carry the load.
+outcome weighs :data:`OUTCOME_WEIGHT`, is below :data:`MIN_SUCCESS_RATE` and
+below the average of the others by at least :data:`MIN_RATE_GAP`.  From a
+clean record that takes 7 failures in a row, fewer than a worker's 8 slots
+hold; a worker that fails one task in five, as the others do, isn't an
+outlier and stays.  The comparison with the others prevents the ejection of
+workers for faults of a caller.  Never more than the preset's share of the
+agents is ejected, since the others must take over the load.
 
 An ejected agent gets no work for :data:`EJECTED_SECONDS`, doubled with each
-ejection in a row up to :data:`MAX_EJECTED_SECONDS`.  Then it is on trial: one
-task at a time, until :data:`PROBES` ended well.  One bad one ejects it again.
+consecutive ejection up to :data:`MAX_EJECTED_SECONDS`.  Then it is on trial:
+it gets one task at a time until :data:`REQUIRED_PROBES` have succeeded.  One
+failure ejects it again.
 """
 
 import enum
 
-WEIGHT = 0.1
-LOW = 0.5
-GAP = 0.3
-PROBES = 3
+OUTCOME_WEIGHT = 0.1
+MIN_SUCCESS_RATE = 0.5
+MIN_RATE_GAP = 0.3
+REQUIRED_PROBES = 3
 EJECTED_SECONDS = 10.0
 MAX_EJECTED_SECONDS = 160.0
 
 
 class Standing(enum.Enum):
-    """Whether an agent may be given work."""
+    """The eligibility of an agent for work."""
 
     GOOD = 'good'
     EJECTED = 'ejected'
@@ -37,55 +39,63 @@
 
 
 class _Record:
-    __slots__ = ('rate', 'standing', 'until', 'streak', 'probes')
+    """The success rate and ejection state of one agent."""
+
+    __slots__ = (
+        'rate',
+        'standing',
+        'ejected_until',
+        'ejection_streak',
+        'probes',
+    )
 
     def __init__(self) -> None:
         self.rate = 1.0
         self.standing = Standing.GOOD
-        self.until = 0.0
-        self.streak = 0
+        self.ejected_until = 0.0
+        self.ejection_streak = 0
         self.probes = 0
 
 
 class Outliers:
-    """Success rates of the agents, and who is ejected."""
+    """The success rates of all agents, and the ejected agents."""
 
     def __init__(self, max_ejected_share: float) -> None:
         self.max_ejected_share = max_ejected_share
         self._records: dict[str, _Record] = {}
-        self._sum = 0.0
+        self._rate_sum = 0.0
         self._ejected: set[str] = set()
 
     def add(self, agent: str) -> None:
-        """Know an agent; a known one keeps its record."""
+        """Add an agent; one that exists already keeps its record."""
         if agent not in self._records:
             self._records[agent] = _Record()
-            self._sum += 1.0
+            self._rate_sum += 1.0
 
-    def forget(self, agent: str) -> None:
-        """Drop an agent that left for good."""
+    def remove(self, agent: str) -> None:
+        """Remove an agent that left permanently."""
         record = self._records.pop(agent, None)
         if record is not None:
-            self._sum -= record.rate
+            self._rate_sum -= record.rate
             self._ejected.discard(agent)
 
     def standing(self, agent: str) -> Standing:
-        """Standing of an agent; an unknown one is good."""
+        """Return the standing of an agent; an unknown agent is good."""
         record = self._records.get(agent)
         return record.standing if record else Standing.GOOD
 
     def ejected(self) -> tuple[str, ...]:
-        """Agents ejected now, those on trial included."""
+        """Return the ejected agents, those on trial included."""
         return tuple(sorted(self._ejected))
 
     def record(self, agent: str, ok: bool, now: float) -> bool:
-        """Take in an outcome; ``True`` if the agent's standing changed."""
+        """Record an outcome and return whether the standing changed."""
         record = self._records.get(agent)
         if record is None:
             return False
-        self._average(record, ok)
+        self._update_rate(record, ok)
         if record.standing is Standing.TRIAL:
-            return self._judge_probe(agent, record, ok, now)
+            return self._record_probe(agent, record, ok, now)
         if ok or record.standing is Standing.EJECTED:
             return False
         if not self._is_outlier(record):
@@ -93,13 +103,13 @@
         self._eject(agent, record, now)
         return True
 
-    def advance(self, now: float) -> tuple[str, ...]:
-        """Put on trial those whose ejection has run out, and name them."""
+    def start_trials(self, now: float) -> tuple[str, ...]:
+        """Start trials of the agents whose ejection expired; return them."""
         due = [
             agent
             for agent in self._ejected
             if self._records[agent].standing is Standing.EJECTED
-            and self._records[agent].until <= now
+            and self._records[agent].ejected_until <= now
         ]
         for agent in due:
             self._records[agent].standing = Standing.TRIAL
@@ -107,50 +117,50 @@
         return tuple(due)
 
     def next_wake(self) -> float | None:
-        """Instant at which the next ejection runs out."""
+        """Return the instant at which the next ejection expires."""
         ends = [
-            self._records[agent].until
+            self._records[agent].ejected_until
             for agent in self._ejected
             if self._records[agent].standing is Standing.EJECTED
         ]
         return min(ends, default=None)
 
-    def _average(self, record: _Record, ok: bool) -> None:
-        change = WEIGHT * ((1.0 if ok else 0.0) - record.rate)
+    def _update_rate(self, record: _Record, ok: bool) -> None:
+        change = OUTCOME_WEIGHT * ((1.0 if ok else 0.0) - record.rate)
         record.rate += change
-        self._sum += change
+        self._rate_sum += change
 
     def _is_outlier(self, record: _Record) -> bool:
-        known = len(self._records)
-        if record.rate >= LOW or known < 2:
+        count = len(self._records)
+        if record.rate >= MIN_SUCCESS_RATE or count < 2:
             return False
-        if len(self._ejected) + 1 > self._most_ejected(known):
+        if len(self._ejected) + 1 > self._max_ejected(count):
             return False
-        others = (self._sum - record.rate) / (known - 1)
-        return others - record.rate >= GAP
+        others = (self._rate_sum - record.rate) / (count - 1)
+        return others - record.rate >= MIN_RATE_GAP
 
-    def _most_ejected(self, known: int) -> int:
-        return max(1, int(known * self.max_ejected_share))
+    def _max_ejected(self, count: int) -> int:
+        return max(1, int(count * self.max_ejected_share))
 
     def _eject(self, agent: str, record: _Record, now: float) -> None:
-        length = EJECTED_SECONDS * 2.0 ** min(record.streak, 8)
+        seconds = EJECTED_SECONDS * 2.0 ** min(record.ejection_streak, 8)
         record.standing = Standing.EJECTED
-        record.until = now + min(length, MAX_EJECTED_SECONDS)
-        record.streak += 1
+        record.ejected_until = now + min(seconds, MAX_EJECTED_SECONDS)
+        record.ejection_streak += 1
         self._ejected.add(agent)
 
-    def _judge_probe(
+    def _record_probe(
         self, agent: str, record: _Record, ok: bool, now: float
     ) -> bool:
         if not ok:
             self._eject(agent, record, now)
             return True
         record.probes += 1
-        if record.probes < PROBES:
+        if record.probes < REQUIRED_PROBES:
             return False
-        self._sum += 1.0 - record.rate
+        self._rate_sum += 1.0 - record.rate
         record.rate = 1.0
-        record.streak = 0
+        record.ejection_streak = 0
         record.standing = Standing.GOOD
         self._ejected.discard(agent)
         return True
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -1,20 +1,21 @@
-"""Which worker a task goes to.
+"""Selection of the worker for a task.
 
 Load pattern: short tasks with different needs, on workers that several
 entries share.  Without late binding to leased slots a task queues behind a
 straggler while other slots idle; without the resource check the agent
-refuses the start; with all tasks of a job in one rack, that rack's loss
-takes the whole job.
-
-Slots of one speed are equal, so among workers with a free leased slot the
-choice is free, and goes by: a worker on trial first (its probe is what lets
-it back), no accelerator wasted on a task that needs none, the rack with the
-fewest tasks of the job, then the worker with most free slots, which leaves
-each worker something for the next job's spread.  At most
-:data:`LOOKED_AT` workers are compared: eight give nearly the spread of
-all of them, at a cost that doesn't grow with their number.
-
-The other policies are baselines, kept to be measured against.
+refuses the start; with all tasks of a job in one rack, the loss of that rack
+fails the whole job.
+
+Slots of one speed are equivalent, so workers with a free leased slot are
+compared by these criteria, in order: a worker on trial is preferred, since
+only a probe can readmit it; a worker with accelerators is avoided for a task
+that needs none; the rack with the fewest tasks of the job is preferred, then
+the worker with most free slots, which leaves capacity on each worker for
+spreading the next job.  At most :data:`MAX_COMPARED` workers are compared:
+eight give nearly the spread of all of them, at a cost that doesn't grow with
+their number.
+
+The other policies are baselines for comparison.
 """
 
 import dataclasses
@@ -23,13 +24,15 @@
 
 from agatepick import types
 
-LOOKED_AT = 8
+MAX_COMPARED = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Requirement:
-    """What a class of tasks demands of a worker.
+    """The requirement of a class of tasks on a worker.
 
+    :param kind: kind of task that the worker must serve.
+    :param needs: resources of one task.
     :param zones: availability zones allowed; empty for any.
     """
 
@@ -39,13 +42,19 @@
 
 
 class Worker:
-    """What an entry knows of one worker and its own use of it.
+    """An entry's view of one worker and of its own use of it.
 
-    :ivar usable: slots counted as usable, whoever leases them.
+    :ivar usable: slots of the worker if it accepts tasks, else 0; those
+        leased to other entries count as well.
     :ivar limit: slots that this entry may fill now.
     :ivar running: slots that this entry fills.
-    :ivar cpu_left: cores that this entry's own tasks leave; likewise
-        ``memory_left`` and ``accelerators_left``.
+    :ivar free_cpu: cores that this entry's own tasks don't use; likewise
+        ``free_memory`` and ``free_accelerators``.
+    :ivar on_trial: whether only probes after an ejection may start.
+    :ivar last_message_at: instant of the last message from its agent.
+    :ivar demand_sent_at: instant of the last message that told its agent the
+        demand of this entry.
+    :ivar indexes: indexes of the classes of task that it serves.
     """
 
     __slots__ = (
@@ -55,9 +64,9 @@
         'rack',
         'kinds',
         'capacity',
-        'cpu_left',
-        'memory_left',
-        'accelerators_left',
+        'free_cpu',
+        'free_memory',
+        'free_accelerators',
         'slots',
         'usable',
         'credits',
@@ -65,10 +74,10 @@
         'limit',
         'connected',
         'leaving',
-        'trial',
-        'heard_at',
-        'asked_at',
-        'classes',
+        'on_trial',
+        'last_message_at',
+        'demand_sent_at',
+        'indexes',
     )
 
     def __init__(
@@ -80,9 +89,9 @@
         self.rack = rack
         self.kinds: frozenset[str] = frozenset()
         self.capacity = types.Needs()
-        self.cpu_left = 0.0
-        self.memory_left = 0
-        self.accelerators_left = 0
+        self.free_cpu = 0.0
+        self.free_memory = 0
+        self.free_accelerators = 0
         self.slots = 0
         self.usable = 0
         self.credits = 0
@@ -90,57 +99,60 @@
         self.limit = 0
         self.connected = False
         self.leaving = False
-        self.trial = False
-        self.heard_at = 0.0
-        self.asked_at = 0.0
-        self.classes: list['ClassIndex'] = []
+        self.on_trial = False
+        self.last_message_at = 0.0
+        self.demand_sent_at = 0.0
+        self.indexes: list['ClassIndex'] = []
 
     def serves(self, requirement: Requirement) -> bool:
-        """Whether such tasks can ever run here."""
+        """Return whether tasks of a class can run on this worker."""
         if requirement.zones and self.zone not in requirement.zones:
             return False
         if requirement.kind not in self.kinds:
             return False
         return requirement.needs.fits(self.capacity)
 
-    def take(self, needs: types.Needs) -> None:
-        """Count a task's resources as used."""
-        self.cpu_left -= needs.cpu
-        self.memory_left -= needs.memory_mb
-        self.accelerators_left -= needs.accelerators
+    def acquire(self, needs: types.Needs) -> None:
+        """Subtract a task's needs from the free resources."""
+        self.free_cpu -= needs.cpu
+        self.free_memory -= needs.memory_mb
+        self.free_accelerators -= needs.accelerators
 
-    def give_back(self, needs: types.Needs) -> None:
-        """Undo :meth:`take`, but never beyond the capacity."""
+    def release(self, needs: types.Needs) -> None:
+        """Add a task's needs to the free resources, up to the capacity."""
         capacity = self.capacity
-        self.cpu_left = min(self.cpu_left + needs.cpu, capacity.cpu)
-        self.memory_left = min(
-            self.memory_left + needs.memory_mb, capacity.memory_mb
+        self.free_cpu = min(self.free_cpu + needs.cpu, capacity.cpu)
+        self.free_memory = min(
+            self.free_memory + needs.memory_mb, capacity.memory_mb
         )
-        self.accelerators_left = min(
-            self.accelerators_left + needs.accelerators,
+        self.free_accelerators = min(
+            self.free_accelerators + needs.accelerators,
             capacity.accelerators,
         )
 
-    def give_all_back(self) -> None:
-        """Nothing of ours runs: whatever was counted wrongly is mended."""
-        self.cpu_left = self.capacity.cpu
-        self.memory_left = self.capacity.memory_mb
-        self.accelerators_left = self.capacity.accelerators
+    def release_all(self) -> None:
+        """Reset the free resources to the capacity.
 
-    def has_left(self, needs: types.Needs) -> bool:
-        """Whether a task's needs fit beside this entry's other tasks."""
+        This corrects counting errors while none of this entry's tasks runs.
+        """
+        self.free_cpu = self.capacity.cpu
+        self.free_memory = self.capacity.memory_mb
+        self.free_accelerators = self.capacity.accelerators
+
+    def has_free(self, needs: types.Needs) -> bool:
+        """Return whether a task's needs fit into the free resources."""
         return (
-            needs.cpu <= self.cpu_left
-            and needs.memory_mb <= self.memory_left
-            and needs.accelerators <= self.accelerators_left
+            needs.cpu <= self.free_cpu
+            and needs.memory_mb <= self.free_memory
+            and needs.accelerators <= self.free_accelerators
         )
 
 
 class PlacementPolicy(typing.Protocol):
-    """Chooses among workers that have a free slot and fit the task."""
+    """A choice among workers that have a free slot and fit the task."""
 
     leased: bool
-    """Whether slots are those leased; else all that aren't known taken."""
+    """Whether only leased slots are used; otherwise all slots of a worker."""
 
     def choose(
         self,
@@ -148,16 +160,18 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """One of ``workers``, of which there is at least one.
+        """Return one of the workers.
 
-        :param workers: at most :data:`LOOKED_AT`, from a random place on.
-        :param racks: tasks of the same job already placed, by rack.
+        :param workers: 1 to :data:`MAX_COMPARED` candidates, starting at a
+            random position of the list of free workers.
+        :param racks: number of placed tasks of the same job, by rack.
+        :param requirement: class of the task.
         """
         ...
 
 
 class LeasedSlots:
-    """The policy in use: leased slots, spread over racks."""
+    """The default policy: leased slots, spread over racks."""
 
     leased = True
 
@@ -167,25 +181,25 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """The best of them; see the module's text."""
-        plain = not requirement.needs.accelerators
+        """Return the worker with the lowest score."""
+        needs_none = not requirement.needs.accelerators
         best = workers[0]
-        least = float('inf')
+        best_score = float('inf')
         for worker in workers:
             score = 64.0 * racks.get(worker.rack, 0)
             score += worker.running - worker.limit
-            if plain and worker.capacity.accelerators:
+            if needs_none and worker.capacity.accelerators:
                 score += 1e6
-            if worker.trial:
+            if worker.on_trial:
                 score -= 1e9
-            if score < least:
-                least = score
+            if score < best_score:
+                best_score = score
                 best = worker
         return best
 
 
 class RandomWorker:
-    """Baseline: any worker with a slot not known to be taken."""
+    """A baseline: a random worker with slots left by this entry's tasks."""
 
     leased = False
 
@@ -195,12 +209,12 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """The first, as they come in random order."""
+        """Return the first worker, as the list starts at a random one."""
         return workers[0]
 
 
 class LeastKnownLoad:
-    """Baseline: the worker least loaded as far as this entry knows."""
+    """A baseline: the worker with the fewest tasks of this entry."""
 
     leased = False
 
@@ -210,12 +224,12 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """The first with the fewest of this entry's tasks."""
-        return min(workers, key=_known_load)
+        """Return the first of the workers with the fewest such tasks."""
+        return min(workers, key=_get_own_load)
 
 
 class TwoProbes:
-    """Baseline: the less loaded of two random workers."""
+    """A baseline: the less loaded of two random workers."""
 
     leased = False
 
@@ -225,8 +239,8 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """The better of the first two, which come in random order."""
-        return min(workers[:2], key=_known_load)
+        """Return the less loaded of the first two workers."""
+        return min(workers[:2], key=_get_own_load)
 
 
 POLICIES: dict[str, type[PlacementPolicy]] = {
@@ -239,48 +253,48 @@
 
 
 class ClassIndex:
-    """The workers that serve one class of tasks, and those with a free slot.
+    """An index of the workers that serve one class of tasks.
 
-    Kept up to date as slots are taken and freed, so that a placement
-    doesn't search all workers for each task.
+    It tracks which of them have a free slot, so that a placement doesn't
+    search all workers for each task.
     """
 
-    __slots__ = ('requirement', 'serving', 'free', '_where', '_pool')
+    __slots__ = ('requirement', 'serving', 'free', '_free_positions', '_pool')
 
     def __init__(self, requirement: Requirement) -> None:
         self.requirement = requirement
         self.serving: dict[str, Worker] = {}
         self.free: list[Worker] = []
-        self._where: dict[str, int] = {}
+        self._free_positions: dict[str, int] = {}
         self._pool: frozenset[str] | None = None
 
-    def pool(self) -> frozenset[str]:
-        """Names of the workers that serve the class."""
+    def get_pool(self) -> frozenset[str]:
+        """Return the names of the workers that serve the class."""
         if self._pool is None:
             self._pool = frozenset(self.serving)
         return self._pool
 
     def add(self, worker: Worker) -> None:
-        """Take a worker that serves the class."""
+        """Add a worker that serves the class."""
         self.serving[worker.name] = worker
         self._pool = None
         self.update(worker)
 
     def update(self, worker: Worker) -> None:
-        """File a worker under free or not, as its counters say."""
+        """Update whether a worker has a free slot, by its counters."""
         if worker.running < worker.limit:
-            if worker.name not in self._where:
-                self._where[worker.name] = len(self.free)
+            if worker.name not in self._free_positions:
+                self._free_positions[worker.name] = len(self.free)
                 self.free.append(worker)
-        elif worker.name in self._where:
-            self._remove(worker.name)
+        elif worker.name in self._free_positions:
+            self._remove_free(worker.name)
 
     def remove(self, worker: Worker) -> None:
-        """Forget a worker that no longer serves the class."""
+        """Remove a worker that no longer serves the class."""
         self.serving.pop(worker.name, None)
         self._pool = None
-        if worker.name in self._where:
-            self._remove(worker.name)
+        if worker.name in self._free_positions:
+            self._remove_free(worker.name)
 
     def pick(
         self,
@@ -291,32 +305,41 @@
         racks: typing.Mapping[str, int],
         rng: random.Random,
     ) -> Worker | None:
-        """The worker for one task of the class, or ``None`` if none fits.
+        """Return the worker for one task, or ``None`` if none fits.
 
-        A worker on trial isn't tried with urgent work.
+        Workers on trial are excluded for urgent tasks.
+
+        :param excluded: names of agents that refused the task.
+        :param racks: number of placed tasks of the same job, by rack.
         """
         if not self.free:
             return None
         if not excluded and not urgent and needs == _NO_NEEDS:
-            some = _some(self.free, rng)
-            return policy.choose(some, racks, self.requirement)
-        fit = _fitting(_some(self.free, rng), needs, excluded, urgent)
-        if not fit and len(self.free) > LOOKED_AT:
-            fit = _fitting(self.free, needs, excluded, urgent)
-        return policy.choose(fit, racks, self.requirement) if fit else None
-
-    def _remove(self, name: str) -> None:
-        at = self._where.pop(name)
+            sample = _sample(self.free, rng)
+            return policy.choose(sample, racks, self.requirement)
+        eligible = _filter_eligible(
+            _sample(self.free, rng), needs, excluded, urgent
+        )
+        if not eligible and len(self.free) > MAX_COMPARED:
+            eligible = _filter_eligible(self.free, needs, excluded, urgent)
+        return (
+            policy.choose(eligible, racks, self.requirement)
+            if eligible
+            else None
+        )
+
+    def _remove_free(self, name: str) -> None:
+        position = self._free_positions.pop(name)
         last = self.free.pop()
         if last.name != name:
-            self.free[at] = last
-            self._where[last.name] = at
+            self.free[position] = last
+            self._free_positions[last.name] = position
 
 
 _NO_NEEDS = types.Needs()
 
 
-def _fitting(
+def _filter_eligible(
     workers: typing.Sequence[Worker],
     needs: types.Needs,
     excluded: frozenset[str],
@@ -325,24 +348,24 @@
     return [
         worker
         for worker in workers
-        if worker.has_left(needs)
+        if worker.has_free(needs)
         and worker.name not in excluded
-        and not (urgent and worker.trial)
+        and not (urgent and worker.on_trial)
     ]
 
 
-def _some(
+def _sample(
     workers: typing.Sequence[Worker], rng: random.Random
 ) -> typing.Sequence[Worker]:
-    number = len(workers)
-    if number == 1:
+    count = len(workers)
+    if count == 1:
         return workers
-    first = int(rng.random() * number)
-    some = workers[first : first + LOOKED_AT]
-    if len(some) < LOOKED_AT and first:
-        return [*some, *workers[: min(first, LOOKED_AT - len(some))]]
-    return some
+    first = int(rng.random() * count)
+    sample = workers[first : first + MAX_COMPARED]
+    if len(sample) < MAX_COMPARED and first:
+        return [*sample, *workers[: min(first, MAX_COMPARED - len(sample))]]
+    return sample
 
 
-def _known_load(worker: Worker) -> int:
+def _get_own_load(worker: Worker) -> int:
     return worker.running
--- a/src/agatepick/decisions/presets.py
+++ b/src/agatepick/decisions/presets.py
@@ -1,20 +1,20 @@
 """Presets: the sets of decision settings that operators switch between.
 
-Load pattern: an ordinary day, a peak, and maintenance want opposite
-trade-offs.  Without presets an operator changes single settings under
-stress, and two operators mix them.
+Load pattern: ordinary days, peaks and maintenance need opposite trade-offs.
+Without presets an operator changes single settings under stress, and two
+operators combine theirs by accident.
 
-``ordinary`` lets in what will probably be in time.  ``peak`` is stricter at
-the door, since a wrong admission then costs two deadlines: its own and that
-of the job behind it; it also retries less, because refused work comes back
-by itself.  ``maintenance`` expects workers and zones to come and go: it
-retries more, ejects more, and keeps more spare time before the deadline.
-A tenth is the least spare time with which accepted work stays in time at
-150% load when run times aren't declared.
+``ordinary`` admits jobs that will probably be in time.  ``peak`` is stricter
+at admission, since a wrongly admitted job then misses its own deadline and
+makes the next job miss its deadline too; it also retries less, because
+callers submit refused jobs again.  ``maintenance`` expects workers and zones
+to come and go: it retries more, ejects more, and reserves more of the time
+to the deadline.  With a reserve of a tenth or more, admitted work is in time
+at 150% load even if run times aren't declared.
 
-How fast the system shifts: the preset changes at one instant for decisions
-about new work.  Jobs that were let in stay in, and running tasks run on; the
-number of retry tokens is kept, up to the new bound.
+A change of preset applies at once to decisions about new work.  Admitted
+jobs stay admitted, and running tasks continue; the number of retry tokens is
+kept, up to the new bound.
 """
 
 import dataclasses
@@ -22,16 +22,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preset:
-    """Settings of every decision under load.
+    """The settings of all decisions under load.
 
-    :param confidence: quantile of run times that admission counts on.
+    :param confidence: quantile of run times that admission uses.
     :param spare_share: part of the time to the deadline that admission
         leaves unused.
     :param retry_share: retries allowed for each started task.
-    :param retry_burst: retries allowed at once.
+    :param retry_burst: largest number of accumulated retries.
     :param max_ejected_share: part of the agents that may be ejected.
-    :param urgent_run: starts of urgent tasks before a waiting ordinary task
-        gets one.
+    :param urgent_run: consecutive starts of urgent tasks after which a
+        waiting ordinary task is started.
     """
 
     name: str
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -1,28 +1,28 @@
-"""The order in which waiting tasks start.
-
-Load pattern: a few callers hand in most of the load, long jobs stand among
-short ones, and urgent ones come between.  In plain order of arrival one
-team's backlog delays everyone, and a short job waits for the whole of a long
-one that came an instant before.
-
-Jobs wait in two levels, urgent first; after ``urgent_run`` starts of urgent
-tasks a waiting ordinary task gets one, so that callers who mark all as
-urgent can't stop the rest.  Inside a level jobs are ranked by start-time
-fair queueing: a job starts at the later of the level's virtual time and the
-end of its team's previous job, and lasts as long as its expected work.
-Teams below their fair share so keep the order of arrival, which is best for
-response, while a team with a backlog queues behind itself.  Deficit round
-robin is as fair, but interleaves the jobs of all teams, so that all of them
-end late.  A job's own work, times :data:`SIZE_WEIGHT`, is added to its rank:
-it lets short jobs pass long ones, but only until the virtual time has grown
-by the long one's work.  Twice that weight lets heavy teams' small jobs pass
-light teams' large ones.
-
-A job that was let in must not miss its deadline because later jobs of
-lighter teams were ranked before it.  Two things see to that.  What waits
-before a new job includes what other teams will bring ahead of it if they go
-on as in the last :data:`RATE_SECONDS`.  And a job whose latest start has
-come goes before the ranked ones, the earliest first.
+"""Fair queueing: the order in which waiting tasks start.
+
+Load pattern: a few callers submit most of the load, long jobs are mixed with
+short ones, and urgent ones arrive between them.  In order of arrival one
+team's backlog would delay everyone, and a short job would wait for the whole
+of a long one that arrived an instant before.
+
+Jobs wait in two levels, urgent first; after ``urgent_run`` consecutive starts
+of urgent tasks a waiting ordinary task is started, so that callers who mark
+all jobs as urgent can't starve the others.  Inside a level jobs are ranked by
+start-time fair queueing: a job's start tag is the later of the level's
+virtual time and the end tag of its team's previous job, and its end tag adds
+its expected work.  Teams below their fair share thus keep the order of
+arrival, which is best for response, while a team with a backlog queues
+behind itself.  Deficit round robin is as fair, but interleaves the jobs of
+all teams, so that all of them end late.  A job's own work, times
+:data:`SIZE_WEIGHT`, is added to its rank: short jobs pass long ones, but only
+until the virtual time has grown by the long one's work.  With twice that
+weight heavy teams' small jobs would pass light teams' large ones.
+
+An admitted job must not miss its deadline because later jobs of lighter
+teams are ranked before it.  Two rules prevent this.  The work that admission
+expects before a new job includes what other teams will submit ahead of it at
+their rates of the last :data:`RATE_SECONDS`.  And jobs whose latest start
+time has passed start before the ranked ones, in order of their latest start.
 
 A job's tasks stay together, longest first, as the job is answered when its
 last task has ended.
@@ -38,20 +38,21 @@
 from agatepick import types
 
 SIZE_WEIGHT = 1.0
-EXACT_JOBS = 512
-"""Waiting jobs up to which a new job's place among them is worked out."""
+MAX_COMPARED_JOBS = 512
+"""Waiting jobs up to which the rank of a new job is compared with each."""
 
 RATE_SECONDS = 10.0
-"""Time constant of a team's rate of work.  A shorter one takes a burst for
-what will go on and refuses work that would be in time."""
+"""Time constant of a team's rate of work.  With a shorter one a burst counts
+as a lasting rate, and work that would be in time is refused."""
 MAX_RATES = 1024
-"""Teams whose rates are kept; callers choose the names."""
+"""Teams with a rate: callers choose the names, so memory needs a bound."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
     """One queued task.
 
+    :param index: index of the task in its job.
     :param attempt: number of this attempt, from 0.
     :param excluded: agents that refused it.
     """
@@ -63,13 +64,16 @@
 
 
 class WaitingJob:
-    """Queued tasks of one job.
+    """The queued tasks of one job.
 
-    :ivar groups: its tasks by class, in the order in which they start.
-    :ivar racks: tasks placed so far, by rack.
+    :ivar rank: position in the order of its level; lower ones start first.
+    :ivar start: start tag in the virtual time of its level.
+    :ivar groups: indices of its tasks by class, in order of their start.
+    :ivar racks: number of tasks placed so far, by rack.
     :ivar cost: expected seconds of one task, on average.
-    :ivar pool: names of the agents that serve it.
-    :ivar latest: instant by which it should start to be in time.
+    :ivar pool: names of the agents that serve any of its classes.
+    :ivar latest_start: instant by which it should start to be in time.
+    :ivar count: number of tasks that wait.
     """
 
     __slots__ = (
@@ -78,7 +82,7 @@
         'start',
         'cost',
         'pool',
-        'latest',
+        'latest_start',
         'groups',
         'racks',
         'count',
@@ -90,12 +94,12 @@
         cost: float,
         groups: dict[placement.Requirement, collections.deque[int]],
         pool: frozenset[str],
-        latest: float,
+        latest_start: float,
     ) -> None:
         self.job = job
         self.cost = cost
         self.pool = pool
-        self.latest = latest
+        self.latest_start = latest_start
         self.groups = groups
         self.racks: dict[str, int] = {}
         self.count = len(job.tasks)
@@ -103,86 +107,98 @@
         self.start = 0.0
 
 
-class _Rate:
-    """Work that a team brings a second, over the last seconds."""
+class _WorkRate:
+    """The exponentially decaying average rate at which a team adds work."""
 
-    __slots__ = ('work', 'at')
+    __slots__ = ('work', 'updated_at')
 
     def __init__(self) -> None:
         self.work = 0.0
-        self.at = 0.0
+        self.updated_at = 0.0
 
     def add(self, work: float, now: float) -> None:
-        self.work = self.work * self._kept(now) + work
-        self.at = now
+        self.work = self.work * self._get_decay(now) + work
+        self.updated_at = now
 
-    def a_second(self, now: float) -> float:
-        return self.work * self._kept(now) / RATE_SECONDS
+    def get_per_second(self, now: float) -> float:
+        return self.work * self._get_decay(now) / RATE_SECONDS
 
-    def _kept(self, now: float) -> float:
-        return math.exp(-max(0.0, now - self.at) / RATE_SECONDS)
+    def _get_decay(self, now: float) -> float:
+        return math.exp(-max(0.0, now - self.updated_at) / RATE_SECONDS)
 
 
 _Ranked = tuple[float, int, int, WaitingJob]
-"""Rank, order of arrival, order of the class within its job, the job."""
+"""Rank or latest start, order of arrival, index of the class, job."""
 
 
 class _Level:
-    """Jobs of one urgency, in heaps by class of task."""
+    """The jobs of one urgency, in heaps by class of task.
+
+    :ivar virtual_time: largest start tag of a job that has begun to start.
+    :ivar team_ends: end tag of each team's newest job.
+    :ivar by_latest_start: heap of all jobs by their latest start.
+    :ivar count: number of waiting tasks.
+    """
 
     def __init__(self) -> None:
         self.heaps: dict[placement.Requirement, list[_Ranked]] = {}
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.team_ends: dict[str, float] = {}
-        self.rates: dict[str, _Rate] = {}
-        self.latest: list[_Ranked] = []
+        self.rates: dict[str, _WorkRate] = {}
+        self.by_latest_start: list[_Ranked] = []
         self.count = 0
 
-    def rank_of(self, team: str, work: float) -> tuple[float, float]:
-        start = max(self.virtual, self.team_ends.get(team, 0.0))
+    def compute_rank(self, team: str, work: float) -> tuple[float, float]:
+        start = max(self.virtual_time, self.team_ends.get(team, 0.0))
         return start, start + SIZE_WEIGHT * work
 
-    def rank(self, waiting: WaitingJob, now: float) -> None:
+    def assign_rank(self, waiting: WaitingJob, now: float) -> None:
         work = waiting.cost * waiting.count
         team = waiting.job.team
         if team not in self.rates:
-            self._forget_old_rates(now)
-            self.rates[team] = _Rate()
+            self._drop_old_rates(now)
+            self.rates[team] = _WorkRate()
         self.rates[team].add(work, now)
-        waiting.start, waiting.rank = self.rank_of(team, work)
+        waiting.start, waiting.rank = self.compute_rank(team, work)
         self.team_ends[team] = waiting.start + work
 
-    def overtaking(
+    def estimate_overtaking(
         self, team: str, rank: float, seconds: float, now: float
     ) -> float:
-        """Work that other teams will bring ahead of a rank meanwhile."""
-        if rank <= self.virtual:
+        """Return the work that other teams will add ahead of a rank.
+
+        :param seconds: period in which they go on at their present rates.
+        """
+        if rank <= self.virtual_time:
             return 0.0
         return sum(
             min(
-                rate.a_second(now) * seconds,
-                max(0.0, rank - self.team_ends.get(other, self.virtual)),
+                rate.get_per_second(now) * seconds,
+                max(0.0, rank - self.team_ends.get(other, self.virtual_time)),
             )
             for other, rate in self.rates.items()
             if other != team
         )
 
-    def _forget_old_rates(self, now: float) -> None:
+    def _drop_old_rates(self, now: float) -> None:
         if len(self.rates) >= MAX_RATES:
             self.rates = {
                 team: rate
                 for team, rate in self.rates.items()
-                if rate.at >= now - RATE_SECONDS
+                if rate.updated_at >= now - RATE_SECONDS
             }
 
-    def forget_idle_teams(self) -> None:
-        """Nothing waits: no team is ahead of or behind another."""
+    def reset_virtual_time(self) -> None:
+        """Reset the virtual time and all teams' end tags.
+
+        Called while nothing waits, so no team is ahead of another.
+        """
         self.team_ends.clear()
-        self.virtual = 0.0
+        self.virtual_time = 0.0
 
 
 class FairQueue:
-    """Waiting jobs of all teams, in the order in which they start."""
+    """The waiting jobs of all teams, in the order in which they start."""
 
     def __init__(self) -> None:
         self._levels = (_Level(), _Level())
@@ -195,13 +211,13 @@
         return self._levels[0].count + self._levels[1].count
 
     def count(self, urgent: bool) -> int:
-        """Waiting tasks of one level."""
+        """Return the number of waiting tasks of one level."""
         return self._levels[0 if urgent else 1].count
 
     def add(self, waiting: WaitingJob, now: float) -> None:
-        """Queue a job."""
-        level = self._level(waiting)
-        level.rank(waiting, now)
+        """Add a job to the queue."""
+        level = self._get_level(waiting)
+        level.assign_rank(waiting, now)
         level.count += waiting.count
         self._jobs[waiting.job.key] = waiting
         self._sequence += 1
@@ -209,38 +225,41 @@
             heap = level.heaps.setdefault(requirement, [])
             entry = (waiting.rank, self._sequence, order, waiting)
             heapq.heappush(heap, entry)
-            late = (waiting.latest, self._sequence, order, waiting)
-            heapq.heappush(level.latest, late)
+            late_entry = (waiting.latest_start, self._sequence, order, waiting)
+            heapq.heappush(level.by_latest_start, late_entry)
 
-    def next(
+    def find_next(
         self,
         blocked: typing.Container[placement.Requirement],
-        held_teams: typing.Container[str],
+        throttled_teams: typing.Container[str],
         now: float,
     ) -> tuple[WaitingJob, placement.Requirement] | None:
-        """The job, and its class of task, that starts next.
+        """Return the job, and its class of task, that starts next.
 
-        :param blocked: classes that no worker is free for.
-        :param held_teams: teams that have used up their quota.
+        :param blocked: classes for which no worker is free.
+        :param throttled_teams: teams whose quota is used up.
+        :returns: ``None`` if no task can start.
         """
         first, second = self._levels
         if self._urgent_streak >= self.urgent_run and second.count:
             first, second = second, first
         for level in (first, second):
-            found = _due(level, blocked, held_teams, now)
+            found = _find_due(level, blocked, throttled_teams, now)
             if found is None:
-                found = self._least(level, blocked, held_teams)
+                found = self._find_first(level, blocked, throttled_teams)
             if found is not None:
                 return found
         return None
 
-    def take(self, waiting: WaitingJob, group: collections.deque[int]) -> int:
+    def pop_task(
+        self, waiting: WaitingJob, group: collections.deque[int]
+    ) -> int:
         """Remove and return the next task of one of a job's classes."""
         index = group.popleft()
         waiting.count -= 1
-        level = self._level(waiting)
-        level.virtual = max(level.virtual, waiting.start)
-        self._shrink(level, waiting, 1)
+        level = self._get_level(waiting)
+        level.virtual_time = max(level.virtual_time, waiting.start)
+        self._remove_tasks(level, waiting, 1)
         if waiting.job.urgent:
             self._urgent_streak += 1
         else:
@@ -248,7 +267,7 @@
         return index
 
     def drop(self, key: str) -> tuple[int, ...]:
-        """Remove a job; the indices of its tasks that were waiting."""
+        """Remove a job and return the indices of its waiting tasks."""
         waiting = self._jobs.get(key)
         if waiting is None:
             return ()
@@ -256,10 +275,10 @@
         for group in waiting.groups.values():
             group.clear()
         waiting.count = 0
-        self._shrink(self._level(waiting), waiting, len(indices))
+        self._remove_tasks(self._get_level(waiting), waiting, len(indices))
         return tuple(sorted(indices))
 
-    def work_before(
+    def sum_work_before(
         self,
         job: types.JobSpec,
         work: float,
@@ -267,16 +286,19 @@
         slots: float,
         now: float,
     ) -> float:
-        """Expected seconds of the tasks that a new job would wait for.
+        """Return the expected work that starts before a new job, in seconds.
 
-        Jobs for other workers don't count.  Past :data:`EXACT_JOBS` waiting
-        jobs, those that would start later count as well.
+        Jobs for other workers don't count.  If more than
+        :data:`MAX_COMPARED_JOBS` jobs wait, those that would start later
+        count as well.
 
-        :param slots: slots of those workers.
+        :param work: expected seconds of the new job's tasks.
+        :param pool: names of the workers that serve the new job.
+        :param slots: number of slots of these workers.
         """
         level = self._levels[0 if job.urgent else 1]
-        rank = level.rank_of(job.team, work)[1]
-        if len(self._jobs) > EXACT_JOBS:
+        rank = level.compute_rank(job.team, work)[1]
+        if len(self._jobs) > MAX_COMPARED_JOBS:
             rank = float('inf')
         before = sum(
             waiting.cost * waiting.count
@@ -287,10 +309,10 @@
         if not before:
             return 0.0
         wait = (before + work) / max(slots, 1.0)
-        return before + level.overtaking(job.team, rank, wait, now)
+        return before + level.estimate_overtaking(job.team, rank, wait, now)
 
-    def team_work(self, team: str) -> float:
-        """Expected seconds of a team's waiting tasks."""
+    def sum_team_work(self, team: str) -> float:
+        """Return the expected seconds of a team's waiting tasks."""
         return sum(
             waiting.cost * waiting.count
             for waiting in self._jobs.values()
@@ -298,11 +320,11 @@
         )
 
     def get(self, key: str) -> WaitingJob | None:
-        """The job of a key, if tasks of it wait."""
+        """Return a job by its key, or ``None`` if none of its tasks waits."""
         return self._jobs.get(key)
 
-    def by_team(self) -> dict[str, int]:
-        """Waiting tasks by team."""
+    def count_by_team(self) -> dict[str, int]:
+        """Return the number of waiting tasks by team."""
         counts: dict[str, int] = {}
         for waiting in self._jobs.values():
             team = waiting.job.team
@@ -310,7 +332,7 @@
         return counts
 
     def requirements(self) -> set[placement.Requirement]:
-        """Classes of the tasks that wait."""
+        """Return the classes of the waiting tasks."""
         return {
             requirement
             for waiting in self._jobs.values()
@@ -318,30 +340,32 @@
             if group
         }
 
-    def _level(self, waiting: WaitingJob) -> _Level:
+    def _get_level(self, waiting: WaitingJob) -> _Level:
         return self._levels[0 if waiting.job.urgent else 1]
 
-    def _shrink(self, level: _Level, waiting: WaitingJob, by: int) -> None:
-        level.count -= by
+    def _remove_tasks(
+        self, level: _Level, waiting: WaitingJob, count: int
+    ) -> None:
+        level.count -= count
         if not waiting.count:
             self._jobs.pop(waiting.job.key, None)
         if not level.count:
             level.heaps.clear()
-            level.latest.clear()
-            level.forget_idle_teams()
+            level.by_latest_start.clear()
+            level.reset_virtual_time()
 
-    def _least(
+    def _find_first(
         self,
         level: _Level,
         blocked: typing.Container[placement.Requirement],
-        held_teams: typing.Container[str],
+        throttled_teams: typing.Container[str],
     ) -> tuple[WaitingJob, placement.Requirement] | None:
         best: _Ranked | None = None
         found: placement.Requirement | None = None
         for requirement in list(level.heaps):
             if requirement in blocked:
                 continue
-            head = _head(level.heaps, requirement, held_teams)
+            head = _find_head(level.heaps, requirement, throttled_teams)
             if head is not None and (best is None or head < best):
                 best = head
                 found = requirement
@@ -356,46 +380,49 @@
     return waiting.rank <= rank
 
 
-def _due(
+def _find_due(
     level: _Level,
     blocked: typing.Container[placement.Requirement],
-    held_teams: typing.Container[str],
+    throttled_teams: typing.Container[str],
     now: float,
 ) -> tuple[WaitingJob, placement.Requirement] | None:
-    """The job with the earliest latest start, if that has come."""
-    latest = level.latest
-    while latest and latest[0][0] <= now:
-        _, _, order, waiting = latest[0]
+    """Return the job with the earliest latest start, if that has passed."""
+    heap = level.by_latest_start
+    while heap and heap[0][0] <= now:
+        _, _, order, waiting = heap[0]
         requirement = list(waiting.groups)[order]
         if not waiting.groups[requirement]:
-            heapq.heappop(latest)
+            heapq.heappop(heap)
             continue
-        if requirement in blocked or waiting.job.team in held_teams:
+        if requirement in blocked or waiting.job.team in throttled_teams:
             return None
         return waiting, requirement
     return None
 
 
-def _head(
+def _find_head(
     heaps: dict[placement.Requirement, list[_Ranked]],
     requirement: placement.Requirement,
-    held_teams: typing.Container[str],
+    throttled_teams: typing.Container[str],
 ) -> _Ranked | None:
-    """Least entry of a heap that has tasks; empty ones are thrown away."""
+    """Return the first entry of a heap that may start.
+
+    Entries without tasks are dropped from its top.
+    """
     heap = heaps[requirement]
     while heap and not heap[0][3].groups[requirement]:
         heapq.heappop(heap)
     if not heap:
         del heaps[requirement]
         return None
-    if heap[0][3].job.team not in held_teams:
+    if heap[0][3].job.team not in throttled_teams:
         return heap[0]
     return min(
         (
             entry
             for entry in heap
             if entry[3].groups[requirement]
-            and entry[3].job.team not in held_teams
+            and entry[3].job.team not in throttled_teams
         ),
         default=None,
     )
--- a/src/agatepick/decisions/sizing.py
+++ b/src/agatepick/decisions/sizing.py
@@ -1,4 +1,4 @@
-"""A job's tasks by class, and what they are expected to take."""
+"""Grouping of a job's tasks by class, and the estimate of their run times."""
 
 import dataclasses
 import typing
@@ -13,12 +13,12 @@
 ]
 
 LAST_TASKS = 8
-"""Tasks that may be the last to end: those before have time to spare."""
+"""Tasks that may be the last to end; earlier ones don't delay the job."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SizedJob:
-    """A job ready to be queued.
+    """A job with its tasks grouped by class and its estimate.
 
     :param groups: indices of its tasks by class; the class and the tasks
         that are expected to take longest come first.
@@ -26,46 +26,47 @@
 
     job: types.JobSpec
     groups: dict[placement.Requirement, list[int]]
-    demand: admission.Demand
+    estimate: admission.JobEstimate
 
 
 _Group = list[tuple[float, int]]
-"""Tasks as (expected seconds below zero, index): sorts longest first."""
+"""Tasks as (negative expected seconds, index), which sorts longest first."""
 
 
-def size(
+def estimate_job(
     job: types.JobSpec,
     classify: Classify,
     run_times: estimates.RunTimes,
     confidence: float,
 ) -> SizedJob:
-    """Sort a job's tasks into classes and add up their expected times.
+    """Group a job's tasks by class and estimate their run times.
 
+    :param classify: returns the class of a task.
     :param confidence: probability that no task of the job takes longer than
-        its demand's longest.
+        ``longest`` of its estimate.
     """
-    groups, work = _grouped(job, classify, run_times)
+    groups, work = _group_tasks(job, classify, run_times)
     for group in groups.values():
         group.sort()
     order = sorted(groups, key=lambda one: groups[one][0])
     share = confidence ** (1.0 / min(len(job.tasks) or 1, LAST_TASKS))
     firsts = [job.tasks[group[0][1]] for group in groups.values()]
-    typical = [run_times.quantile(task, 0.5) for task in firsts]
+    medians = [run_times.quantile(task, 0.5) for task in firsts]
     longest = [run_times.quantile(task, share) for task in firsts]
-    demand = admission.Demand(
+    estimate = admission.JobEstimate(
         len(job.tasks),
         work,
-        max(typical, default=0.0),
+        max(medians, default=0.0),
         max(longest, default=0.0),
     )
     return SizedJob(
         job,
         {one: [index for _, index in groups[one]] for one in order},
-        demand,
+        estimate,
     )
 
 
-def _grouped(
+def _group_tasks(
     job: types.JobSpec, classify: Classify, run_times: estimates.RunTimes
 ) -> tuple[dict[placement.Requirement, _Group], float]:
     groups: dict[placement.Requirement, _Group] = {}
@@ -74,7 +75,7 @@
     group: _Group = []
     mean = 0.0
     for index, task in enumerate(job.tasks):
-        if last is None or not _alike(task, last):
+        if last is None or not _is_equivalent(task, last):
             group = groups.setdefault(classify(job, task), [])
             mean = run_times.mean(task)
             last = task
@@ -83,7 +84,7 @@
     return groups, work
 
 
-def _alike(one: types.TaskSpec, other: types.TaskSpec) -> bool:
+def _is_equivalent(one: types.TaskSpec, other: types.TaskSpec) -> bool:
     return (
         one.kind == other.kind
         and one.expected_seconds == other.expected_seconds
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -1,7 +1,8 @@
-"""The workers that an entry knows, with the slots it may fill at each.
+"""The workers that an entry can use, with the slots it may fill at each.
 
-Keeps, for every class of task, the workers that serve it and those with a
-free slot, so that neither admission nor placement searches all workers.
+For every class of task an index holds the workers that serve it and those
+with a free slot, so that neither admission nor placement searches all
+workers.
 """
 
 import dataclasses
@@ -14,18 +15,18 @@
 from agatepick.net import messages
 from agatepick import types
 
-FORGET_SECONDS = 600.0
-"""How long a worker that has gone still counts as one that may return."""
+EXPIRE_SECONDS = 600.0
+"""Time after which a disconnected worker is removed."""
 MAX_CLASSES = 2048
-"""Classes of task kept; callers choose kinds, so memory needs a bound."""
+"""Indexed classes of task: callers choose kinds, so memory needs a bound."""
 
-ASKS_A_PAUSE = 5
-"""Times that agents to ask are looked for in one pause between asks."""
+SEARCHES_PER_PAUSE = 5
+"""Searches for agents to ask in the pause between two asks of one agent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AgentInfo:
-    """Where an agent is, and which process of its name it is."""
+    """The location of an agent and the incarnation of its process."""
 
     name: str
     incarnation: int
@@ -34,12 +35,14 @@
 
 
 class Workers:
-    """All known workers.
+    """The workers of all agents that have sent an offer.
 
     :param leased: whether only leased slots may be filled.
-    :ivar limit: slots that may be filled, over all workers.
-    :ivar running: slots filled, over all workers.
-    :ivar slots: slots of all usable workers, whoever leases them.
+    :param ejection: standings of the agents.
+    :ivar limit: number of slots that may be filled, on all workers.
+    :ivar running: number of filled slots, on all workers.
+    :ivar slots: number of slots of all usable workers, including those
+        leased to other entries.
     """
 
     def __init__(self, leased: bool, ejection: outliers.Outliers) -> None:
@@ -54,13 +57,13 @@
         self.running = 0
         self.slots = 0
 
-    def offered(
+    def apply_offer(
         self, info: AgentInfo, offer: messages.Offer, now: float
     ) -> None:
-        """Take an offer, which replaces all that was known of the agent."""
+        """Apply an offer, which replaces the earlier state of its agent."""
         worker = self._workers.get(info.name)
         if worker is not None and worker.incarnation != info.incarnation:
-            self._forget(worker)
+            self._remove(worker)
             worker = None
         if worker is None:
             worker = placement.Worker(
@@ -68,134 +71,147 @@
             )
             self._workers[info.name] = worker
             self._outliers.add(info.name)
-            self._forget_old(now)
-        self._describe(worker, offer)
+            self._remove_expired(now)
+        self._update_offer(worker, offer)
         worker.connected = True
-        worker.heard_at = now
-        self._refresh(worker)
+        worker.last_message_at = now
+        self._update_limit(worker)
 
-    def credited(self, agent: str, credits: int, now: float) -> None:
-        """Take the slots leased at an agent now."""
+    def set_credits(self, agent: str, credits: int, now: float) -> None:
+        """Set the number of slots leased at an agent."""
         worker = self._workers.get(agent)
         if worker is None:
             return
-        worker.heard_at = now
+        worker.last_message_at = now
         if worker.credits != credits:
             worker.credits = credits
-            self._refresh(worker)
+            self._update_limit(worker)
 
-    def disconnected(self, agent: str) -> None:
-        """No slot can be filled until the agent offers again."""
+    def mark_disconnected(self, agent: str) -> None:
+        """Fill no slot of an agent until its next offer."""
         worker = self._workers.get(agent)
         if worker is not None:
             worker.connected = False
-            self._refresh(worker)
+            self._update_limit(worker)
 
-    def refresh(self, agent: str) -> None:
-        """An agent's standing has changed."""
+    def update_limit(self, agent: str) -> None:
+        """Update the limit of an agent's worker after its standing changed."""
         worker = self._workers.get(agent)
         if worker is not None:
-            self._refresh(worker)
+            self._update_limit(worker)
 
     def prepare(
         self, zone_share: typing.Callable[[str], float], now: float
     ) -> None:
-        """Follow zones and ejections before a round of placements."""
+        """Apply changes of zones and ejections before a round of placements.
+
+        :param zone_share: part of a zone's slots that may be filled, 0 to 1.
+        """
         changed = set()
         for zone, share in self._shares.items():
-            fresh = zone_share(zone)
-            if fresh != share:
-                self._shares[zone] = fresh
+            new_share = zone_share(zone)
+            if new_share != share:
+                self._shares[zone] = new_share
                 changed.add(zone)
         if changed:
             for worker in self._workers.values():
                 if worker.zone in changed:
-                    self._refresh(worker)
-        for agent in self._outliers.advance(now):
-            self.refresh(agent)
+                    self._update_limit(worker)
+        for agent in self._outliers.start_trials(now):
+            self.update_limit(agent)
 
-    def taken(self, worker: placement.Worker) -> None:
-        """Count a slot as filled."""
+    def fill_slot(self, worker: placement.Worker) -> None:
+        """Count one more slot of a worker as filled."""
         worker.running += 1
         self.running += 1
         if worker.running >= worker.limit:
-            _file(worker)
+            _update_indexes(worker)
 
-    def freed(self, agent: str) -> None:
-        """Count a slot as free."""
+    def free_slot(self, agent: str) -> None:
+        """Count one more slot of an agent's worker as free."""
         worker = self._workers.get(agent)
         if worker is None or not worker.running:
             return
         worker.running -= 1
         self.running -= 1
         if not worker.running:
-            worker.give_all_back()
+            worker.release_all()
         if worker.running + 1 >= worker.limit:
-            _file(worker)
+            _update_indexes(worker)
 
-    def give_back(self, agent: str, needs: types.Needs) -> None:
-        """Count a task's resources as free."""
+    def release(self, agent: str, needs: types.Needs) -> None:
+        """Release a task's resources at an agent's worker."""
         worker = self._workers.get(agent)
         if worker is not None:
-            worker.give_back(needs)
+            worker.release(needs)
+
+    def record_start(self, agent: str, now: float) -> int:
+        """Record a start message, which carries this entry's demand.
 
-    def sent_to(self, agent: str, now: float) -> int:
-        """A start message tells the agent our demand; its incarnation."""
+        :returns: the incarnation of the agent.
+        """
         worker = self._workers[agent]
-        worker.asked_at = now
+        worker.demand_sent_at = now
         return worker.incarnation
 
-    def to_ask(
+    def select_agents_to_ask(
         self,
         requirements: typing.Iterable[placement.Requirement],
         now: float,
         pause: float,
     ) -> list[str]:
-        """Agents that may have slots for us and don't know of our demand."""
+        """Return agents with spare slots that lack this entry's demand.
+
+        :param pause: least seconds between two messages to one agent.
+        """
         if now < self._next_ask:
             return []
-        self._next_ask = now + pause / ASKS_A_PAUSE
+        self._next_ask = now + pause / SEARCHES_PER_PAUSE
         names = []
         for requirement in requirements:
-            for worker in self.index(requirement).serving.values():
+            for worker in self.get_index(requirement).serving.values():
                 if _is_worth_asking(worker, now - pause):
-                    worker.asked_at = now
+                    worker.demand_sent_at = now
                     names.append(worker.name)
         return names
 
-    def requirement(
+    def classify(
         self, job: types.JobSpec, task: types.TaskSpec
     ) -> placement.Requirement:
-        """The class of a task.
+        """Return the class of a task.
 
-        Its needs are raised to the least of the capacities that they fit
-        into: the same workers serve them, and sizes that differ from task
-        to task make few classes.
+        Its needs are rounded up to the smallest of the capacities that they
+        fit into.  The same workers serve the result, and tasks of slightly
+        different sizes share a class.
         """
         needs = task.needs
         if needs != _NO_NEEDS:
-            known = self._canonical.get(needs)
-            needs = self._raised(needs) if known is None else known
+            canonical = self._canonical.get(needs)
+            needs = self._round_up(needs) if canonical is None else canonical
         return placement.Requirement(task.kind, needs, job.zones)
 
-    def index(
+    def get_index(
         self, requirement: placement.Requirement
     ) -> placement.ClassIndex:
-        """The workers of a class of task."""
+        """Return the index of the workers of a class of task."""
         index = self._indexes.get(requirement)
         if index is None:
-            index = self._new_index(requirement)
+            index = self._create_index(requirement)
         return index
 
-    def pool(
+    def get_pool(
         self, requirements: typing.Iterable[placement.Requirement]
     ) -> frozenset[str]:
-        """Names of the workers that serve any of some classes."""
-        pools = [self.index(one).pool() for one in requirements]
+        """Return the names of the workers that serve any of the classes."""
+        pools = [self.get_index(one).get_pool() for one in requirements]
         return pools[0] if len(pools) == 1 else frozenset().union(*pools)
 
-    def capacity(self, pool: frozenset[str]) -> tuple[int, int, int]:
-        """Slots we may fill, those of them free, and slots in all."""
+    def sum_slots(self, pool: frozenset[str]) -> tuple[int, int, int]:
+        """Return the slot counts of the workers in a pool.
+
+        :returns: slots that this entry may fill, the free ones of these, and
+            all slots of usable workers.
+        """
         limit = free = slots = 0
         for name in pool:
             worker = self._workers.get(name)
@@ -206,31 +222,33 @@
                 slots += worker.slots
         return limit, free, slots
 
-    def refuses(
+    def find_refusal(
         self,
         requirement: placement.Requirement,
         zones_open: typing.Callable[[str], bool],
     ) -> admission.Refusal | None:
-        """Why no worker can run a class of task, or ``None``."""
-        serving = self.index(requirement).serving.values()
+        """Return why no worker can run a class of task, or ``None``."""
+        serving = self.get_index(requirement).serving.values()
         if any(zones_open(worker.zone) for worker in serving):
             return None
         if serving:
-            return admission.zones_closed()
+            return admission.refuse_closed_zones()
         if not self._workers:
-            return admission.no_workers()
+            return admission.refuse_no_workers()
         same_kind = [
             worker
             for worker in self._workers.values()
             if requirement.kind in worker.kinds
         ]
         if not same_kind:
-            return admission.no_such_kind(requirement.kind)
+            return admission.refuse_unknown_kind(requirement.kind)
         if any(requirement.needs.fits(one.capacity) for one in same_kind):
-            return admission.no_such_zone(requirement.zones, requirement.kind)
-        return admission.too_large(requirement.needs)
+            return admission.refuse_unknown_zone(
+                requirement.zones, requirement.kind
+            )
+        return admission.refuse_too_large(requirement.needs)
 
-    def _describe(
+    def _update_offer(
         self, worker: placement.Worker, offer: messages.Offer
     ) -> None:
         worker.credits = offer.credits
@@ -242,39 +260,39 @@
             return
         worker.kinds = kinds
         worker.capacity = offer.capacity
-        worker.give_all_back()
+        worker.release_all()
         self._canonical.clear()
         for index in self._indexes.values():
             index.remove(worker)
-        worker.classes = []
+        worker.indexes = []
         for index in self._indexes.values():
-            self._file_under(worker, index)
+            self._add_to_index(worker, index)
 
-    def _refresh(self, worker: placement.Worker) -> None:
+    def _update_limit(self, worker: placement.Worker) -> None:
         before = worker.limit
-        worker.limit = self._limit(worker)
+        worker.limit = self._compute_limit(worker)
         self.limit += worker.limit - before
         usable = worker.slots if _is_usable(worker) else 0
         self.slots += usable - worker.usable
         worker.usable = usable
-        _file(worker)
+        _update_indexes(worker)
 
-    def _limit(self, worker: placement.Worker) -> int:
+    def _compute_limit(self, worker: placement.Worker) -> int:
         share = self._shares[worker.zone]
         standing = self._outliers.standing(worker.name)
-        worker.trial = standing is outliers.Standing.TRIAL
+        worker.on_trial = standing is outliers.Standing.TRIAL
         if not _is_usable(worker) or share <= 0.0:
             return 0
         if standing is outliers.Standing.EJECTED:
             return 0
         slots = worker.credits if self._leased else worker.slots
-        if worker.trial:
+        if worker.on_trial:
             return min(1, slots)
         if share < 1.0:
             return min(slots, math.ceil(share * worker.slots))
         return slots
 
-    def _new_index(
+    def _create_index(
         self, requirement: placement.Requirement
     ) -> placement.ClassIndex:
         if len(self._indexes) >= MAX_CLASSES:
@@ -282,22 +300,22 @@
         index = placement.ClassIndex(requirement)
         self._indexes[requirement] = index
         for worker in self._workers.values():
-            self._file_under(worker, index)
+            self._add_to_index(worker, index)
         return index
 
     def _drop_indexes(self) -> None:
         self._indexes.clear()
         for worker in self._workers.values():
-            worker.classes = []
+            worker.indexes = []
 
-    def _file_under(
+    def _add_to_index(
         self, worker: placement.Worker, index: placement.ClassIndex
     ) -> None:
         if worker.serves(index.requirement):
             index.add(worker)
-            worker.classes.append(index)
+            worker.indexes.append(index)
 
-    def _raised(self, needs: types.Needs) -> types.Needs:
+    def _round_up(self, needs: types.Needs) -> types.Needs:
         fitting = [
             worker.capacity
             for worker in self._workers.values()
@@ -315,8 +333,8 @@
         self._canonical[needs] = raised
         return raised
 
-    def _forget(self, worker: placement.Worker) -> None:
-        for index in worker.classes:
+    def _remove(self, worker: placement.Worker) -> None:
+        for index in worker.indexes:
             index.remove(worker)
         self.limit -= worker.limit
         self.slots -= worker.usable
@@ -324,24 +342,24 @@
         self._canonical.clear()
         del self._workers[worker.name]
 
-    def _forget_old(self, now: float) -> None:
-        old = [
+    def _remove_expired(self, now: float) -> None:
+        expired = [
             worker
             for worker in self._workers.values()
             if not worker.connected
-            and worker.heard_at < now - FORGET_SECONDS
-            and worker.heard_at
+            and worker.last_message_at < now - EXPIRE_SECONDS
+            and worker.last_message_at
         ]
-        for worker in old:
-            self._forget(worker)
-            self._outliers.forget(worker.name)
+        for worker in expired:
+            self._remove(worker)
+            self._outliers.remove(worker.name)
 
 
 _NO_NEEDS = types.Needs()
 
 
-def _file(worker: placement.Worker) -> None:
-    for index in worker.classes:
+def _update_indexes(worker: placement.Worker) -> None:
+    for index in worker.indexes:
         index.update(worker)
 
 
@@ -354,6 +372,6 @@
         _is_usable(worker)
         and not worker.running
         and worker.credits < worker.slots
-        and worker.heard_at <= before
-        and worker.asked_at <= before
+        and worker.last_message_at <= before
+        and worker.demand_sent_at <= before
     )
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -1,17 +1,17 @@
-"""How many of its slots a zone may fill after it has returned to service.
+"""The part of its slots that a zone may fill after its return to service.
 
-The load: operators return a zone while work waits.  All its slots are free
-at one instant in the view of every entry, so without a ramp the whole queue
-is thrown at upstreams whose caches and connections are cold: their first
-tasks all take long together, urgent ones among them, and the quantiles that
-placement goes by are spoilt for minutes.
+Load pattern: operators return a zone while work waits.  All its slots become
+free at one instant in every entry, so without a ramp the whole queue is sent
+to upstreams whose caches and connections are cold: their first tasks all
+take long at the same time, urgent ones among them, and the quantiles on which
+placement relies are distorted for minutes.
 
-The ramp begins at a quarter, so that each worker of eight slots gets two
+The ramp begins at a quarter, so that each worker with eight slots gets two
 tasks to warm up with, and is complete after two seconds, a few run times of
-a sub-second task.  It costs three quarters of a second of the zone's slots
-for each return, under a fifth of what the fence of a departure takes.  The
-share moves in eighths, one slot of a worker of eight at a time, because each
-move files the zone's workers anew.
+a sub-second task.  Each return costs three quarters of a second of the
+zone's slots, less than a fifth of what the fence of a departure costs.  The
+share grows in eighths, one slot at a time for a worker with eight, because
+each step updates the indexes of all the zone's workers.
 """
 
 from agatepick.config import cluster
@@ -22,15 +22,15 @@
 
 
 def share(zone: cluster.Zone | None, now: float) -> float:
-    """Part of a zone's slots that may be filled at ``now``, 0 to 1.
+    """Return the part of a zone's slots that may be filled, 0 to 1.
 
-    :param zone: what the document in force says of it; ``None`` if it was
-        never out.
+    :param zone: its state in the configuration in force; ``None`` if it was
+        never out of service.
     """
     if zone is None:
         return 1.0
     if zone.out:
         return 0.0
-    passed = max(0.0, now - zone.since) / RAMP_SECONDS
-    grown = FIRST_SHARE + (1.0 - FIRST_SHARE) * min(1.0, passed)
+    progress = max(0.0, now - zone.since) / RAMP_SECONDS
+    grown = FIRST_SHARE + (1.0 - FIRST_SHARE) * min(1.0, progress)
     return int(grown * STEPS) / STEPS
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,37 +1,38 @@
 from agatepick.decisions import admission
 from agatepick import types
 
-ONE = admission.Demand(tasks=10, work=5.0, typical=0.5, longest=1.0)
+ESTIMATE = admission.JobEstimate(tasks=10, work=5.0, median=0.5, longest=1.0)
 
 
-def _judge(within, before=0.0, slots=10, free=10, demand=ONE):
+def _check(within, before=0.0, slots=10, free=10, estimate=ESTIMATE):
     job = types.JobSpec('key', 'team', (), 100.0 + within)
     load = admission.Load(before, slots, free)
-    return admission.judge(job, load, demand, 0.1, 100.0)
+    return admission.check_deadline(job, load, estimate, 0.1, 100.0)
 
 
-def test_idle_slots_take_a_job_whose_longest_task_may_just_be_in_time():
-    """A job with a tight deadline comes to idle workers.
+def test_idle_slots_admit_a_job_that_will_probably_be_in_time():
+    """A job with a tight deadline arrives while all workers are idle.
 
-    It will probably be in time; refusing it would be of no use to anyone.
+    If admission required the safe quantile here, the caller would be refused
+    although the job would probably be in time.
     """
-    assert _judge(0.6) is None
-    assert _judge(0.4).code == 'deadline_too_short'
+    assert _check(0.6) is None
+    assert _check(0.4).code == 'deadline_too_short'
 
 
 def test_a_job_is_refused_once_its_wait_and_run_pass_the_deadline():
-    """Callers come faster than the slots can work.
+    """Jobs arrive faster than the slots can run them.
 
-    Those let in must be in time, so the rest is told when to come back.
+    Admitted jobs must be in time, so others are refused with a retry time.
     """
-    assert _judge(3.0, before=11.0, free=0) is None
-    refusal = _judge(3.0, before=30.0, free=0)
+    assert _check(3.0, before=11.0, free=0) is None
+    refusal = _check(3.0, before=30.0, free=0)
     assert refusal.code == 'overloaded'
     late = (30.0 + 5.0) / 10 + 1.0 - 0.9 * 3.0
     assert abs(refusal.retry_after - late) < 1e-9
 
 
-def test_no_refusal_asks_to_come_back_within_no_time_or_hours():
-    assert _judge(2.35, before=11.0, free=0).retry_after >= 0.1
-    assert _judge(3.0, before=1e6, free=0).retry_after <= 30.0
-    assert _judge(-1.0).retry_after == 0.0
+def test_retry_after_is_within_its_bounds():
+    assert _check(2.35, before=11.0, free=0).retry_after >= 0.1
+    assert _check(3.0, before=1e6, free=0).retry_after <= 30.0
+    assert _check(-1.0).retry_after == 0.0
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -8,10 +8,11 @@
     return types.TaskSpec('1', kind, expected_seconds=declared)
 
 
-def test_what_was_seen_replaces_a_wrong_declaration():
+def test_observed_run_times_replace_a_wrong_declaration():
     """A caller declares ten times the real run time.
 
-    Admission would refuse its jobs although slots are free.
+    If the declaration were used, admission would refuse the caller's jobs
+    although slots are free.
     """
     rng = random.Random(4)
     run_times = estimates.RunTimes()
@@ -22,18 +23,18 @@
     assert run_times.mean(_task(declared=5.0)) < 0.7
 
 
-def test_quantiles_stay_within_a_bucket_of_the_truth():
+def test_quantiles_are_within_a_bucket_of_the_true_value():
     rng = random.Random(3)
     run_times = estimates.RunTimes()
-    seen = sorted(rng.lognormvariate(-1.2, 0.8) for _ in range(500))
-    for seconds in rng.sample(seen, len(seen)):
+    observed = sorted(rng.lognormvariate(-1.2, 0.8) for _ in range(500))
+    for seconds in rng.sample(observed, len(observed)):
         run_times.observe(_task(), seconds)
     for share in (0.5, 0.9, 0.99):
-        true = seen[int(share * len(seen)) - 1]
+        true = observed[int(share * len(observed)) - 1]
         assert true <= run_times.quantile(_task(), share) <= true * 1.2
 
 
-def test_a_changed_upstream_outweighs_its_past():
+def test_new_run_times_of_an_upstream_outweigh_old_ones():
     """An upstream becomes ten times slower.
 
     If old run times kept their weight, admission would promise deadlines that
@@ -47,18 +48,19 @@
     assert run_times.quantile(_task(), 0.5) >= 1.0
 
 
-def test_kinds_that_callers_invent_do_not_fill_memory():
+def test_the_number_of_kinds_is_bounded():
+    """Callers choose the names of kinds and could fill the memory."""
     run_times = estimates.RunTimes()
     for i in range(2 * estimates.MAX_KINDS):
         run_times.observe(_task(f'kind{i}'), 0.1)
     assert len(run_times.medians()) == estimates.MAX_KINDS
 
 
-def test_callers_that_declare_well_are_believed():
-    """A kind's tasks differ widely, but their callers know by how much.
+def test_consistent_declarations_are_used():
+    """The tasks of a kind differ widely, and callers declare by how much.
 
-    Taken by kind alone, a job's long task would count as a short one, and
-    the job would be let in with a deadline that it can't meet.
+    Estimated by kind alone, a long task would count as a short one, and its
+    job would be admitted with a deadline that it can't meet.
     """
     rng = random.Random(5)
     run_times = estimates.RunTimes()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
     worker = placement.Worker(name, 1, 'z', rack)
     worker.kinds = frozenset(['k'])
     worker.capacity = types.Needs(8.0, 1024, accelerators)
-    worker.give_all_back()
+    worker.release_all()
     worker.slots = worker.limit = worker.credits = 8
     worker.running = running
     return worker
@@ -36,10 +36,10 @@
     )
 
 
-def test_a_task_without_need_of_accelerators_leaves_them_free():
-    """Plain tasks fill the only worker with accelerators.
+def test_a_task_without_accelerators_avoids_workers_with_them():
+    """Tasks without accelerators fill the only worker that has some.
 
-    Callers that need those would wait although plain workers are free.
+    Callers that need them would wait although other workers are free.
     """
     index = _index(_worker('gpu', accelerators=1), _worker('cpu', running=7))
     assert _pick(index).name == 'cpu'
@@ -47,24 +47,24 @@
     assert _pick(index, needs=needs).name == 'gpu'
 
 
-def test_tasks_of_a_job_avoid_racks_that_hold_others():
+def test_tasks_of_a_job_avoid_racks_that_already_have_some():
     index = _index(_worker('a', rack='r0'), _worker('b', 6, rack='r1'))
     assert _pick(index).name == 'a'
     assert _pick(index, racks={'r0': 1}).name == 'b'
 
 
 def test_a_worker_on_trial_gets_the_next_task_but_no_urgent_one():
-    """Without a first task a repaired worker would stay out for good."""
+    """Without a probe a repaired worker would stay ejected permanently."""
     trial = _worker('trial', running=7)
-    trial.trial = True
+    trial.on_trial = True
     index = _index(_worker('good'), trial)
     assert _pick(index).name == 'trial'
     assert _pick(index, urgent=True).name == 'good'
 
 
-def test_full_workers_and_used_up_resources_are_passed_over():
+def test_workers_without_free_slots_or_resources_are_skipped():
     full, used = _worker('full', running=8), _worker('used')
-    used.take(types.Needs(7.5))
+    used.acquire(types.Needs(7.5))
     index = _index(full, used)
     assert _pick(index, needs=types.Needs(1.0)) is None
     assert _pick(index, needs=types.Needs(0.5)).name == 'used'
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize('policy', placement.POLICIES)
 def test_every_policy_spreads_over_many_workers(policy):
-    """A policy that prefers by name would overload the first workers."""
+    """A policy that prefers workers by name would overload the first ones."""
     index = _index(*[_worker(f'w{i}') for i in range(40)])
     names = {_pick(index, policy, seed=seed).name for seed in range(200)}
     assert len(names) >= 30
--- a/tests/test_presets.py
+++ b/tests/test_presets.py
@@ -3,8 +3,8 @@
 from agatepick.decisions import presets
 
 
-def test_presets_change_what_their_text_says():
-    """Operators switch presets under stress and rely on their direction."""
+def test_presets_differ_in_the_documented_direction():
+    """Operators who switch presets under stress rely on their direction."""
     ordinary, peak = presets.ORDINARY, presets.PEAK
     maintenance = presets.MAINTENANCE
     assert peak.spare_share > ordinary.spare_share
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,7 +12,7 @@
 
 
 class _Cluster:
-    """Entries that share one team's quota, over a lossy network."""
+    """A cluster of entries that share a team's quota over a lossy network."""
 
     def __init__(self, names=NAMES, quota=QUOTA):
         self.quota = quota
@@ -26,19 +26,19 @@
         for entry in self.entries.values():
             entry.configure({'t': self.quota}, tuple(names), self.now)
 
-    def coordinator(self):
+    def get_coordinator(self):
         layout = quotas.Layout({'t': self.quota}, tuple(self.entries))
-        return layout.coordinator('t')
+        return layout.get_coordinator('t')
 
-    def others(self):
-        return sorted(set(self.entries) - {self.coordinator()})
+    def get_others(self):
+        return sorted(set(self.entries) - {self.get_coordinator()})
 
     def want(self, name, waiting):
         self.entries[name].waiting({'t': waiting})
 
     def allowed(self):
         return {
-            name: entry.allowed('t', self.now)
+            name: entry.get_limit('t', self.now)
             for name, entry in self.entries.items()
         }
 
@@ -57,19 +57,19 @@
             assert isinstance(effect, core.Send)
             if self.lost & {sender, effect.peer}:
                 continue
-            more = self.entries[effect.peer].on_message(
+            replies = self.entries[effect.peer].on_message(
                 sender, effect.message, self.now
             )
-            self._deliver(effect.peer, more)
+            self._deliver(effect.peer, replies)
 
 
-def test_an_entry_borrows_what_the_others_do_not_need():
-    """All of a team's callers come to one entry.
+def test_an_entry_borrows_quota_that_others_do_not_use():
+    """All jobs of a team arrive at one entry.
 
-    With fixed shares the team would get a third of its quota.
+    With fixed shares the team could use only a third of its quota.
     """
     cluster = _Cluster()
-    busy = cluster.others()[0]
+    busy = cluster.get_others()[0]
     cluster.want(busy, 50)
     cluster.advance(3.0)
     allowed = cluster.allowed()
@@ -77,9 +77,9 @@
     assert sum(allowed.values()) <= QUOTA
 
 
-def test_two_busy_entries_end_up_with_equal_parts():
+def test_two_busy_entries_converge_to_equal_limits():
     cluster = _Cluster()
-    first, second = cluster.others()
+    first, second = cluster.get_others()
     cluster.want(first, 50)
     cluster.advance(3.0)
     cluster.want(second, 50)
@@ -89,17 +89,17 @@
     assert allowed[first] >= 4
 
 
-def test_a_lost_coordinator_neither_frees_nor_freezes_a_quota():
-    """The entry that lends a team's quota is cut off.
+def test_a_lost_coordinator_neither_lifts_nor_blocks_a_quota():
+    """The entry that lends a team's quota is cut off from the network.
 
-    If the others waited for it their callers would too; if they ignored
-    the quota, the team would take everyone's slots.
+    If the others waited for it, their callers would wait too; if they
+    ignored the quota, the team would fill every slot.
     """
     cluster = _Cluster()
-    busy, idle = cluster.others()
+    busy, idle = cluster.get_others()
     cluster.want(busy, 50)
     cluster.advance(3.0)
-    cluster.lost.add(cluster.coordinator())
+    cluster.lost.add(cluster.get_coordinator())
     for _ in range(200):
         cluster.step()
         assert sum(cluster.allowed().values()) <= QUOTA
@@ -136,9 +136,9 @@
             assert sum(allowed.values()) <= quota, allowed
 
 
-def test_a_stranger_gets_no_grant():
+def test_an_unlisted_entry_gets_no_grant():
     cluster = _Cluster()
-    lender = cluster.entries[cluster.coordinator()]
+    lender = cluster.entries[cluster.get_coordinator()]
     ask = messages.QuotaAsk('t', 5, 0, 0.0, 0.0)
     assert lender.on_message('stranger', ask, cluster.now) == []
     other = messages.QuotaAsk('unknown', 5, 0, 0.0, 0.0)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,14 +13,15 @@
 
 
 def test_a_system_that_refuses_everything_is_not_flooded():
-    """Agents refuse every start, say as their clocks are off.
+    """Agents refuse every start, for example because their clocks are off.
 
-    Each refusal would cause another start, and nothing else would get through.
+    Without a budget each refusal would cause another start, and no other
+    work would be done.
     """
     budget = _budget()
     allowed = 0
     for _ in range(10000):
-        budget.started(1)
+        budget.earn(1)
         allowed += budget.delay(0, 60.0) is not None
     assert allowed <= presets.ORDINARY.retry_burst + 10000 * 0.1 + 1
 
@@ -35,21 +36,21 @@
     assert pause is None or pause <= retries.MAX_SECONDS
 
 
-def test_refused_together_they_do_not_come_back_together():
+def test_retries_of_simultaneous_refusals_are_spread():
     """An agent that drains refuses eight starts in one message.
 
-    Without jitter all would return in the same instant.
+    Without jitter all retries would be sent at the same instant.
     """
     budget = _budget()
     assert len({budget.delay(3, 60.0) for _ in range(8)}) == 8
 
 
-def test_the_queue_gives_back_what_is_due_and_loses_none(make_job):
+def test_the_queue_returns_due_tasks_and_loses_none(make_job):
     queue = retries.RetryQueue()
     tasks = [queues.Pending(make_job(), 0, 1) for _ in range(4)]
     for due, task in zip((3.0, 1.0, 2.0, 9.0), tasks, strict=True):
         queue.push(task, due)
-    assert queue.due(2.5) == [(1.0, tasks[1]), (2.0, tasks[2])]
+    assert queue.pop_due(2.5) == [(1.0, tasks[1]), (2.0, tasks[2])]
     assert queue.remove(lambda task: task is tasks[3]) == [tasks[3]]
     assert queue.next_due() == 3.0
     assert len(queue) == 1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,16 +2,16 @@
 from agatepick.decisions import zones
 
 
-def test_a_zone_that_never_left_has_all_its_slots():
+def test_a_zone_that_was_never_out_has_all_its_slots():
     assert zones.share(None, 10.0) == 1.0
     assert zones.share(cluster.Zone('a', True, 5.0), 10.0) == 0.0
 
 
-def test_a_returned_zone_does_not_take_the_whole_queue_at_once():
+def test_a_returned_zone_does_not_get_the_whole_queue_at_once():
     """Operators return a zone while a queue waits for slots.
 
-    Without the ramp its cold upstreams get all of it, and callers wait for
-    the slowest.
+    Without the ramp its cold upstreams get the whole queue, and callers wait
+    for the slowest of them.
     """
     back = cluster.Zone('a', False, 100.0)
     instants = [100.0 + tenth / 10 for tenth in range(30)]
