--- a/src/agatepick/platform/__init__.py
+++ b/src/agatepick/platform/__init__.py
@@ -1,8 +1,8 @@
 """The users' platform: its settings, store, callers and workers.
 
-Everything that names the platform's fields, paths and headers is in this
+All code that refers to the platform's fields, paths and headers is in this
 package.  It translates them into the product's own events and effects, and
-decides nothing.
+makes no scheduling decisions.
 """
 
 from agatepick.platform import announcements
--- a/src/agatepick/platform/announcements.py
+++ b/src/agatepick/platform/announcements.py
@@ -1,4 +1,4 @@
-"""Takes the announcements of the worker on this machine."""
+"""HTTP endpoints for the announcements of the worker on this machine."""
 
 import typing
 
@@ -16,19 +16,20 @@
 
 
 class _Capacity(msgspec.Struct, frozen=True):
-    """Room of a worker; ``cpu`` is in thousandths of a core."""
+    """The capacity of a worker; ``cpu`` is in thousandths of a core."""
 
     cpu: float
     mem_mb: int = 0
     gpu: int = 0
 
 
-class _Beat(msgspec.Struct, frozen=True):
-    """What a worker tells of itself.
+class _Heartbeat(msgspec.Struct, frozen=True):
+    """The body of a worker's announcement.
 
-    :param slots: says nothing of its room; ``capacity`` does.
-    :param sequence: rises with each announcement of one life.
-    :param born: millisecond of its start.
+    :param slots: not used; ``capacity`` states the worker's resources.
+    :param sequence: increases with each announcement of one incarnation.
+    :param clock_ms: the worker's clock, in milliseconds; 0 if not sent.
+    :param born: instant at which the worker started, in milliseconds.
     """
 
     service: str
@@ -51,62 +52,73 @@
         self._clock = clock
 
 
-class Announced(_Handler):
-    """One announcement of the worker."""
+class HeartbeatHandler(_Handler):
+    """The endpoint for one announcement of the worker."""
 
     def post(self, name: str) -> None:
-        """Take it, or say which field is at fault."""
+        """Pass the announcement on, or answer 400 with the faulty field."""
         try:
-            beat = msgspec.json.decode(self.request.body, type=_Beat)
+            heartbeat = msgspec.json.decode(self.request.body, type=_Heartbeat)
         except msgspec.MsgspecError as exc:
             logs.warning(LOG, 'announcement_bad', worker=name, reason=exc)
             self.set_status(400)
             self.finish({'reason': str(exc)})
             return
-        if beat.clock_ms:
-            self._clock.sample(beat.clock_ms, beat.born)
-        self._feed(_seen(name, beat))
+        if heartbeat.clock_ms:
+            self._clock.add_sample(heartbeat.clock_ms, heartbeat.born)
+        self._feed(_make_event(name, heartbeat))
         self.finish({})
 
 
-class Left(_Handler):
-    """The worker's word that it ends."""
+class DeregisterHandler(_Handler):
+    """The endpoint for the worker's notice that it ends."""
 
     def post(self, name: str) -> None:
-        """Take it; without its life it is the present one's."""
+        """Pass the notice on.
+
+        Without ``born`` it applies to the present incarnation.
+        """
         try:
             born = int(msgspec.json.decode(self.request.body or b'{}')['born'])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
             born = 0
-        self._feed(workerapi.WorkerLeft(worker.life_of(name, born)))
+        self._feed(workerapi.WorkerLeft(worker.make_life(name, born)))
         self.finish({})
 
 
-def application(
+def make_application(
     feed: typing.Callable[[object], None], clock: worker.WorkerClock
 ) -> web.Application:
-    """The HTTP side towards the worker."""
-    parts = {'feed': feed, 'clock': clock}
+    """Return the HTTP application for the worker."""
+    handler_args = {'feed': feed, 'clock': clock}
     return web.Application(
         [
-            (r'/v1/instances/([^/]+)/heartbeat', Announced, parts),
-            (r'/v1/instances/([^/]+)/deregister', Left, parts),
+            (
+                r'/v1/instances/([^/]+)/heartbeat',
+                HeartbeatHandler,
+                handler_args,
+            ),
+            (
+                r'/v1/instances/([^/]+)/deregister',
+                DeregisterHandler,
+                handler_args,
+            ),
         ],
         log_function=lambda handler: None,
     )
 
 
-def _seen(name: str, beat: _Beat) -> workerapi.WorkerSeen:
-    capacity = beat.capacity
+def _make_event(name: str, heartbeat: _Heartbeat) -> workerapi.WorkerSeen:
+    capacity = heartbeat.capacity
     return workerapi.WorkerSeen(
-        life=worker.life_of(name, beat.born),
-        born=beat.born,
-        sequence=beat.sequence,
-        pool=beat.service,
+        life=worker.make_life(name, heartbeat.born),
+        born=heartbeat.born,
+        sequence=heartbeat.sequence,
+        pool=heartbeat.service,
         capacity=types.Needs(
             capacity.cpu / MILLICORES, capacity.mem_mb, capacity.gpu
         ),
-        labels=beat.labels,
-        draining=beat.state == 'draining',
-        address=beat.address,
+        labels=heartbeat.labels,
+        draining=heartbeat.state == 'draining',
+        address=heartbeat.address,
     )
--- a/src/agatepick/platform/desired.py
+++ b/src/agatepick/platform/desired.py
@@ -17,8 +17,8 @@
 class _Route(msgspec.Struct, frozen=True):
     """A queue as the operator writes it.
 
-    :param timeout_ms: bounds nothing here; each caller says how long it
-        waits, mostly longer.
+    :param timeout_ms: not used; each caller sends its own deadline, which is
+        mostly longer.
     """
 
     name: str
@@ -31,46 +31,53 @@
     target_latency_ms: float = 60.0
 
 
-class _Desired(msgspec.Struct, frozen=True):
+class _DesiredState(msgspec.Struct, frozen=True):
+    """The value of the row that lists all queues."""
+
     version: int
     routes: tuple[_Route, ...] = ()
 
 
-def route_table(found: following.Snapshot) -> routes.RouteTable | None:
-    """The queues in the operator's rows; ``None`` without any."""
-    value = found.get(DESIRED_KEY)
+def parse_route_table(
+    snapshot: following.Snapshot,
+) -> routes.RouteTable | None:
+    """Return the queues in the operator's rows.
+
+    :returns: ``None`` if the row of the queues is missing or invalid.
+    """
+    value = snapshot.get(DESIRED_KEY)
     if value is None:
         return None
     try:
-        desired = msgspec.json.decode(value, type=_Desired)
+        desired = msgspec.json.decode(value, type=_DesiredState)
     except msgspec.MsgspecError as exc:
-        # The last good state stays in force.
+        # The last valid state stays in force.
         logs.warning(LOG, 'desired_state_unreadable', reason=exc)
         return None
     return routes.RouteTable(
-        desired.version, tuple(_route(one) for one in desired.routes)
+        desired.version, tuple(_make_route(route) for route in desired.routes)
     )
 
 
-def closed_zones(found: following.Snapshot) -> events.ZonesClosed:
-    """The zones that the operator has taken out of service."""
+def parse_closed_zones(snapshot: following.Snapshot) -> events.ZonesClosed:
+    """Return the zones that the operator has taken out of service."""
     return events.ZonesClosed(
         frozenset(
             key.removeprefix(EVACUATE_PREFIX)
-            for key in found
+            for key in snapshot
             if key.startswith(EVACUATE_PREFIX)
         )
     )
 
 
-def _route(one: _Route) -> routes.Route:
+def _make_route(route: _Route) -> routes.Route:
     return routes.Route(
-        name=one.name,
-        host=one.host,
-        prefix=one.prefix,
-        pool=one.service,
-        priority=one.priority,
-        max_attempts=one.max_attempts,
-        stretch=one.stretch,
-        target_seconds=one.target_latency_ms / 1000.0,
+        name=route.name,
+        host=route.host,
+        prefix=route.prefix,
+        pool=route.service,
+        priority=route.priority,
+        max_attempts=route.max_attempts,
+        stretch=route.stretch,
+        target_seconds=route.target_latency_ms / 1000.0,
     )
--- a/src/agatepick/platform/following.py
+++ b/src/agatepick/platform/following.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store, through outages and lost history."""
+"""Watcher of one table of the store, through outages and lost history."""
 
 import asyncio
 import random
@@ -11,16 +11,16 @@
 
 LOG = logs.logger(__name__)
 
-FAILED_PAUSES = backoff.Pauses(first=0.15, most=0.3)
-"""After failed calls.  All must be in step within two seconds of the store's
-return."""
+RETRY_PAUSES = backoff.Pauses(first=0.15, most=0.3)
+"""Pauses after failed calls.  All processes must have the current rows within
+two seconds of the store's return."""
 
-GONE_PAUSES = backoff.Pauses(first=0.1, most=1.0)
-"""After the store has dropped the changes that were asked for."""
+HISTORY_PAUSES = backoff.Pauses(first=0.1, most=1.0)
+"""Pauses after the store has discarded the requested changes."""
 
-LEAST_SECONDS = 0.1
-"""Least time from one call to the next, for a store that answers before the
-wait is over."""
+CALL_INTERVAL_SECONDS = 0.1
+"""Least time between the starts of two calls, as the store may answer before
+the wait is over."""
 
 Snapshot = dict[str, bytes]
 
@@ -29,58 +29,60 @@
     store: rows.RowStore,
     table: str,
     wait: float,
-    take: typing.Callable[[Snapshot], None],
+    on_change: typing.Callable[[Snapshot], None],
     rng: random.Random,
 ) -> None:
-    """Hand each state of a table to ``take``, for ever.
+    """Pass each new state of a table to a callback, until cancelled.
 
-    :param wait: seconds that one call waits for a change.
+    :param wait: seconds for which one call waits for a change.
+    :param on_change: callback that gets all rows of the table.
+    :param rng: source of jitter for the pauses.
     """
-    found: Snapshot = {}
+    snapshot: Snapshot = {}
     version = -1
-    newest = -1
-    away = False
-    patience = rows.Patience()
-    failed = backoff.Backoff(FAILED_PAUSES, rng)
-    gone = backoff.Backoff(GONE_PAUSES, rng)
+    latest_version = -1
+    unavailable = False
+    timeout = rows.CallTimeout()
+    failure_backoff = backoff.Backoff(RETRY_PAUSES, rng)
+    history_backoff = backoff.Backoff(HISTORY_PAUSES, rng)
     loop = asyncio.get_running_loop()
     while True:
-        next_at = loop.time() + LEAST_SECONDS
+        next_call_at = loop.time() + CALL_INTERVAL_SECONDS
         try:
             if version < 0:
-                page = await store.read(table, patience.seconds)
-                if page.row_version < newest:
-                    # A read that lags behind what is known already.
-                    await asyncio.sleep(failed.failed())
+                page = await store.read(table, timeout.seconds)
+                if page.row_version < latest_version:
+                    # The read is older than the state passed on already.
+                    await asyncio.sleep(failure_backoff.failed())
                     continue
-                found = {}
+                snapshot = {}
             else:
                 page = await store.changes(table, version, wait)
-                gone.succeeded()
+                history_backoff.succeeded()
         except rows.HistoryGone:
             logs.info(LOG, 'store_history_gone', table=table, after=version)
             version = -1
-            await asyncio.sleep(gone.failed())
+            await asyncio.sleep(history_backoff.failed())
             continue
         except exceptions.StoreError as exc:
-            if not away:
+            if not unavailable:
                 logs.warning(LOG, 'store_lost', table=table, reason=exc.show())
-            away = True
-            patience.failed()
-            await asyncio.sleep(failed.failed())
+            unavailable = True
+            timeout.increase()
+            await asyncio.sleep(failure_backoff.failed())
             continue
-        patience.answered()
-        failed.succeeded()
-        if away:
+        timeout.reset()
+        failure_backoff.succeeded()
+        if unavailable:
             logs.info(LOG, 'store_regained', table=table)
-            away = False
+            unavailable = False
         changed = version < 0 or bool(page.rows)
-        version = newest = max(version, page.row_version)
+        version = latest_version = max(version, page.row_version)
         for row in page.rows:
             if row.deleted:
-                found.pop(row.key, None)
+                snapshot.pop(row.key, None)
             else:
-                found[row.key] = row.value
+                snapshot[row.key] = row.value
         if changed:
-            take(dict(found))
-        await asyncio.sleep(max(0.0, next_at - loop.time()))
+            on_change(dict(snapshot))
+        await asyncio.sleep(max(0.0, next_call_at - loop.time()))
--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests, turned into jobs and their answers."""
+"""HTTP endpoints for callers: requests become jobs, results become answers."""
 
 import asyncio
 import itertools
@@ -21,7 +21,7 @@
 MILLICORES = 1000.0
 DEADLINE_HEADER = 'X-Deadline-Ms'
 DEFAULT_DEADLINE_SECONDS = 30.0
-"""For callers that don't say how long they wait."""
+"""Deadline for callers that don't send one."""
 
 _KEY = re.compile(r'[0-9a-f]{16}', re.IGNORECASE)
 
@@ -35,10 +35,13 @@
 
 
 class _Step(msgspec.Struct, frozen=True):
-    """Tasks of one step; fields at zero or empty are left out by callers.
+    """The tasks of one step; callers omit fields that are zero or empty.
 
+    :param count: number of tasks.
     :param cpu: in thousandths of a core.
-    :param estimated_ms: a rough guess, off by a factor either way.
+    :param estimated_ms: estimated run time, which is wrong by a factor either
+        way.
+    :param after: indices of the steps that must end before this one.
     """
 
     count: int
@@ -52,7 +55,7 @@
 
 
 class _Body(msgspec.Struct, frozen=True):
-    """A job as callers hand it in."""
+    """A job as callers submit it."""
 
     spec: str
     steps: tuple[_Step, ...]
@@ -62,7 +65,7 @@
 
 
 class Front:
-    """What all requests share: the entry and the callers that wait."""
+    """The state that all requests share: the entry and the waiting callers."""
 
     def __init__(
         self,
@@ -73,58 +76,61 @@
         self.entry = reducer
         self.feed = feed
         self.clock = clock
-        self._numbers = itertools.count(1)
+        self._calls = itertools.count(1)
         self._waiting: dict[int, 'Queue'] = {}
 
     def submit(self, handler: 'Queue', job: jobs.Job) -> int:
-        """Hand a job to the entry; the answer comes by :meth:`reply`."""
-        call = next(self._numbers)
+        """Submit a job to the entry and return the number of the call.
+
+        :meth:`reply` delivers the answer.
+        """
+        call = next(self._calls)
         self._waiting[call] = handler
         self.feed(events.JobArrived(call, job))
         return call
 
-    def left(self, call: int) -> None:
-        """A caller closed its connection before its answer."""
+    def disconnect(self, call: int) -> None:
+        """Notify the entry that a caller left before its answer was sent."""
         if self._waiting.pop(call, None) is not None:
             self.feed(events.CallerLeft(call))
 
     def reply(self, effect: events.Reply) -> None:
-        """Carry out the entry's answer to a caller."""
+        """Deliver the entry's answer to the waiting caller."""
         handler = self._waiting.pop(effect.call, None)
         if handler is not None:
             handler.answer(effect.answer)
 
 
 class Ready(web.RequestHandler):
-    """The balancer's question."""
+    """The readiness endpoint for the load balancer."""
 
     def initialize(self, front: Front) -> None:
         self._front = front
 
     def get(self) -> None:
-        """200 while callers may be sent here."""
+        """Answer 200 while this entry accepts callers, else 503."""
         now = self._front.clock.now()
         self.set_status(200 if self._front.entry.ready(now) else 503)
         self.finish({})
 
 
 class Queue(web.RequestHandler):
-    """All paths of all queues."""
+    """The endpoint for all paths of all queues."""
 
     def initialize(self, front: Front) -> None:
         self._front = front
         self._call = 0
 
     async def post(self) -> None:
-        """Take a job and answer at its end."""
-        found = self._find()
+        """Submit a job and answer when it has ended."""
+        found = self._find_route()
         if found is None:
             return
         route, key = found
         if not _KEY.fullmatch(key):
             self._refuse(404, 'no_such_path', 0.0)
             return
-        job = self._parse(route, key)
+        job = self._parse_job(route, key)
         if job is None:
             return
         self._done = asyncio.get_running_loop().create_future()
@@ -132,8 +138,11 @@
         await self._done
 
     def get(self) -> None:
-        """How many jobs of a queue wait; single jobs aren't kept."""
-        found = self._find()
+        """Answer the number of waiting jobs of a queue.
+
+        The state of single jobs isn't stored, so a request for one gets 410.
+        """
+        found = self._find_route()
         if found is None:
             return
         route, key = found
@@ -143,8 +152,8 @@
         self.finish({'pending': self._front.entry.pending(route.name)})
 
     def delete(self) -> None:
-        """End a job early."""
-        found = self._find()
+        """Cancel a job."""
+        found = self._find_route()
         if found is None:
             return
         _, key = found
@@ -155,9 +164,9 @@
         self.finish({})
 
     def on_connection_close(self) -> None:
-        """The caller left."""
-        self._front.left(self._call)
-        self._end()
+        """Release the request after its caller closed the connection."""
+        self._front.disconnect(self._call)
+        self._finish_wait()
 
     def answer(self, answer: jobs.Answer) -> None:
         """Send the entry's answer."""
@@ -165,19 +174,19 @@
             status = 429 if answer.reason in OVERLOAD_REASONS else 503
             self._refuse(status, answer.reason, answer.retry_after)
         elif answer.verdict is jobs.Verdict.GIVEN_UP:
-            # The caller hands it in again; its runs are over by then.
+            # The caller submits the job again; its runs are over by then.
             self._refuse(504, answer.reason, 0.0)
         else:
             self._close_if_stopping()
             self.finish({'state': _STATES[answer.verdict]})
-        self._end()
+        self._finish_wait()
 
-    def _end(self) -> None:
+    def _finish_wait(self) -> None:
         done = getattr(self, '_done', None)
         if done is not None and not done.done():
             done.set_result(None)
 
-    def _find(self) -> tuple[routes.Route, str] | None:
+    def _find_route(self) -> tuple[routes.Route, str] | None:
         table = self._front.entry.routes
         if table is None:
             self._refuse(503, 'no_desired_state', 1.0)
@@ -189,17 +198,17 @@
             return None
         return route, self.request.path.removeprefix(route.prefix)
 
-    def _parse(self, route: routes.Route, key: str) -> jobs.Job | None:
+    def _parse_job(self, route: routes.Route, key: str) -> jobs.Job | None:
         try:
             body = msgspec.json.decode(self.request.body, type=_Body)
-            return _job(route, key, body, self._deadline())
+            return _make_job(route, key, body, self._get_deadline())
         except (msgspec.MsgspecError, ValueError) as exc:
             logs.info(LOG, 'job_bad', job=key, reason=exc)
             self._refuse(400, str(exc), 0.0)
             return None
 
-    def _deadline(self) -> float:
-        """When the caller stops waiting."""
+    def _get_deadline(self) -> float:
+        """Return the instant at which the caller stops waiting."""
         text = self.request.headers.get(DEADLINE_HEADER, '')
         seconds = DEFAULT_DEADLINE_SECONDS
         if text:
@@ -215,38 +224,38 @@
 
     def _close_if_stopping(self) -> None:
         if self._front.entry.stopping:
-            # The caller's next request goes to a process that stays.
+            # Makes the caller send its next request to a process that stays.
             self.set_header('Connection', 'close')
 
 
-def application(front: Front) -> web.Application:
-    """The HTTP side towards callers."""
+def make_application(front: Front) -> web.Application:
+    """Return the HTTP application for callers."""
     return web.Application(
         [(r'.*', Queue, {'front': front})],
         log_function=lambda handler: None,
     )
 
 
-def ready_application(front: Front) -> web.Application:
-    """The HTTP side towards the balancer."""
+def make_ready_application(front: Front) -> web.Application:
+    """Return the HTTP application for the load balancer."""
     return web.Application(
         [(r'/v1/ready', Ready, {'front': front})],
         log_function=lambda handler: None,
     )
 
 
-def _job(
+def _make_job(
     route: routes.Route, key: str, body: _Body, deadline: float
 ) -> jobs.Job:
     if not body.best_effort or body.long_running or body.repeat_count:
         raise ValueError("best_effort: only jobs that needn't be kept")
     tasks: list[jobs.Task] = []
-    for number, step in enumerate(body.steps):
+    for index, step in enumerate(body.steps):
         if step.gang:
             raise ValueError('gang: tasks that only work together')
-        if any(not 0 <= one < number for one in step.after):
+        if any(not 0 <= earlier < index for earlier in step.after):
             raise ValueError("after: names a step that isn't an earlier one")
-        tasks += _tasks(key, number, step)
+        tasks += _make_tasks(key, index, step)
     if not tasks:
         raise ValueError('steps: no task')
     return jobs.Job(
@@ -259,7 +268,7 @@
     )
 
 
-def _tasks(key: str, number: int, step: _Step) -> list[jobs.Task]:
+def _make_tasks(key: str, step_index: int, step: _Step) -> list[jobs.Task]:
     needs = types.Needs(step.cpu / MILLICORES, step.mem_mb, step.gpu)
     label = step.required_labels
     if not isinstance(label, str):
@@ -267,8 +276,8 @@
     # The worker's names: job, occurrence (always the first), step, task.
     return [
         jobs.Task(
-            name=f'{key}.0.{number}.{index}',
-            step=number,
+            name=f'{key}.0.{step_index}.{index}',
+            step=step_index,
             needs=needs,
             expected_seconds=step.estimated_ms / 1000.0,
             label=label,
--- a/src/agatepick/platform/kept.py
+++ b/src/agatepick/platform/kept.py
@@ -1,10 +1,11 @@
-"""What the worker beside an agent is, kept in the store.
-
-What goes wrong without it: after a kill or a loss of power an agent is back
-within a second, and its worker lives, but announces itself only every 1.5 s.
-Until then callers meet entries that can start nothing.  So each agent keeps
-a row of what its worker announced, and its next life uses it as soon as the
-worker itself has answered under the id that the row names.
+"""The record of an agent's worker in the store.
+
+Without it a restart of an agent interrupts service: after a kill or a power
+failure the agent is back within a second and its worker still runs, but the
+worker announces itself only every 1.5 s.  Until then callers reach entries
+that can start no task.  Each agent therefore stores a row with its worker's
+last announcement, and its next incarnation uses the row as soon as the worker
+has answered under the id in the row.
 """
 
 import asyncio
@@ -25,21 +26,21 @@
 
 TABLE = 'agatepick-workers'
 
-FAILED_PAUSES = backoff.Pauses(first=0.5, most=2.0)
-"""Before a row is written again.  It is needed at the next start of this
-process only."""
+WRITE_PAUSES = backoff.Pauses(first=0.5, most=2.0)
+"""Pauses before a failed write is retried.  The row is only needed at the next
+start of this process."""
 
-ASK_SECONDS = 0.15
-"""Pause between two questions to a worker that doesn't answer, or to the
-store: a worker is given up after 0.12 s, and one order in twenty may get no
+RETRY_SECONDS = 0.15
+"""Pause between two requests to a worker or a store that doesn't answer.  A
+request to a worker times out after 0.12 s, and one order in twenty may get no
 answer."""
 
 GIVE_UP_SECONDS = 1.5
-"""The worker's own announcement comes within this."""
+"""Time after which the row isn't needed, as the worker announces itself."""
 
 
 class _Row(msgspec.Struct, frozen=True):
-    """A worker as it was announced; ``name`` is its id, without its life."""
+    """A worker as it was announced; ``name`` is its id."""
 
     name: str
     pool: str
@@ -49,10 +50,10 @@
     labels: tuple[str, ...] = ()
 
 
-class Kept:
-    """The row of one agent's worker.
+class WorkerRecord:
+    """The stored row of one agent's worker.
 
-    :param key: the same in each life of the agent.
+    :param key: key of the row, the same in each incarnation of the agent.
     """
 
     def __init__(
@@ -60,60 +61,62 @@
     ) -> None:
         self._store = store
         self._key = key
-        self._failed = backoff.Backoff(FAILED_PAUSES, rng)
-        self._wanted: bytes | None = None
+        self._write_backoff = backoff.Backoff(WRITE_PAUSES, rng)
+        self._value: bytes | None = None
         self._changed = asyncio.Event()
 
-    def keep(self, effect: workerapi.KeepWorker) -> None:
-        """Carry out the agent's effect; :meth:`write_on` writes the row."""
-        found = effect.worker
-        self._wanted = None if found is None else _encode(found)
+    def update(self, effect: workerapi.KeepWorker) -> None:
+        """Set the worker to store; :meth:`write_changes` writes the row."""
+        announced = effect.worker
+        self._value = None if announced is None else _encode(announced)
         self._changed.set()
 
-    async def write_on(self) -> None:
-        """Write the newest that is to be kept, for ever."""
+    async def write_changes(self) -> None:
+        """Write the newest state of the row, until cancelled."""
         while True:
             await self._changed.wait()
             self._changed.clear()
             try:
-                await self._write(self._wanted)
+                await self._write(self._value)
             except exceptions.StoreError as exc:
                 logs.warning(LOG, 'worker_not_kept', reason=exc.show())
                 self._changed.set()
-                await asyncio.sleep(self._failed.failed())
+                await asyncio.sleep(self._write_backoff.failed())
             else:
-                self._failed.succeeded()
+                self._write_backoff.succeeded()
 
-    async def recall(
+    async def restore(
         self,
         client: worker.WorkerClient,
         feed: typing.Callable[[object], None],
     ) -> None:
-        """Tell the agent what its worker is, if that answers.
+        """Announce the stored worker to the agent if the worker answers.
+
+        The row alone isn't sufficient: the worker may be gone, or another
+        one may have its address, which answers only to its own id.
 
-        The row alone proves nothing: the worker may be gone, or another one
-        may live at its address, which answers to its own id only.
+        :param feed: passes an event to the agent.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + GIVE_UP_SECONDS
-        found = await self._read_until(end)
-        while found is not None and loop.time() < end:
-            born = await client.born(found.name)
+        row = await self._read_until(end)
+        while row is not None and loop.time() < end:
+            born = await client.fetch_born(row.name)
             if born:
-                feed(_seen(found, born, client.address))
+                feed(_decode(row, born, client.address))
                 return
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(RETRY_SECONDS)
 
     async def _read_until(self, end: float) -> _Row | None:
         loop = asyncio.get_running_loop()
-        patience = rows.Patience()
+        timeout = rows.CallTimeout()
         while loop.time() < end:
             try:
-                return await self._read(patience.seconds)
+                return await self._read(timeout.seconds)
             except exceptions.StoreError as exc:
                 logs.info(LOG, 'worker_not_recalled', reason=exc.show())
-                patience.failed()
-                await asyncio.sleep(ASK_SECONDS)
+                timeout.increase()
+                await asyncio.sleep(RETRY_SECONDS)
         return None
 
     async def _write(self, value: bytes | None) -> None:
@@ -133,27 +136,27 @@
             return None
 
 
-def _encode(seen: workerapi.WorkerSeen) -> bytes:
+def _encode(announced: workerapi.WorkerSeen) -> bytes:
     return msgspec.json.encode(
         _Row(
-            worker.id_of(seen.life),
-            seen.pool,
-            seen.capacity.cpu,
-            seen.capacity.memory_mb,
-            seen.capacity.accelerators,
-            seen.labels,
+            worker.get_id(announced.life),
+            announced.pool,
+            announced.capacity.cpu,
+            announced.capacity.memory_mb,
+            announced.capacity.accelerators,
+            announced.labels,
         )
     )
 
 
-def _seen(found: _Row, born: int, address: str) -> workerapi.WorkerSeen:
+def _decode(row: _Row, born: int, address: str) -> workerapi.WorkerSeen:
     return workerapi.WorkerSeen(
-        life=worker.life_of(found.name, born),
+        life=worker.make_life(row.name, born),
         born=born,
         sequence=workerapi.NOT_ANNOUNCED,
-        pool=found.pool,
-        capacity=types.Needs(found.cpu, found.mem_mb, found.gpu),
-        labels=found.labels,
+        pool=row.pool,
+        capacity=types.Needs(row.cpu, row.mem_mb, row.gpu),
+        labels=row.labels,
         draining=False,
         address=address,
     )
--- a/src/agatepick/platform/members.py
+++ b/src/agatepick/platform/members.py
@@ -1,4 +1,4 @@
-"""The entries that there are, listed in the platform's store."""
+"""The list of entries in the platform's store."""
 
 import asyncio
 import random
@@ -15,19 +15,21 @@
 LOG = logs.logger(__name__)
 
 TABLE = 'agatepick-entries'
-FAILED_PAUSES = backoff.Pauses(first=0.4, most=0.8)
-"""Before an entry tries again to list itself."""
+REGISTER_PAUSES = backoff.Pauses(first=0.4, most=0.8)
+"""Pauses before an entry retries to register itself."""
 
 
 class _Member(msgspec.Struct, frozen=True):
+    """The value of an entry's row."""
+
     address: str
     zone: str = ''
 
 
-def listed(found: following.Snapshot) -> events.EntriesListed:
-    """The entries in the rows; a row that can't be read names none."""
+def parse_entries(snapshot: following.Snapshot) -> events.EntriesListed:
+    """Return the entries in the rows; invalid rows are skipped."""
     entries = []
-    for name, value in sorted(found.items()):
+    for name, value in sorted(snapshot.items()):
         try:
             member = msgspec.json.decode(value, type=_Member)
         except msgspec.MsgspecError as exc:
@@ -37,24 +39,24 @@
     return events.EntriesListed(tuple(entries))
 
 
-async def enlist(
+async def register(
     store: rows.RowStore,
     name: str,
     address: str,
     zone: str,
     rng: random.Random,
 ) -> None:
-    """List an entry, however long the store is away."""
+    """Write an entry's row, and retry until the store accepts it."""
     value = msgspec.json.encode(_Member(address, zone))
-    patience = rows.Patience()
-    failed = backoff.Backoff(FAILED_PAUSES, rng)
+    timeout = rows.CallTimeout()
+    failure_backoff = backoff.Backoff(REGISTER_PAUSES, rng)
     while True:
         try:
-            await store.write(TABLE, name, value, patience.seconds)
+            await store.write(TABLE, name, value, timeout.seconds)
         except exceptions.StoreError as exc:
-            patience.failed()
+            timeout.increase()
             logs.warning(LOG, 'enlist_failed', reason=exc.show())
-            await asyncio.sleep(failed.failed())
+            await asyncio.sleep(failure_backoff.failed())
             continue
         logs.info(LOG, 'enlisted', address=address)
         return
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -1,4 +1,4 @@
-"""The two programs as the platform starts them."""
+"""The entry and agent programs as the platform starts them."""
 
 import asyncio
 import os
@@ -33,32 +33,34 @@
 LOG = logs.logger(__name__)
 
 DESIRED_WAIT_SECONDS = 1.0
-"""How long a call waits for a change of the operator's rows: with the time
-until a silent connection is noticed it stays under the platform's 2 s."""
+"""How long a call waits for a change of the operator's rows.  With the time to
+detect a silent connection it stays under the platform's 2 s."""
 
 ZONES_WAIT_SECONDS = 2.5
-"""The same for an agent, which follows closed zones alone: these must be in
-force within 5 s, and each call is paid for."""
+"""The same for an agent, which needs only the closed zones.  These must be in
+force within 5 s, and each call has a cost."""
 
-LINES_PER_SECOND = 300.0
-"""Most lines that a process writes; what is beyond is counted and left
-out."""
+LOG_LINES_PER_SECOND = 300.0
+"""Most log lines of a process; further ones are counted and dropped."""
 
 METRICS_PORT = 9464
 """Port of the metrics, the same as in ``deploy/system.toml``."""
 
 MEMBERS_WAIT_SECONDS = 5.0
-"""How long a call waits for another entry to be listed."""
+"""How long a call waits for a change of the list of entries."""
 
-STOP_SPARE_SECONDS = 0.4
+STOP_MARGIN_SECONDS = 0.4
 """Time between the end of a graceful stop and the platform's kill."""
 
 RELOAD_SECONDS = 1.0
-"""How often the settings file is looked at: it may change unannounced."""
+"""Interval of checks of the settings file, which may change without SIGHUP."""
 
 
 def main(words: list[str]) -> int:
-    """Run a program by its name until it is stopped."""
+    """Run a program by its name until it is stopped.
+
+    :returns: exit status.
+    """
     programs = {'entry': run_entry, 'agent': run_agent}
     if len(words) != 1 or words[0] not in programs:
         print(f'usage: {"|".join(programs)}', file=sys.stderr)
@@ -69,81 +71,85 @@
     except exceptions.BadSettings as exc:
         print(exc.show(), file=sys.stderr)
         return exc.exit_status
-    logs.setup_bounded(cfg.name, LINES_PER_SECOND)
+    logs.setup_bounded(cfg.name, LOG_LINES_PER_SECOND)
     asyncio.run(programs[words[0]](cfg, path))
     return 0
 
 
 async def run_entry(cfg: settings.NodeSettings, path: str) -> None:
-    """An entry, on a machine that callers reach."""
+    """Run an entry, on a machine that callers reach."""
     rng = random.Random(process.new_incarnation())
     reducer = entry.Entry.from_config(
         entry.EntryConfig(cfg.name, cfg.zone), rng
     )
-    own = _process(cfg, 'entry', reducer)
-    front = ingress.Front(reducer, own.feed, own.clock)
-    own.handle(events.Reply, front.reply)
-    own.listen(cfg.links)
-    _serve(ingress.application(front), cfg.front)
-    _serve(ingress.ready_application(front), cfg.ready)
-    own.begin()
+    proc = _make_process(cfg, 'entry', reducer)
+    front = ingress.Front(reducer, proc.feed, proc.clock)
+    proc.handle(events.Reply, front.reply)
+    proc.listen(cfg.links)
+    _serve(ingress.make_application(front), cfg.front)
+    _serve(ingress.make_ready_application(front), cfg.ready)
+    proc.begin()
     store = rows.RowStore(cfg.store)
 
-    def take_desired(found: following.Snapshot) -> None:
-        table = desired.route_table(found)
+    def apply_desired_state(snapshot: following.Snapshot) -> None:
+        table = desired.parse_route_table(snapshot)
         if table is not None:
-            own.feed(events.RoutesRead(table))
+            proc.feed(events.RoutesRead(table))
 
-    works = [
+    coroutines = [
         following.follow(
-            store, desired.TABLE, DESIRED_WAIT_SECONDS, take_desired, rng
+            store,
+            desired.TABLE,
+            DESIRED_WAIT_SECONDS,
+            apply_desired_state,
+            rng,
         ),
-        members.enlist(store, cfg.name, cfg.links, cfg.zone, rng),
+        members.register(store, cfg.name, cfg.links, cfg.zone, rng),
     ]
-    await _until_stopped(cfg, path, own, store, works)
+    await _run_until_stopped(cfg, path, proc, store, coroutines)
 
 
 async def run_agent(cfg: settings.NodeSettings, path: str) -> None:
-    """An agent, on a worker's machine."""
+    """Run an agent, on a worker's machine."""
     incarnation = process.new_incarnation()
     rng = random.Random(incarnation)
     reducer = agent.Agent.from_config(
         agent.AgentConfig(cfg.name, cfg.zone), incarnation
     )
-    own = _process(cfg, 'agent', reducer, incarnation)
-    client = worker.WorkerClient(cfg.worker, own.clock, own.feed)
-    own.handle(workerapi.StartRun, client.start)
-    own.handle(workerapi.StopRun, client.stop)
-    own.handle(workerapi.Watch, client.watch)
+    proc = _make_process(cfg, 'agent', reducer, incarnation)
+    client = worker.WorkerClient(cfg.worker, proc.clock, proc.feed)
+    proc.handle(workerapi.StartRun, client.start)
+    proc.handle(workerapi.StopRun, client.stop)
+    proc.handle(workerapi.Watch, client.watch)
     store = rows.RowStore(cfg.store)
-    known = kept.Kept(store, cfg.worker, rng)
-    own.handle(workerapi.KeepWorker, known.keep)
-    app = announcements.application(own.feed, client.worker_clock)
+    record = kept.WorkerRecord(store, cfg.worker, rng)
+    proc.handle(workerapi.KeepWorker, record.update)
+    app = announcements.make_application(proc.feed, client.worker_clock)
     _serve(app, cfg.control)
-    own.begin()
-    works = [
-        known.recall(client, own.feed),
-        known.write_on(),
+    proc.begin()
+    coroutines = [
+        record.restore(client, proc.feed),
+        record.write_changes(),
         following.follow(
             store,
             desired.TABLE,
             ZONES_WAIT_SECONDS,
-            lambda found: own.feed(desired.closed_zones(found)),
+            lambda snapshot: proc.feed(desired.parse_closed_zones(snapshot)),
             rng,
         ),
         following.follow(
             store,
             members.TABLE,
             MEMBERS_WAIT_SECONDS,
-            lambda found: own.feed(members.listed(found)),
+            lambda snapshot: proc.feed(members.parse_entries(snapshot)),
             rng,
         ),
     ]
-    await _until_stopped(cfg, path, own, store, works)
+    await _run_until_stopped(cfg, path, proc, store, coroutines)
     await client.close()
 
 
-def _process(
+def _make_process(
     cfg: settings.NodeSettings,
     role: str,
     reducer: typing.Any,
@@ -166,37 +172,37 @@
 
 
 def _serve_metrics(
-    cfg: settings.NodeSettings, found: measures.Measures
+    cfg: settings.NodeSettings, measured: measures.Measures
 ) -> None:
-    app = metrics.application(found.text)
+    app = metrics.application(measured.text)
     host = cfg.links.rpartition(':')[0]
     try:
         _serve(app, f'{host}:{METRICS_PORT}')
     except OSError as exc:
-        # Another process of this machine has the port; serving goes on.
+        # Another process on this machine uses the port; metrics are optional.
         logs.warning(LOG, 'metrics_not_served', reason=exc)
 
 
-async def _until_stopped(
+async def _run_until_stopped(
     cfg: settings.NodeSettings,
     path: str,
-    own: process.Process,
+    proc: process.Process,
     store: rows.RowStore,
-    works: list[typing.Coroutine[typing.Any, typing.Any, None]],
+    coroutines: list[typing.Coroutine[typing.Any, typing.Any, None]],
 ) -> None:
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
-    reload = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, asked.set)
-    loop.add_signal_handler(signal.SIGINT, asked.set)
-    loop.add_signal_handler(signal.SIGHUP, reload.set)
-    own.measures.read(own.figures, lambda: store.counts)
-    _serve_metrics(cfg, own.measures)
-    tasks = [loop.create_task(work) for work in works]
-    tasks.append(loop.create_task(_reload(cfg, path, store, reload)))
+    stop_requested = asyncio.Event()
+    reload_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    proc.measures.read(proc.figures, lambda: store.counts)
+    _serve_metrics(cfg, proc.measures)
+    tasks = [loop.create_task(coroutine) for coroutine in coroutines]
+    tasks.append(loop.create_task(_reload(cfg, path, store, reload_requested)))
     logs.info(LOG, 'started', links=cfg.links)
-    await asked.wait()
-    await own.stop(cfg.grace_seconds - STOP_SPARE_SECONDS)
+    await stop_requested.wait()
+    await proc.stop(cfg.grace_seconds - STOP_MARGIN_SECONDS)
     for task in tasks:
         task.cancel()
     await store.close()
@@ -207,25 +213,30 @@
     cfg: settings.NodeSettings,
     path: str,
     store: rows.RowStore,
-    asked: asyncio.Event,
+    requested: asyncio.Event,
 ) -> None:
-    """Follow the settings file; what can't change while running is told."""
+    """Apply changes of the settings file, until cancelled.
+
+    Only the store's address can change while the process runs.
+
+    :param requested: is set to reload the file at once.
+    """
     changed_at = os.stat(path).st_mtime
     while True:
         try:
-            await asyncio.wait_for(asked.wait(), RELOAD_SECONDS)
+            await asyncio.wait_for(requested.wait(), RELOAD_SECONDS)
         except TimeoutError:
             pass
         try:
-            now = os.stat(path).st_mtime
-            if now == changed_at and not asked.is_set():
+            modified_at = os.stat(path).st_mtime
+            if modified_at == changed_at and not requested.is_set():
                 continue
-            changed_at = now
-            found = settings.read(path)
+            changed_at = modified_at
+            new_cfg = settings.read(path)
         except (OSError, exceptions.BadSettings) as exc:
             logs.warning(LOG, 'settings_bad', reason=exc)
-            asked.clear()
+            requested.clear()
             continue
-        asked.clear()
-        store.address = found.store
-        logs.info(LOG, 'settings_reloaded', store=found.store)
+        requested.clear()
+        store.address = new_cfg.store
+        logs.info(LOG, 'settings_reloaded', store=new_cfg.store)
--- a/src/agatepick/platform/rows.py
+++ b/src/agatepick/platform/rows.py
@@ -12,22 +12,22 @@
 from agatepick.net import httpcalls
 
 CALL_SECONDS = 1.0
-"""The store answers in 4 ms; when it is slow, in 0.2 s."""
+"""Timeout of a call.  The store answers in 4 ms, in 0.2 s when it is slow."""
 
 FIRST_CALL_SECONDS = 0.3
-"""The same for a call that follows one that went well: a store that is away
-in part leaves calls without an answer, and a process that starts just then
-would wait for a second beyond its return."""
+"""Timeout of the first call and of one after a success.  A partly unavailable
+store leaves calls without an answer, and with :data:`CALL_SECONDS` a process
+that starts meanwhile would wait for a second beyond the store's return."""
 
-FEED_SPARE_SECONDS = 0.4
-"""Beyond the time that a feed may wait: a connection that has gone silent is
-noticed then, and a change is still in force within the platform's 2 s."""
+FEED_MARGIN_SECONDS = 0.4
+"""Time after the wait of a feed until its connection counts as silent; even
+then a change is in force within the platform's 2 s."""
 
 MAX_CONNECTIONS = 4
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row; ``value`` is empty for a dropped one."""
+    """One row; ``value`` is empty for a deleted one."""
 
     table: str
     key: str
@@ -37,7 +37,7 @@
 
 
 class Rows(msgspec.Struct, frozen=True):
-    """An answer about rows, as of ``row_version``."""
+    """The rows of an answer, as of ``row_version``."""
 
     rows: tuple[Row, ...]
     row_version: int
@@ -45,31 +45,31 @@
 
 
 class HistoryGone(exceptions.StoreError):
-    """The changes after a version are no longer told; read all again."""
+    """The store has discarded the changes; the table must be read again."""
 
 
-class Patience:
-    """How long the next call may take: more after each without an answer.
+class CallTimeout:
+    """The timeout of the next call, which doubles after each failure.
 
-    :ivar seconds: until the answer must be there.
+    :ivar seconds: time within which the answer must arrive.
     """
 
     def __init__(self) -> None:
         self.seconds = FIRST_CALL_SECONDS
 
-    def answered(self) -> None:
-        """A call went well."""
+    def reset(self) -> None:
+        """Return to the first timeout after a successful call."""
         self.seconds = FIRST_CALL_SECONDS
 
-    def failed(self) -> None:
-        """A call got no answer that counts."""
+    def increase(self) -> None:
+        """Double the timeout after a failed call, up to the maximum."""
         self.seconds = min(2.0 * self.seconds, CALL_SECONDS)
 
 
 class RowStore:
-    """Calls of the store at one address.
+    """A client of the store at one address.
 
-    :ivar counts: calls so far, by path and status or ``no_answer``.
+    :ivar counts: number of calls, by path and status or ``no_answer``.
     """
 
     def __init__(self, address: str):
@@ -86,32 +86,32 @@
             self._client = None
 
     async def read(self, table: str, seconds: float = CALL_SECONDS) -> Rows:
-        """All rows of a table's empty part, as of the first page.
+        """Return all rows of a table's empty part, as of the first page.
 
-        A row of the first page that changes while the others are read is
-        told by :meth:`changes` after that version; by the last page's, it
-        would be missed for good.
+        A row of the first page that changes while later pages are read is
+        returned by :meth:`changes` after the version of the first page.
+        After the version of the last page it would be missed permanently.
 
-        :raises agatepick.exceptions.StoreError: if they can't be had.
+        :raises agatepick.exceptions.StoreError: if the rows can't be read.
         """
-        found: list[Row] = []
+        collected: list[Row] = []
         params: dict[str, str | int] = {'table': table, 'part': ''}
         version: int | None = None
         while True:
             page = await self._get('/v1/rows-get', params, seconds)
-            found += page.rows
+            collected += page.rows
             version = page.row_version if version is None else version
             if not page.has_more or not page.rows:
-                return Rows(tuple(found), version)
-            # The range begins with ``from`` itself.
+                return Rows(tuple(collected), version)
+            # The range includes ``from``.
             params['from'] = page.rows[-1].key + '\0'
 
     async def read_row(
         self, table: str, key: str, seconds: float = CALL_SECONDS
     ) -> bytes | None:
-        """One row's value; ``None`` if there is no such row.
+        """Return a row's value, or ``None`` if there is no such row.
 
-        :raises agatepick.exceptions.StoreError: if it can't be had.
+        :raises agatepick.exceptions.StoreError: if the row can't be read.
         """
         params: dict[str, str | int] = {
             'table': table,
@@ -124,11 +124,13 @@
         return page.rows[0].value if page.rows else None
 
     async def changes(self, table: str, after: int, wait: float) -> Rows:
-        """Rows changed after a version, as soon as there are any.
+        """Return the rows that changed after a version.
 
-        :param wait: seconds after which none is an answer too.
-        :raises HistoryGone: if the store has dropped what changed.
-        :raises agatepick.exceptions.StoreError: if they can't be had.
+        The store answers as soon as there is a change.
+
+        :param wait: seconds after which the answer may be empty.
+        :raises HistoryGone: if the store has discarded these changes.
+        :raises agatepick.exceptions.StoreError: if they can't be read.
         """
         params: dict[str, str | int] = {
             'table': table,
@@ -136,7 +138,7 @@
             'wait_ms': int(wait * 1000),
         }
         return await self._get(
-            '/v1/rows-feed', params, wait + FEED_SPARE_SECONDS
+            '/v1/rows-feed', params, wait + FEED_MARGIN_SECONDS
         )
 
     async def write(
@@ -146,9 +148,10 @@
         value: bytes,
         seconds: float = CALL_SECONDS,
     ) -> None:
-        """Set a row, whatever it was; done again it changes nothing more.
+        """Write a row unconditionally; a retry is idempotent.
 
-        :raises agatepick.exceptions.StoreError: if it may not be done.
+        :raises agatepick.exceptions.StoreError: if the write may not have
+            been applied.
         """
         row = {
             'table': table,
@@ -159,9 +162,10 @@
         await self._transact({'expected': [], 'set_keys': [row]}, seconds)
 
     async def remove(self, table: str, key: str) -> None:
-        """Drop a row; done again it changes nothing more.
+        """Delete a row; a retry is idempotent.
 
-        :raises agatepick.exceptions.StoreError: if it may not be done.
+        :raises agatepick.exceptions.StoreError: if the deletion may not have
+            been applied.
         """
         row = {'table': table, 'part': '', 'key': key}
         await self._transact({'expected': [], 'remove': [row]}, CALL_SECONDS)
@@ -172,7 +176,7 @@
         data = msgspec.json.encode({'set_keys': [], 'remove': [], **body})
         status, _ = await self._call('POST', '/v1/rows-tx', seconds, data)
         if status != 200:
-            raise self._error(f'answered {status}', 'rows-tx')
+            raise self._make_error(f'answered {status}', 'rows-tx')
 
     async def _get(
         self, path: str, params: dict[str, str | int], seconds: float
@@ -180,13 +184,15 @@
         query = '?' + urllib.parse.urlencode(params)
         status, body = await self._call('GET', path, seconds, query=query)
         if status == 410:
-            raise HistoryGone('history gone', step=path, peer=self.address)
+            raise HistoryGone(
+                'the changes were discarded', step=path, peer=self.address
+            )
         if status != 200:
-            raise self._error(f'answered {status}', path)
+            raise self._make_error(f'answered {status}', path)
         try:
             return msgspec.json.decode(body, type=Rows)
         except (msgspec.MsgspecError, binascii.Error) as exc:
-            raise self._error(f'bad body: {exc}', path) from exc
+            raise self._make_error(f'invalid body: {exc}', path) from exc
 
     async def _call(
         self,
@@ -197,22 +203,22 @@
         query: str = '',
     ) -> tuple[int, bytes]:
         if self._client is not None and self._client.address != self.address:
-            # The settings name another address now.
+            # The settings were reloaded with another address.
             await self.close()
         if self._client is None:
             self._client = httpcalls.Client(self.address, MAX_CONNECTIONS)
         try:
             answer = await self._client.call(
-                method, path + query, seconds, body, JSON
+                method, path + query, seconds, body, JSON_HEADERS
             )
         except OSError as exc:
             self.counts[path, 'no_answer'] += 1
-            raise self._error(repr(exc), path) from exc
+            raise self._make_error(repr(exc), path) from exc
         self.counts[path, str(answer.status)] += 1
         return answer.status, answer.body
 
-    def _error(self, what: str, step: str) -> exceptions.StoreUnavailable:
+    def _make_error(self, what: str, step: str) -> exceptions.StoreUnavailable:
         return exceptions.StoreUnavailable(what, step=step, peer=self.address)
 
 
-JSON = {'Content-Type': 'application/json'}
+JSON_HEADERS = {'Content-Type': 'application/json'}
--- a/src/agatepick/platform/settings.py
+++ b/src/agatepick/platform/settings.py
@@ -11,20 +11,19 @@
 VARIABLE = 'AGATEPICK_NODE_FILE'
 
 _LOADER = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
-"""The one in C takes 0.7 ms of processor time for a file of 84 lines where
-the other takes 5.4 (median of 20), and a program that was restarted serves
-that much sooner."""
+"""The loader in C parses a file of 84 lines in 0.7 ms of processor time, the
+one in Python in 5.4 ms (median of 20), which delays service at a restart."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process is told of itself and of the platform.
+    """The settings of one process.
 
-    :param front: where callers connect; empty on machines of workers.
-    :param ready: where the platform asks whether callers may be sent.
-    :param control: where the worker of this machine announces itself.
-    :param links: where this process takes connections of its peers.
-    :param worker: where the worker of this machine takes orders.
+    :param front: address at which callers connect; empty on workers' machines.
+    :param ready: address of the readiness endpoint for the platform.
+    :param control: address at which this machine's worker announces itself.
+    :param links: address at which this process accepts its peers.
+    :param worker: address at which this machine's worker takes orders.
     :param store: address of the platform's store.
     :param grace_seconds: time from the request to stop until the kill.
     """
@@ -41,7 +40,7 @@
 
 
 def path_from_env() -> str:
-    """Path of this process's settings file.
+    """Return the path of this process's settings file.
 
     :raises agatepick.exceptions.BadSettings: if the variable isn't set.
     """
@@ -55,83 +54,86 @@
 
 
 def read(path: str) -> NodeSettings:
-    """Read and check a settings file; fields not known here are left out.
+    """Read and check a settings file; unknown fields are ignored.
 
-    :raises agatepick.exceptions.BadSettings: naming the field at fault.
+    :raises agatepick.exceptions.BadSettings: if a field is invalid; the
+        message names it.
     """
     try:
         with open(path, encoding='utf-8') as file:
-            found = yaml.load(file, Loader=_LOADER)
+            values = yaml.load(file, Loader=_LOADER)
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as exc:
         raise exceptions.BadSettings(
             f'{path}: {exc}', step='settings'
         ) from exc
-    if not isinstance(found, dict):
+    if not isinstance(values, dict):
         raise exceptions.BadSettings(
-            f'{path}: not a table of fields', step='settings'
+            f'{path}: the file must contain a mapping', step='settings'
         )
-    return _parse(_Fields(found))
+    return _parse(_Fields(values))
 
 
 class _Fields:
-    """Looks up fields by dotted name, and names the one at fault."""
+    """A reader of fields by dotted name, whose errors name the field."""
 
-    def __init__(self, found: dict[str, typing.Any]):
-        self._found = found
+    def __init__(self, values: dict[str, typing.Any]):
+        self._values = values
 
-    def text(self, name: str, default: str | None = None) -> str:
+    def get_text(self, name: str, default: str | None = None) -> str:
         value = self._look_up(name, default)
         if not isinstance(value, str):
-            raise _fault(name, 'must be a text')
+            raise _make_error(name, 'must be a string')
         return value
 
-    def number(self, name: str, default: float) -> float:
+    def get_number(self, name: str, default: float) -> float:
         value = self._look_up(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise _fault(name, 'must be a number')
+            raise _make_error(name, 'must be a number')
         return float(value)
 
-    def address(self, name: str, default: str | None = None) -> str:
-        value = self.text(name, default)
+    def get_address(self, name: str, default: str | None = None) -> str:
+        value = self.get_text(name, default)
         if not value and default is not None:
             return value
         host, _, port = value.rpartition(':')
         if not host or not port.isdigit():
-            raise _fault(name, 'must be an address, ip:port')
+            raise _make_error(name, 'must be an address of the form ip:port')
         return value
 
     def first_port(self, name: str) -> int:
         value = self._look_up(name, None)
         if not isinstance(value, list) or not value:
-            raise _fault(name, 'must list the first and the last port')
+            raise _make_error(
+                name, 'must be a list of the first and last port'
+            )
         if not isinstance(value[0], int):
-            raise _fault(name, 'must hold port numbers')
+            raise _make_error(name, 'must contain integer port numbers')
         return value[0]
 
     def _look_up(self, name: str, default: typing.Any) -> typing.Any:
-        value: typing.Any = self._found
+        value: typing.Any = self._values
         for part in name.split('.'):
             value = value.get(part) if isinstance(value, dict) else None
         if value is None:
             value = default
         if value is None:
-            raise _fault(name, 'is missing')
+            raise _make_error(name, 'is missing')
         return value
 
 
 def _parse(fields: _Fields) -> NodeSettings:
     return NodeSettings(
-        name=fields.text('node_name'),
-        zone=fields.text('zone'),
-        front=fields.address('bind_addresses.front', ''),
-        ready=fields.address('bind_addresses.ready', ''),
-        control=fields.address('bind_addresses.control', ''),
-        links=f'{fields.text("ip")}:{fields.first_port("internal_ports")}',
-        worker=fields.address('app', ''),
-        store=fields.address('platform.address'),
-        grace_seconds=fields.number('bounds.grace_s', 6.0),
+        name=fields.get_text('node_name'),
+        zone=fields.get_text('zone'),
+        front=fields.get_address('bind_addresses.front', ''),
+        ready=fields.get_address('bind_addresses.ready', ''),
+        control=fields.get_address('bind_addresses.control', ''),
+        links=f'{fields.get_text("ip")}:{fields.first_port("internal_ports")}',
+        worker=fields.get_address('app', ''),
+        store=fields.get_address('platform.address'),
+        grace_seconds=fields.get_number('bounds.grace_s', 6.0),
     )
 
 
-def _fault(name: str, what: str) -> exceptions.BadSettings:
+def _make_error(name: str, what: str) -> exceptions.BadSettings:
     return exceptions.BadSettings(f'{name}: {what}', step='settings')
--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -1,7 +1,7 @@
-"""Orders to the worker on this machine, over HTTP.
+"""Client for orders to the worker on this machine, over HTTP.
 
-The worker's word for the lease is a time of its own clock until which all
-runs on it may go on; here it is worked out from the newest samples.
+The worker expects a lease as an instant of its own clock until which all its
+runs may continue; this module computes it from the newest clock samples.
 """
 
 import asyncio
@@ -18,30 +18,32 @@
 LOG = logs.logger(__name__)
 
 ORDER_SECONDS = 0.12
-"""The worker is on this machine and answers within a few milliseconds, but
-one order in twenty may get no answer at all.  A task that waits for longer
-than this can't be in time any more at another worker."""
+"""Timeout of an order.  The worker is on this machine and answers within a few
+milliseconds, but one order in twenty may get no answer at all.  A task that
+waits longer than this can't be in time at another worker any more."""
 
-WATCH_SPARE_SECONDS = 0.08
-"""Beyond the time that the worker may wait with its list."""
+WATCH_MARGIN_SECONDS = 0.08
+"""Time after the wait of a watch until it counts as unanswered."""
 
 MAX_CONNECTIONS = 6
-"""Each one is paid for, and a burst of ten starts, 2 ms each, is only 4 ms
-later over four than over ten; two are for the lists that wait."""
+"""Each connection has a cost.  A burst of ten starts, 2 ms each,
+takes only 4 ms longer over four connections than over ten; two more are for
+watches that wait."""
 
 SAMPLE_SECONDS = 1.0
-"""Age up to which a clock sample counts: a clock that is 2% slow falls 20 ms
+"""Age up to which a clock sample is used; a clock that is 2% slow falls 20 ms
 behind in that time."""
 
-FENCE = 1
-"""Orders come from the one agent beside the worker, whose former life is
-gone before it starts; its late orders bear leases that have run out."""
+FENCING_TOKEN = 1
+"""Constant, as all orders come from the one agent beside the worker, whose
+earlier incarnation has ended before it starts; late orders of that one carry
+expired leases."""
 
 _END_KINDS = {
     'done': workerapi.EndKind.DONE,
     'failed': workerapi.EndKind.FAILED,
 }
-_REFUSALS = {
+_RESULTS_BY_REASON = {
     'room': workerapi.StartResult.NO_ROOM,
     'old': workerapi.StartResult.STALE_RUN,
     'late': workerapi.StartResult.LATE,
@@ -49,16 +51,19 @@
 
 
 class _Answer(msgspec.Struct, frozen=True):
+    """The worker's answer to an order."""
+
     clock_ms: int = 0
     reason: str = ''
 
 
 class _Lists(msgspec.Struct, frozen=True):
-    """What runs, and what ended: rows of plain values.
+    """The running and ended runs of a worker, as rows of plain values.
 
     :param running: task, run, checkpoint, share of its pace.
     :param ended_runs: number, task, run, how it ended, checkpoint.
-    :param born: millisecond of the worker's start; names its life.
+    :param born: instant of the worker's start, in milliseconds, which
+        identifies its incarnation.
     """
 
     clock_ms: int
@@ -68,21 +73,22 @@
 
 
 class WorkerClock:
-    """The worker's clock, never ahead of it but by its drift."""
+    """An estimate of the worker's clock, ahead of it at most by the drift."""
 
     def __init__(self, clock: types.Clock):
         self._clock = clock
         self._samples: list[tuple[float, float]] = []
         self._born = 0
 
-    def sample(self, clock_ms: float, born: int = 0) -> None:
-        """The worker told its clock in something that came just now.
+    def add_sample(self, clock_ms: float, born: int = 0) -> None:
+        """Add a reading of the worker's clock that arrived just now.
 
-        Each life has a clock of its own, which starts anew.  By the former
-        life's, leases would be too long by all that it was ahead, and runs
-        go on after they were taken for over.
+        Each incarnation has its own clock, which restarts.  With samples of
+        an earlier incarnation, leases would be too long by the difference,
+        and runs would continue after the agent counts them as over.
 
-        :param born: tells the worker's life; 0 if that isn't known.
+        :param clock_ms: the worker's clock, in milliseconds.
+        :param born: identifies the worker's incarnation; 0 if unknown.
         """
         if born and born < self._born:
             return
@@ -95,15 +101,18 @@
         while len(self._samples) > 1 and self._samples[0][0] < oldest:
             self._samples.pop(0)
 
-    def until(self, seconds: float) -> int:
-        """The instant of the worker's clock some seconds from now."""
-        # Each sample is too low by its way here; the highest errs least.
+    def get_instant(self, seconds: float) -> int:
+        """Return the instant of the worker's clock some seconds from now.
+
+        :returns: milliseconds.
+        """
+        # Each sample is too low by its transit time; the highest is closest.
         offset = max((one[1] for one in self._samples), default=0.0)
         return int((self._clock.now() + seconds) * 1000.0 + offset)
 
 
 class WorkerClient:
-    """Carries the agent's effects to its worker and feeds the answers."""
+    """A client that executes the agent's effects and feeds it the answers."""
 
     def __init__(
         self,
@@ -123,41 +132,45 @@
         self._client.close()
 
     def start(self, effect: workerapi.StartRun) -> None:
-        """Start a run; the lease counts from now, not from when it is sent."""
+        """Start a run; its lease begins now, not when the order is sent."""
         body = {
             'task': effect.name,
             'run': effect.ref.run,
             'spec': effect.payload.decode(),
-            'until_ms': self.worker_clock.until(effect.lease_seconds),
-            'fencing_token': FENCE,
+            'until_ms': self.worker_clock.get_instant(effect.lease_seconds),
+            'fencing_token': FENCING_TOKEN,
         }
         self._spawn(self._start(effect, body))
 
     def stop(self, effect: workerapi.StopRun) -> None:
-        """End a run."""
+        """Stop a run."""
         self._spawn(self._stop(effect))
 
     def watch(self, effect: workerapi.Watch) -> None:
-        """Extend the lease and ask for the lists."""
+        """Extend the lease and request the running and ended runs."""
         body: dict[str, typing.Any] = {
-            'fencing_token': FENCE,
+            'fencing_token': FENCING_TOKEN,
             'last_seen': effect.seen,
             'wait_ms': int(effect.wait_seconds * 1000),
         }
         if effect.lease_seconds:
-            body['until_ms'] = self.worker_clock.until(effect.lease_seconds)
+            body['until_ms'] = self.worker_clock.get_instant(
+                effect.lease_seconds
+            )
         self._spawn(self._watch(effect, body))
 
-    async def born(self, name: str) -> int:
-        """When the worker was born, in milliseconds.
+    async def fetch_born(self, name: str) -> int:
+        """Return the instant of the worker's start, in milliseconds.
 
-        0 if no worker answers to that id.  Nothing is done there: no lease
-        is extended, and ends are told again later.
+        The request has no effect: it extends no lease, and the worker lists
+        its ended runs again later.
+
+        :returns: 0 if no worker answers to this id.
         """
-        body = {'fencing_token': FENCE, 'last_seen': 0, 'wait_ms': 0}
+        body = {'fencing_token': FENCING_TOKEN, 'last_seen': 0, 'wait_ms': 0}
         try:
             status, data = await self._post(
-                '/v1/hold', life_of(name, 0), body, ORDER_SECONDS
+                '/v1/hold', make_life(name, 0), body, ORDER_SECONDS
             )
             if status != 200:
                 return 0
@@ -165,7 +178,7 @@
         except (OSError, msgspec.MsgspecError) as exc:
             logs.info(LOG, 'worker_unanswered', reason=repr(exc))
             return 0
-        self.worker_clock.sample(lists.clock_ms, lists.born)
+        self.worker_clock.add_sample(lists.clock_ms, lists.born)
         return lists.born
 
     async def _start(
@@ -178,22 +191,24 @@
         except OSError as exc:
             result, reason = workerapi.StartResult.UNKNOWN, repr(exc)
         else:
-            result, reason = self._start_result(status, data)
+            result, reason = self._decode_start(status, data)
         self._feed(
             workerapi.StartAnswered(effect.life, effect.ref, result, reason)
         )
 
-    def _start_result(
+    def _decode_start(
         self, status: int, data: bytes
     ) -> tuple[workerapi.StartResult, str]:
         if status == 200:
-            self._answer(data)
+            self._decode_answer(data)
             return workerapi.StartResult.STARTED, ''
         if status == 421:
             return workerapi.StartResult.OTHER_LIFE, ''
         if status == 409:
-            reason = self._answer(data).reason
-            found = _REFUSALS.get(reason, workerapi.StartResult.UNKNOWN)
+            reason = self._decode_answer(data).reason
+            found = _RESULTS_BY_REASON.get(
+                reason, workerapi.StartResult.UNKNOWN
+            )
             return found, reason
         if status in (429, 503):
             return workerapi.StartResult.UNWELL, str(status)
@@ -204,7 +219,7 @@
         body = {
             'task': effect.name,
             'run': effect.run,
-            'fencing_token': FENCE,
+            'fencing_token': FENCING_TOKEN,
         }
         ok = False
         try:
@@ -213,7 +228,7 @@
             )
             ok = status == 200
             if ok:
-                self._answer(data)
+                self._decode_answer(data)
         except OSError as exc:
             logs.info(LOG, 'stop_unanswered', task=effect.name, reason=exc)
         self._feed(
@@ -223,8 +238,8 @@
     async def _watch(
         self, effect: workerapi.Watch, body: dict[str, typing.Any]
     ) -> None:
-        asked_at = self._clock.now()
-        seconds = effect.wait_seconds + WATCH_SPARE_SECONDS
+        sent_at = self._clock.now()
+        seconds = effect.wait_seconds + WATCH_MARGIN_SECONDS
         try:
             status, data = await self._post(
                 '/v1/hold', effect.life, body, seconds
@@ -234,12 +249,12 @@
             logs.info(LOG, 'watch_failed', reason=repr(exc))
             self._feed(workerapi.WatchFailed(effect.life, refused=refused))
             return
-        self._feed(self._watched(effect, asked_at, status, data))
+        self._feed(self._decode_watch(effect, sent_at, status, data))
 
-    def _watched(
+    def _decode_watch(
         self,
         effect: workerapi.Watch,
-        asked_at: float,
+        sent_at: float,
         status: int,
         data: bytes,
     ) -> object:
@@ -266,11 +281,11 @@
         except (msgspec.MsgspecError, IndexError) as exc:
             logs.warning(LOG, 'lists_unreadable', reason=exc)
             return workerapi.WatchFailed(effect.life)
-        self.worker_clock.sample(lists.clock_ms, lists.born)
-        life = life_of(id_of(effect.life), lists.born)
+        self.worker_clock.add_sample(lists.clock_ms, lists.born)
+        life = make_life(get_id(effect.life), lists.born)
         if lists.born and life != effect.life:
             return workerapi.WorkerReborn(effect.life, life, lists.born)
-        return workerapi.Watched(effect.life, asked_at, running, ended)
+        return workerapi.Watched(effect.life, sent_at, running, ended)
 
     async def _post(
         self,
@@ -279,36 +294,39 @@
         body: dict[str, typing.Any],
         seconds: float,
     ) -> tuple[int, bytes]:
-        headers = {**rows.JSON, 'X-Target-Instance': id_of(life)}
+        headers = {**rows.JSON_HEADERS, 'X-Target-Instance': get_id(life)}
         answer = await self._client.call(
             'POST', path, seconds, msgspec.json.encode(body), headers
         )
         return answer.status, answer.body
 
-    def _answer(self, data: bytes) -> _Answer:
+    def _decode_answer(self, data: bytes) -> _Answer:
         try:
             found = msgspec.json.decode(data, type=_Answer)
         except msgspec.MsgspecError as exc:
             logs.warning(LOG, 'answer_unreadable', reason=exc)
             return _Answer()
         if found.clock_ms:
-            self.worker_clock.sample(found.clock_ms)
+            self.worker_clock.add_sample(found.clock_ms)
         return found
 
     def _spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        # The loop itself keeps only weak references to its tasks.
+        # The event loop keeps only weak references to its tasks.
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def life_of(name: str, born: int) -> str:
-    """Names one life of a worker, which may come back under its id."""
+def make_life(name: str, born: int) -> str:
+    """Return the name of one incarnation of a worker.
+
+    A worker may restart under the same id.
+    """
     return f'{name}@{born}'
 
 
-def id_of(life: str) -> str:
-    """The worker's id, which it may have in several lives."""
+def get_id(life: str) -> str:
+    """Return the id of a worker, which all its incarnations share."""
     return life.rpartition('@')[0]
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: its store and a worker, by their pages."""
+"""Stand-ins of the platform's store and worker, after its API pages."""
 
 import asyncio
 import base64
@@ -11,19 +11,19 @@
 
 CALM = 'calm'
 MUTE_SECONDS = 60.0
-"""Longer than any caller waits."""
+"""Time without an answer that exceeds every timeout."""
 
 
-def serve(app):
-    """An HTTP server on a free port; the server and its address."""
+def start_server(app):
+    """Start an HTTP server on a free port; return it and its address."""
     (sock,) = netutil.bind_sockets(0, '127.0.0.1')
     server = httpserver.HTTPServer(app)
     server.add_sockets([sock])
     return server, f'127.0.0.1:{sock.getsockname()[1]}'
 
 
-def free_ports(count):
-    """Ports that nothing listens at now."""
+def find_free_ports(count):
+    """Return ports on which nothing listens."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind(('127.0.0.1', 0))
@@ -34,27 +34,28 @@
 
 
 class Store:
-    """Rows with versions, a feed, lost history and outages.
-
-    :ivar mode: ``calm``, ``busy`` (503), ``many`` (429) or ``lost`` (writes
-        are done and not answered).
-    :ivar mute: calls that get no answer, from now on.
-    :ivar page: rows that one answer holds at most.
-    :ivar between_pages: called after each answer to a read.
+    """A store of versioned rows with a feed, history loss and outages.
+
+    :ivar mode: ``calm``, ``busy`` (answers 503), ``many`` (answers 429) or
+        ``lost`` (writes are applied but not answered).
+    :ivar mute: number of next calls that get no answer.
+    :ivar page_size: largest number of rows of one answer.
+    :ivar after_read: callback that runs after each answer to a read.
+    :ivar history_start: version before which changes are discarded.
     """
 
     def __init__(self):
         self.rows = {}
         self.version = 0
-        self.forgotten = 0
-        self.dropped = {}
+        self.history_start = 0
+        self.deleted = {}
         self.mode = CALM
         self.mute = 0
-        self.page = 500
-        self.between_pages = lambda: None
+        self.page_size = 500
+        self.after_read = lambda: None
         self.calls = []
         self.changed = asyncio.Event()
-        self.server, self.address = serve(
+        self.server, self.address = start_server(
             web.Application(
                 [
                     ('/v1/rows-get', _Get, {'store': self}),
@@ -66,32 +67,32 @@
         )
 
     def put(self, table, key, value):
-        """Write a row, as the operator does."""
+        """Write a row."""
         self.version += 1
         text = value if isinstance(value, bytes) else json.dumps(value)
         data = text if isinstance(text, bytes) else text.encode()
         self.rows[table, key] = (data, self.version)
-        self.dropped.pop((table, key), None)
-        self._wake()
+        self.deleted.pop((table, key), None)
+        self._notify()
 
-    def drop(self, table, key):
-        """Remove a row."""
+    def delete(self, table, key):
+        """Delete a row."""
         self.version += 1
         self.rows.pop((table, key), None)
-        self.dropped[table, key] = self.version
-        self._wake()
+        self.deleted[table, key] = self.version
+        self._notify()
 
-    def forget(self):
-        """Discard the history."""
-        self.forgotten = self.version
+    def discard_history(self):
+        """Discard the changes up to the current version."""
+        self.history_start = self.version
 
-    def _wake(self):
+    def _notify(self):
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def since(self, table, after):
+    def get_changes(self, table, after):
         found = [
-            _row(table, key, version, value)
+            _make_row(table, key, version, value)
             for (name, key), (value, version) in self.rows.items()
             if name == table and version > after
         ]
@@ -102,13 +103,13 @@
                 'deleted': True,
                 'row_version': version,
             }
-            for (name, key), version in self.dropped.items()
+            for (name, key), version in self.deleted.items()
             if name == table and version > after
         ]
         return sorted(found, key=lambda row: row['row_version'])
 
 
-def _row(table, key, version, value):
+def _make_row(table, key, version, value):
     return {
         'table': table,
         'part': '',
@@ -132,12 +133,12 @@
             self.set_status(status)
             self.finish({})
 
-    def tell(self, rows, more=False):
+    def send_rows(self, rows, has_more=False):
         self.finish(
             {
                 'rows': rows,
                 'row_version': self.store.version,
-                'has_more': more,
+                'has_more': has_more,
                 'now_ms': 1,
             }
         )
@@ -145,7 +146,7 @@
 
 class _Get(_Handler):
     def get(self):
-        rows = self.store.since(self.get_argument('table'), 0)
+        rows = self.store.get_changes(self.get_argument('table'), 0)
         begin = self.get_argument('from', '', strip=False)
         end = self.get_argument('target', '', strip=False)
         rows = sorted(
@@ -158,25 +159,27 @@
             ),
             key=lambda row: row['key'],
         )
-        self.tell(rows[: self.store.page], len(rows) > self.store.page)
-        self.store.between_pages()
+        self.send_rows(
+            rows[: self.store.page_size], len(rows) > self.store.page_size
+        )
+        self.store.after_read()
 
 
 class _Feed(_Handler):
     async def get(self):
         table = self.get_argument('table')
         after = int(self.get_argument('after'))
-        if after < self.store.forgotten:
+        if after < self.store.history_start:
             self.set_status(410)
             self.finish({})
             return
         wait = int(self.get_argument('wait_ms')) / 1000.0
-        if not self.store.since(table, after):
+        if not self.store.get_changes(table, after):
             try:
                 await asyncio.wait_for(self.store.changed.wait(), wait)
             except TimeoutError:
                 pass
-        self.tell(self.store.since(table, after))
+        self.send_rows(self.store.get_changes(table, after))
 
 
 class _Transact(_Handler):
@@ -186,43 +189,45 @@
             value = base64.b64decode(row['value'])
             self.store.put(row['table'], row['key'], value)
         for row in body['remove']:
-            self.store.drop(row['table'], row['key'])
+            self.store.delete(row['table'], row['key'])
         if self.store.mode == 'lost':
             self.request.connection.stream.close()
             return
         self.finish({'row_version': self.store.version, 'now_ms': 1})
 
 
-LOOK_SECONDS = 0.02
-"""How often a worker ends what its lease no longer covers."""
+LEASE_CHECK_SECONDS = 0.02
+"""Interval at which a worker ends runs whose lease has expired."""
 
 MAX_LEASE_MS = 1000
 
 
 class Worker:
-    """A worker that runs tasks for a while and announces itself.
-
-    :ivar seconds: how long each run takes.
-    :ivar refuse: reason for which starts are refused; empty for none.
-    :ivar silent: orders get no answer.
-    :ivar until: instant of its clock at which all that runs there ends.
+    """A worker that simulates runs of a fixed length.
+
+    :ivar run_seconds: length of each run.
+    :ivar refusal_reason: reason with which starts are refused, or empty.
+    :ivar silent: whether orders get no answer.
+    :ivar lease_end: instant of its clock at which all its runs end.
+    :ivar highest_runs: number of the newest run by task.
+    :ivar target_ids: id to which each order was addressed.
     """
 
-    def __init__(self, seconds=0.05):
-        self.seconds = seconds
-        self.until = 0
-        self.looking = False
-        self.refuse = ''
+    def __init__(self, run_seconds=0.05):
+        self.run_seconds = run_seconds
+        self.lease_end = 0
+        self.check_scheduled = False
+        self.refusal_reason = ''
         self.silent = False
         self.born = 1_700_000_000_000
         self.name = 'i-7f3a91c2'
         self.runs = {}
-        self.highest = {}
+        self.highest_runs = {}
         self.ended = []
         self.orders = []
-        self.lives = []
+        self.target_ids = []
         self.connections = set()
-        self.server, self.address = serve(
+        self.server, self.address = start_server(
             web.Application(
                 [('/v1/(.*)', _Order, {'worker': self})],
                 log_function=lambda handler: None,
@@ -232,8 +237,11 @@
     def clock_ms(self):
         return int(asyncio.get_running_loop().time() * 1000)
 
-    def beat(self, sequence, state='ready', **more):
-        """The body of one announcement."""
+    def make_heartbeat(self, sequence, state='ready', **fields):
+        """Return the body of an announcement.
+
+        :param fields: fields that replace the defaults.
+        """
         return {
             'service': 'pool',
             'address': self.address,
@@ -247,39 +255,39 @@
             'clock_ms': self.clock_ms(),
             'sequence': sequence,
             'born': self.born,
-            **more,
+            **fields,
         }
 
-    def extend(self, until):
-        """Take a lease, which never shortens the one in force."""
+    def extend_lease(self, until):
+        """Extend the lease; an earlier end doesn't shorten it."""
         until = min(until, self.clock_ms() + MAX_LEASE_MS)
-        self.until = max(self.until, until)
+        self.lease_end = max(self.lease_end, until)
 
-    def begin(self, task, run):
-        """A run starts."""
-        if not self.looking:
-            self._look_later()
-        self.highest[task] = run
+    def start_run(self, task, run):
+        """Start a run, which ends by itself."""
+        if not self.check_scheduled:
+            self._schedule_check()
+        self.highest_runs[task] = run
         self.runs[task] = run
         asyncio.get_running_loop().call_later(
-            self.seconds, self.end, task, run, 'done'
+            self.run_seconds, self.end_run, task, run, 'done'
         )
 
-    def _look_later(self):
-        self.looking = True
+    def _schedule_check(self):
+        self.check_scheduled = True
         loop = asyncio.get_running_loop()
-        loop.call_later(LOOK_SECONDS, self._look)
+        loop.call_later(LEASE_CHECK_SECONDS, self._end_expired_runs)
 
-    def _look(self):
-        self.looking = False
-        if self.clock_ms() > self.until:
+    def _end_expired_runs(self):
+        self.check_scheduled = False
+        if self.clock_ms() > self.lease_end:
             for task, run in list(self.runs.items()):
-                self.end(task, run, 'lapsed')
+                self.end_run(task, run, 'lapsed')
         if self.runs:
-            self._look_later()
+            self._schedule_check()
 
-    def end(self, task, run, how):
-        """A run ends, if it is still there."""
+    def end_run(self, task, run, how):
+        """End a run that is still running."""
         if self.runs.get(task) == run:
             del self.runs[task]
             self.ended.append([len(self.ended) + 1, task, run, how, ''])
@@ -293,35 +301,35 @@
         worker = self.worker
         body = json.loads(self.request.body)
         worker.orders.append((name, body))
-        worker.lives.append(self.request.headers['X-Target-Instance'])
+        worker.target_ids.append(self.request.headers['X-Target-Instance'])
         stream = self.request.connection.stream
         if stream.socket is not None:
-            # Else its sender has gone, and the order is carried out still.
+            # Without a socket the sender is gone; its order is still executed.
             worker.connections.add(stream.socket.getpeername())
-        if worker.lives[-1] != worker.name:
+        if worker.target_ids[-1] != worker.name:
             self.set_status(421)
             self.finish({})
             return
         if worker.silent:
             await asyncio.sleep(5.0)
         if 'until_ms' in body:
-            worker.extend(body['until_ms'])
+            worker.extend_lease(body['until_ms'])
         if name == 'hold':
             await self._hold(body)
             return
         task, run = body['task'], body['run']
-        seen = worker.highest.get(task, 0)
+        newest = worker.highest_runs.get(task, 0)
         if name == 'run-stop':
-            worker.highest[task] = max(seen, run)
-            worker.end(task, run, 'stopped')
-        elif worker.refuse:
-            self._refuse(worker.refuse)
+            worker.highest_runs[task] = max(newest, run)
+            worker.end_run(task, run, 'stopped')
+        elif worker.refusal_reason:
+            self._refuse(worker.refusal_reason)
             return
         elif body['until_ms'] <= worker.clock_ms():
             self._refuse('late')
             return
-        elif seen < run:
-            worker.begin(task, run)
+        elif newest < run:
+            worker.start_run(task, run)
         elif worker.runs.get(task) != run:
             self._refuse('old')
             return
@@ -336,10 +344,12 @@
         worker = self.worker
         loop = asyncio.get_running_loop()
         end = loop.time() + body.get('wait_ms', 0) / 1000.0
-        fresh = []
+        new_ends = []
         while True:
-            fresh = [one for one in worker.ended if one[0] > body['last_seen']]
-            if fresh or loop.time() >= end:
+            new_ends = [
+                one for one in worker.ended if one[0] > body['last_seen']
+            ]
+            if new_ends or loop.time() >= end:
                 break
             await asyncio.sleep(0.005)
         self.finish(
@@ -349,6 +359,6 @@
                 'running': [
                     [task, run, '', 100] for task, run in worker.runs.items()
                 ],
-                'ended_runs': fresh,
+                'ended_runs': new_ends,
             }
         )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,18 +1,18 @@
-"""A soak of the platform's programs under faults from outside.
+"""Soak test of the platform's programs under injected faults.
 
-It starts entries and agents as processes, puts a loopback proxy before each
-of their connections, plays stand-ins of the store and the workers, hands in
-jobs, and brings about faults in series that overlap.  What callers, workers
-and the store see is checked against what the programs promise:
+The test starts entries and agents as processes with a loopback proxy before
+each of their connections, runs stand-ins of the store and the workers, submits
+jobs, and injects overlapping faults.  The observations of callers, workers
+and the store are checked against the guarantees of the programs:
 
 - no task has two runs at a time;
-- a job that was answered as done was done, each task of it;
+- each task of a job that was answered as completed has completed;
 - a job whose every request was refused as not run has never run;
-- a process that is asked to stop answers what it has taken;
+- a process that is asked to stop answers the requests that it has accepted;
 - nothing starts in a zone that was closed some seconds ago;
-- a queue that was taken away some seconds ago is not served, and no process
-  goes back to an older desired state;
-- once the faults are over, jobs are done again.
+- a queue that was removed some seconds ago is not served, and no process
+  returns to an older desired state;
+- once the faults are over, jobs complete again.
 
 Run it by hand with ``python -m tests.soak --first=1 --count=50``.
 """
@@ -45,41 +45,41 @@
 HOST = 'clubs.example'
 
 RESEND_SECONDS = 1.3
-"""Callers hand a job in again so long after they lost its answer."""
+"""Pause before callers submit a job again whose answer was lost."""
 
 TRIES = 4
-CLOSED_SECONDS = 5.0
-"""By then nothing starts any more in a zone that was closed."""
+ZONE_CLOSE_SECONDS = 5.0
+"""Time after which nothing may start in a closed zone."""
 
 IN_FORCE_SECONDS = 3.0
-"""By then a desired state is in force: 2 s, and a paused machine's turn."""
+"""Time until a desired state is in force: 2 s, and a margin for a pause."""
 
-SETTLE_SECONDS = 12.0
-"""By then jobs are done again after all faults are over."""
+RECOVERY_SECONDS = 12.0
+"""Time after the end of all faults until jobs must complete again."""
 
 GRACE_SECONDS = 6.0
 CUT_SLACK_SECONDS = 0.2
-"""A request younger than this may meet the end of its connection."""
+"""Age up to which a request may fail as its connection is closed."""
 
-CALM_SECONDS = 4.0
-"""Faults this near excuse a request that a stopping process cut."""
+FAULT_WINDOW_SECONDS = 4.0
+"""Time for which a fault excuses a request that a stopping process cut."""
 
 CALLERS = 6
 
 
 @dataclasses.dataclass(frozen=True)
 class Broken:
-    """One promise that was not kept, and what shows it."""
+    """A violated guarantee and the observation that shows it."""
 
     promise: str
     detail: str
 
 
 class Proxy:
-    """Passes one port on to another, or not.
+    """A TCP proxy that can delay, block and reset its connections.
 
-    :ivar mode: ``calm``, ``slow``, ``there`` or ``back`` (nothing passes on
-        that way) or ``silent`` (on neither).
+    :ivar mode: ``calm``, ``slow``, ``there`` or ``back`` (nothing is
+        forwarded in that direction) or ``silent`` (nothing in either).
     """
 
     def __init__(self, target):
@@ -89,7 +89,7 @@
         self.server = None
         self.address = ''
 
-    async def begin(self):
+    async def start(self):
         self.server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         port = self.server.sockets[0].getsockname()[1]
         self.address = f'127.0.0.1:{port}'
@@ -99,45 +99,45 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def end(self):
+    def stop(self):
         self.server.close()
         self.reset()
 
     async def _serve(self, reader, writer):
         host, _, port = self.target.rpartition(':')
         try:
-            there = await asyncio.open_connection(host, int(port))
+            target = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, there[1]}
+        self.writers |= {writer, target[1]}
         try:
             await asyncio.gather(
-                self._pass(reader, there[1], 'there'),
-                self._pass(there[0], writer, 'back'),
+                self._forward(reader, target[1], 'there'),
+                self._forward(target[0], writer, 'back'),
             )
         except asyncio.CancelledError:
-            # The soak is over; the server would log it as a fault.
+            # The test is over; the server would log the exception.
             pass
-        self.writers -= {writer, there[1]}
+        self.writers -= {writer, target[1]}
 
-    async def _pass(self, reader, writer, way):
+    async def _forward(self, reader, writer, direction):
         try:
             while data := await reader.read(65536):
-                while self.mode in (way, 'silent'):
+                while self.mode in (direction, 'silent'):
                     await asyncio.sleep(0.02)
                 if self.mode == 'slow':
                     await asyncio.sleep(0.1)
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # One side was reset; so is the other.
+            # One side was reset, so the other is reset as well.
             pass
         writer.transport.abort()
 
 
 class Worker(platform_standins.Worker):
-    """A worker that notes its runs and checks that none is doubled."""
+    """A stand-in worker that reports its runs to the checks."""
 
     def __init__(self, soak, number):
         super().__init__()
@@ -145,47 +145,47 @@
         self.zone = ZONES[number % len(ZONES)]
         self.name = f'w-{number}'
 
-    def begin(self, task, run):
-        self.soak.checks.began(self, task, run)
-        # Long enough that faults meet runs in progress.
-        self.seconds = 0.05 + (sum(task.encode()) % 50) / 100.0
-        super().begin(task, run)
+    def start_run(self, task, run):
+        self.soak.checks.record_start(self, task, run)
+        # Runs last long enough that faults occur during them.
+        self.run_seconds = 0.05 + (sum(task.encode()) % 50) / 100.0
+        super().start_run(task, run)
 
-    def end(self, task, run, how):
+    def end_run(self, task, run, how):
         if self.runs.get(task) == run:
-            self.soak.checks.ended(task, how)
-        super().end(task, run, how)
+            self.soak.checks.record_end(task, how)
+        super().end_run(task, run, how)
 
     def crash(self):
-        """Lose all runs and come back as another life."""
+        """Lose all runs and restart as another incarnation."""
         for task, run in list(self.runs.items()):
-            self.end(task, run, 'crashed')
+            self.end_run(task, run, 'crashed')
         self.ended.clear()
-        self.highest.clear()
-        self.until = 0
+        self.highest_runs.clear()
+        self.lease_end = 0
         self.born += 1
 
-    def beat(self, sequence, state='ready', **more):
-        more = {'zone': self.zone, **more}
-        return super().beat(sequence, state, **more)
+    def make_heartbeat(self, sequence, state='ready', **fields):
+        fields = {'zone': self.zone, **fields}
+        return super().make_heartbeat(sequence, state, **fields)
 
 
 class Store(platform_standins.Store):
-    """Lists each entry at the proxy before it."""
+    """A stand-in store that lists each entry with the address of its proxy."""
 
     def __init__(self, soak):
         super().__init__()
         self.soak = soak
 
-    def since(self, table, after):
-        found = super().since(table, after)
+    def get_changes(self, table, after):
+        found = super().get_changes(table, after)
         if table != members.TABLE:
             return found
-        return [self.soak.behind_proxy(row) for row in found]
+        return [self.soak.replace_address(row) for row in found]
 
 
 class Checks:
-    """What was seen, against what is promised."""
+    """The observations and the violations of the guarantees."""
 
     def __init__(self):
         self.broken = []
@@ -193,50 +193,59 @@
         self.done = collections.Counter()
         self.started = set()
         self.closed = {}
-        self.dropped = {}
+        self.removed_prefixes = {}
         self.faults = []
         self.answered = collections.Counter()
 
-    def fail(self, promise, detail):
+    def record_violation(self, promise, detail):
         self.broken.append(Broken(promise, detail))
 
-    def began(self, worker, task, run):
+    def record_start(self, worker, task, run):
         if task in self.running:
-            self.fail('one_run', f'{task} run {run}, {self.running[task]}')
+            self.record_violation(
+                'one_run', f'{task} run {run}, {self.running[task]}'
+            )
         closed_at = self.closed.get(worker.zone)
-        if closed_at and _now() > closed_at + CLOSED_SECONDS:
-            self.fail('zone_closed', f'{task} in {worker.zone}')
+        if closed_at and _now() > closed_at + ZONE_CLOSE_SECONDS:
+            self.record_violation('zone_closed', f'{task} in {worker.zone}')
         self.running[task] = worker.name
         self.started.add(task.partition('.')[0])
 
-    def ended(self, task, how):
+    def record_end(self, task, how):
         self.running.pop(task, None)
         if how == 'done':
             self.done[task] += 1
 
-    def completed(self, key, count):
+    def check_completed(self, key, count):
         for index in range(count):
             if not self.done[f'{key}.0.0.{index}']:
-                self.fail('true_answer', f'{key} task {index} was not done')
+                self.record_violation(
+                    'true_answer', f'{key} task {index} was not done'
+                )
 
-    def refused(self, key):
+    def check_refused(self, key):
         if key in self.started:
-            self.fail('not_run', f'{key} was refused by all and has run')
+            self.record_violation(
+                'not_run', f'{key} was refused by all and has run'
+            )
 
-    def disturbed(self, since):
-        """Whether a fault other than a request to stop was near."""
-        return any(at > since - CALM_SECONDS for at in self.faults)
+    def is_disturbed(self, since):
+        """Return whether a fault other than a stop may affect a request.
+
+        :param since: instant at which the request was sent.
+        """
+        return any(at > since - FAULT_WINDOW_SECONDS for at in self.faults)
 
 
 class Process:
-    """One entry or agent, its settings and the proxies before it."""
+    """An entry or agent process with its settings and proxies."""
 
     def __init__(self, soak, role, number, app=''):
         self.soak = soak
         self.role = role
         self.name = f'{role}-{number}'
         self.zone = ZONES[number % len(ZONES)]
-        self.ports = platform_standins.free_ports(4)
+        self.ports = platform_standins.find_free_ports(4)
         self.store = Proxy(soak.store.address)
         self.links = Proxy(f'127.0.0.1:{self.ports[3]}')
         self.app = app
@@ -244,13 +253,13 @@
         self.stopping_at = None
         self.log = open(soak.folder / f'{self.name}.log', 'ab')
 
-    async def begin(self):
-        await self.store.begin()
-        await self.links.begin()
+    async def start_all(self):
+        await self.store.start()
+        await self.links.start()
         self.start()
 
     def start(self):
-        """Start it, with the settings in force."""
+        """Write the settings file and start the process."""
         self.stopping_at = None
         env = {**os.environ, settings.VARIABLE: str(self.write_settings())}
         self.process = subprocess.Popen(
@@ -283,20 +292,20 @@
         return path
 
     def send(self, number):
-        """Signal the process, if it is there."""
+        """Send a signal to the process if it runs."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    def end(self):
+    def stop_all(self):
         self.send(signal.SIGKILL)
         self.process.wait()
-        self.store.end()
-        self.links.end()
+        self.store.stop()
+        self.links.stop()
         self.log.close()
 
 
 class Soak:
-    """One seed: programs, stand-ins, callers and faults."""
+    """The run of one seed: programs, stand-ins, callers and faults."""
 
     def __init__(self, seed, seconds, folder, faults):
         self.faults = faults
@@ -314,15 +323,15 @@
             for number, worker in enumerate(self.workers)
         ]
         self.version = 1
-        self.extra = []
+        self.extra_prefixes = []
         self.calls = 0
         self.tasks = []
 
     async def play(self):
-        """The promises that were broken."""
+        """Run the test and return the violations."""
         self._publish()
         for process in [*self.entries, *self.agents]:
-            await process.begin()
+            await process.start_all()
         try:
             async with aiohttp.ClientSession() as session:
                 await self._run(session)
@@ -330,7 +339,7 @@
             for task in self.tasks:
                 task.cancel()
             for process in [*self.entries, *self.agents]:
-                process.end()
+                process.stop_all()
             self.store.server.stop()
             for worker in self.workers:
                 worker.server.stop()
@@ -341,15 +350,17 @@
             self._spawn(self._announce(session, agent, worker))
         for process in [*self.entries, *self.agents]:
             self._spawn(self._keep_running(process))
-        await self._served(session, 30.0)
-        callers = [self._spawn(self._call_on(session)) for _ in range(CALLERS)]
+        await self._check_service(session, 30.0)
+        callers = [
+            self._spawn(self._run_caller(session)) for _ in range(CALLERS)
+        ]
         end = _now() + self.seconds
         while _now() < end:
             if self.faults:
                 self._spawn(self.rng.choice(self.faults)(self))
             await asyncio.sleep(self.rng.uniform(0.1, 2.0))
-        await self._heal()
-        await self._served(session, SETTLE_SECONDS)
+        await self._end_faults()
+        await self._check_service(session, RECOVERY_SECONDS)
         await asyncio.sleep(RESEND_SECONDS)
         for caller in callers:
             caller.cancel()
@@ -359,17 +370,17 @@
         self.tasks.append(task)
         return task
 
-    async def _served(self, session, seconds):
-        """A job is done within some seconds, or that promise is broken."""
+    async def _check_service(self, session, seconds):
+        """Check that a job completes within some seconds."""
         end = _now() + seconds
         while _now() < end:
-            if await self._job(session, tries=1, count=1) == 200:
+            if await self._submit_job(session, tries=1, count=1) == 200:
                 return
             await asyncio.sleep(0.2)
-        self.checks.fail('serves_again', f'not within {seconds} s')
+        self.checks.record_violation('serves_again', f'not within {seconds} s')
 
-    async def _heal(self):
-        """End all faults that last."""
+    async def _end_faults(self):
+        """End all lasting faults."""
         for process in [*self.entries, *self.agents]:
             process.send(signal.SIGCONT)
             process.store.mode = process.links.mode = 'calm'
@@ -377,7 +388,7 @@
             worker.silent = False
         self.store.mode = platform_standins.CALM
         for zone in list(self.checks.closed):
-            self._open(zone)
+            self._open_zone(zone)
 
     async def _announce(self, session, agent, worker):
         url = (
@@ -389,14 +400,14 @@
             sequence += 1
             try:
                 timeout = aiohttp.ClientTimeout(total=1.0)
-                body = worker.beat(sequence)
+                body = worker.make_heartbeat(sequence)
                 async with session.post(url, json=body, timeout=timeout):
                     await asyncio.sleep(1.0)
             except (aiohttp.ClientError, TimeoutError):
                 await asyncio.sleep(0.2)
 
     async def _keep_running(self, process):
-        """A process that ended is started again, as on the platform."""
+        """Restart a process whenever it ends, as the platform does."""
         while True:
             await asyncio.sleep(0.1)
             if process.process.poll() is not None:
@@ -409,13 +420,13 @@
 
     # Callers
 
-    async def _call_on(self, session):
+    async def _run_caller(self, session):
         while True:
-            await self._job(session)
+            await self._submit_job(session)
             await asyncio.sleep(self.rng.uniform(0.0, 0.2))
 
-    async def _job(self, session, tries=TRIES, count=None):
-        """Hand one job in until it is answered; the last status."""
+    async def _submit_job(self, session, tries=TRIES, count=None):
+        """Submit a job until it is answered; return the last status."""
         self.calls += 1
         key = f'{self.calls:016x}'
         count = count or self.rng.choice((1, 2, 8))
@@ -428,14 +439,14 @@
             await asyncio.sleep(RESEND_SECONDS)
         self.checks.answered[status] += 1
         if status == 200:
-            self.checks.completed(key, count)
+            self.checks.check_completed(key, count)
         if refused:
-            self.checks.refused(key)
+            self.checks.check_refused(key)
         return status
 
     async def _post(self, session, key, count):
         entry = self.rng.choice(self.entries)
-        prefix = self.rng.choice(['/dates/', *self.extra])
+        prefix = self.rng.choice(['/dates/', *self.extra_prefixes])
         url = f'http://127.0.0.1:{entry.ports[0]}{prefix}{key}'
         step = {'count': count, 'cpu': 6200, 'mem_mb': 64, 'estimated_ms': 200}
         body = {'best_effort': True, 'spec': 'x', 'steps': [step]}
@@ -451,25 +462,29 @@
                 status = answer.status
                 await answer.read()
         except (aiohttp.ClientError, TimeoutError) as exc:
-            self._check_cut(entry, key, sent, exc)
+            self._check_disconnect(entry, key, sent, exc)
             return 0
         self._check_route(prefix, sent, status, entry)
         return status
 
-    def _check_cut(self, entry, key, sent, exc):
-        """A process that was asked to stop cuts no request."""
-        planned = entry.stopping_at is not None
+    def _check_disconnect(self, entry, key, sent, exc):
+        """Check that a stopping process closed no open request."""
+        stopping = entry.stopping_at is not None
         refused = isinstance(exc, aiohttp.ClientConnectorError)
         late = _now() > sent + CUT_SLACK_SECONDS
-        if planned and late and not refused:
-            if not self.checks.disturbed(sent):
-                self.checks.fail('no_cut', f'{key} at {entry.name}: {exc!r}')
+        if stopping and late and not refused:
+            if not self.checks.is_disturbed(sent):
+                self.checks.record_violation(
+                    'no_cut', f'{key} at {entry.name}: {exc!r}'
+                )
 
     def _check_route(self, prefix, sent, status, entry):
-        dropped_at = self.checks.dropped.get(prefix)
-        if status == 200 and dropped_at is not None:
-            if sent > dropped_at + IN_FORCE_SECONDS + CALM_SECONDS:
-                self.checks.fail('in_force', f'{prefix} at {entry.name}')
+        removed_at = self.checks.removed_prefixes.get(prefix)
+        if status == 200 and removed_at is not None:
+            if sent > removed_at + IN_FORCE_SECONDS + FAULT_WINDOW_SECONDS:
+                self.checks.record_violation(
+                    'in_force', f'{prefix} at {entry.name}'
+                )
 
     # The operator
 
@@ -477,16 +492,16 @@
         self.version += self.rng.randint(1, 9)
         routes = [
             {'name': prefix, 'host': HOST, 'prefix': prefix, 'service': POOL}
-            for prefix in ['/dates/', *self.extra]
+            for prefix in ['/dates/', *self.extra_prefixes]
         ]
         desired = {'version': self.version, 'routes': routes, 'services': []}
         self.store.put('op', 'config', desired)
 
-    def _open(self, zone):
+    def _open_zone(self, zone):
         self.checks.closed.pop(zone, None)
-        self.store.drop('op', f'evacuate/{zone}')
+        self.store.delete('op', f'evacuate/{zone}')
 
-    def behind_proxy(self, row):
+    def replace_address(self, row):
         for entry in self.entries:
             if entry.name == row['key'] and 'value' in row:
                 member = {'address': entry.links.address, 'zone': entry.zone}
@@ -495,87 +510,87 @@
 
     # Faults
 
-    def _pick(self):
+    def _choose_process(self):
         return self.rng.choice([*self.entries, *self.agents])
 
-    def _note_fault(self):
+    def _record_fault(self):
         self.checks.faults.append(_now())
 
     async def kill(self):
-        self._note_fault()
-        self._pick().send(signal.SIGKILL)
+        self._record_fault()
+        self._choose_process().send(signal.SIGKILL)
 
     async def kill_most(self):
-        self._note_fault()
+        self._record_fault()
         for process in [*self.entries, *self.agents]:
             if self.rng.random() < 0.7:
                 process.send(signal.SIGKILL)
 
     async def stop(self):
-        process = self._pick()
+        process = self._choose_process()
         if process.stopping_at is None:
             process.stopping_at = _now()
             process.send(signal.SIGTERM)
 
     async def pause(self):
-        process = self._pick()
-        self._note_fault()
+        process = self._choose_process()
+        self._record_fault()
         process.send(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
         process.send(signal.SIGCONT)
-        self._note_fault()
+        self._record_fault()
 
     async def reload(self):
-        process = self._pick()
+        process = self._choose_process()
         process.write_settings()
         process.send(signal.SIGHUP)
 
     async def disturb_links(self):
-        await self._disturb(self._pick().links)
+        await self._disturb_proxy(self._choose_process().links)
 
     async def disturb_store(self):
-        await self._disturb(self._pick().store)
+        await self._disturb_proxy(self._choose_process().store)
 
-    async def _disturb(self, proxy):
-        self._note_fault()
+    async def _disturb_proxy(self, proxy):
+        self._record_fault()
         proxy.mode = self.rng.choice(('slow', 'there', 'back', 'silent'))
         await asyncio.sleep(self.rng.uniform(0.3, 4.0))
         proxy.mode = 'calm'
-        self._note_fault()
+        self._record_fault()
 
     async def reset_links(self):
-        self._note_fault()
-        self._pick().links.reset()
+        self._record_fault()
+        self._choose_process().links.reset()
 
     async def store_away(self):
-        self._note_fault()
+        self._record_fault()
         self.store.mode = self.rng.choice(('busy', 'many', 'lost'))
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
         self.store.mode = platform_standins.CALM
-        self._note_fault()
+        self._record_fault()
 
     async def forget_history(self):
-        self.store.forget()
+        self.store.discard_history()
 
     async def crash_worker(self):
-        self._note_fault()
+        self._record_fault()
         self.rng.choice(self.workers).crash()
 
     async def silence_worker(self):
-        self._note_fault()
+        self._record_fault()
         worker = self.rng.choice(self.workers)
         worker.silent = True
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         worker.silent = False
-        self._note_fault()
+        self._record_fault()
 
     async def change_routes(self):
-        if self.extra and self.rng.random() < 0.5:
-            prefix = self.extra.pop()
-            self.checks.dropped[prefix] = _now()
+        if self.extra_prefixes and self.rng.random() < 0.5:
+            prefix = self.extra_prefixes.pop()
+            self.checks.removed_prefixes[prefix] = _now()
         else:
             prefix = f'/extra-{self.version}/'
-            self.extra.append(prefix)
+            self.extra_prefixes.append(prefix)
         self._publish()
 
     async def evacuate(self):
@@ -585,7 +600,7 @@
         self.checks.closed[zone] = _now()
         self.store.put('op', f'evacuate/{zone}', {'zone': zone})
         await asyncio.sleep(self.rng.uniform(2.0, 9.0))
-        self._open(zone)
+        self._open_zone(zone)
 
 
 FAULTS = (
@@ -608,9 +623,10 @@
 
 
 def play(seed, seconds, folder, faults=FAULTS):
-    """Play one seed; the promises that were broken, and the answers.
+    """Run one seed; return the violations and the counts of answers.
 
-    :param faults: what may happen; with none it is a calm day.
+    :param faults: faults that may be injected.
+    :returns: violations, and number of answers by status.
     """
 
     folder = pathlib.Path(folder)
@@ -622,7 +638,7 @@
 
     broken, answered = asyncio.run(main())
     if broken:
-        # Beside the logs of all processes, or it couldn't be traced later.
+        # The file lies beside the logs of the processes that explain it.
         lines = [f'{one.promise}: {one.detail}\n' for one in broken]
         (folder / 'broken.txt').write_text(''.join(lines))
     return broken, answered
@@ -639,7 +655,7 @@
 
 
 def main():
-    """Play seeds in a row; exit status 1 if any promise was broken."""
+    """Run several seeds; return 1 if any guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__.partition('\n')[0])
     parser.add_argument('--first', type=int, default=1)
     parser.add_argument('--count', type=int, default=50)
@@ -650,8 +666,8 @@
     logs = pathlib.Path(args.logs or tempfile.gettempdir())
     logs.mkdir(parents=True, exist_ok=True)
     for seed in range(args.first, args.first + args.count):
-        # Of its own each time: a later run must not replace what shows why
-        # an earlier one failed.
+        # Each run has its own folder, as a later run must not overwrite the
+        # logs of an earlier one that failed.
         folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=logs)
         broken, answered = play(seed, args.seconds, folder)
         print(f'seed={seed} broken={len(broken)} answers={answered}')
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's side: settings, store, operator's rows, worker, callers."""
+"""The platform package: settings, store, operator's rows, worker, callers."""
 
 import asyncio
 import json
@@ -50,9 +50,9 @@
 }
 
 
-def node_file(tmp_path, store='127.0.0.1:1', **change):
-    """A settings file as the platform writes it; its path."""
-    found = {
+def write_node_file(tmp_path, store='127.0.0.1:1', **change):
+    """Write a settings file as the platform does; return its path."""
+    fields = {
         'node_name': 'frontend-talca-1',
         'ip': '127.0.0.1',
         'zone': 'talca',
@@ -66,16 +66,16 @@
         'platform': {'address': store},
         **change,
     }
-    path = tmp_path / f'{found["node_name"]}.yaml'
-    path.write_text(yaml.safe_dump(found))
+    path = tmp_path / f'{fields["node_name"]}.yaml'
+    path.write_text(yaml.safe_dump(fields))
     return str(path)
 
 
 # Settings
 
 
-def test_settings_are_read_by_the_product_s_names(tmp_path):
-    cfg = settings.read(node_file(tmp_path, app='127.0.0.1:4'))
+def test_settings_are_mapped_to_the_product_s_names(tmp_path):
+    cfg = settings.read(write_node_file(tmp_path, app='127.0.0.1:4'))
     assert cfg.links == '127.0.0.1:7720'
     assert cfg.worker == '127.0.0.1:4'
     assert cfg.grace_seconds == 6.0
@@ -91,9 +91,9 @@
         ({'bounds': {'grace_s': 'soon'}}, 'bounds.grace_s'),
     ],
 )
-def test_a_wrong_field_stops_the_start_by_its_name(tmp_path, change, field):
+def test_the_error_for_an_invalid_field_names_it(tmp_path, change, field):
     name = change.get('node_name', 'x')
-    path = node_file(tmp_path, **{'node_name': 'x', **change})
+    path = write_node_file(tmp_path, **{'node_name': 'x', **change})
     assert name is None or os.path.exists(path)
     with pytest.raises(exceptions.BadSettings, match=f'^{field}:'):
         settings.read(path)
@@ -102,8 +102,8 @@
 # The operator's rows
 
 
-def test_queues_come_from_the_operator_s_row():
-    table = desired.route_table({'config': json.dumps(DESIRED).encode()})
+def test_queues_are_read_from_the_operator_s_row():
+    table = desired.parse_route_table({'config': json.dumps(DESIRED).encode()})
     assert table is not None
     assert table.version == 7
     assert table.match('clubs.example', '/dates/long/1').name == 'r-2'
@@ -112,30 +112,34 @@
     assert table.match('other.example', '/dates/1') is None
 
 
-def test_an_unreadable_state_leaves_the_last_one_in_force(caplog):
-    """Another writer has put bytes there that nobody can read."""
-    assert desired.route_table({'config': b'\xff'}) is None
+def test_an_invalid_state_leaves_the_last_one_in_force(caplog):
+    """Another writer has stored bytes that aren't a valid state."""
+    assert desired.parse_route_table({'config': b'\xff'}) is None
     broken = {**DESIRED, 'version': 'seven'}
-    found = desired.route_table({'config': json.dumps(broken).encode()})
+    found = desired.parse_route_table({'config': json.dumps(broken).encode()})
     assert found is None
     assert 'version' in caplog.text
 
 
-def test_zones_taken_out_are_read():
-    found = desired.closed_zones({'config': b'{}', 'evacuate/talca': b'{}'})
+def test_zones_out_of_service_are_read():
+    found = desired.parse_closed_zones(
+        {'config': b'{}', 'evacuate/talca': b'{}'}
+    )
     assert found.zones == {'talca'}
 
 
-def test_a_member_that_cannot_be_read_names_no_entry():
-    found = members.listed({'a': b'{"address":"127.0.0.1:1"}', 'b': b'?'})
+def test_an_invalid_row_of_an_entry_is_skipped():
+    found = members.parse_entries(
+        {'a': b'{"address":"127.0.0.1:1"}', 'b': b'?'}
+    )
     assert [one.name for one in found.entries] == ['a']
 
 
 # The store
 
 
-class Followed:
-    """A table that is followed, and the states it was seen in."""
+class Follower:
+    """A follower of a table that collects the states passed on."""
 
     def __init__(self, store, table='op', wait=0.2):
         self.states = []
@@ -146,12 +150,12 @@
             )
         )
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         async with asyncio.timeout(10):
             while not (self.states and condition(self.states[-1])):
                 await asyncio.sleep(0.01)
 
-    async def end(self):
+    async def stop(self):
         self._task.cancel()
         await self._store.close()
 
@@ -161,43 +165,43 @@
 
 
 def test_changes_are_followed_through_an_outage_and_lost_history():
-    """The store turns calls away and forgets its history meanwhile.
+    """The store refuses calls and meanwhile discards its history.
 
-    What was changed in between must be in force soon after its return.
+    Changes made during the outage must be in force soon after its end.
     """
 
     async def main():
         store = platform_standins.Store()
         store.put('op', 'a', b'1')
-        followed = Followed(store)
-        await followed.until(lambda rows: rows == {'a': b'1'})
+        follower = Follower(store)
+        await follower.wait_until(lambda rows: rows == {'a': b'1'})
         store.put('op', 'b', b'2')
-        await followed.until(lambda rows: len(rows) == 2)
+        await follower.wait_until(lambda rows: len(rows) == 2)
         store.mode = 'busy'
         await asyncio.sleep(0.3)
-        store.drop('op', 'a')
-        store.forget()
+        store.delete('op', 'a')
+        store.discard_history()
         store.mode = platform_standins.CALM
-        await followed.until(lambda rows: rows == {'b': b'2'})
-        await followed.end()
+        await follower.wait_until(lambda rows: rows == {'b': b'2'})
+        await follower.stop()
 
     run(main)
 
 
-def test_a_row_that_changes_while_the_others_are_read_is_not_missed():
+def test_a_row_that_changes_while_later_pages_are_read_is_not_missed():
     """A table of several pages is read while the operator writes.
 
-    A row of the first page changes before the second is read.  Were it
-    missed, a process would go by the older one for as long as it lives.
+    A row of the first page changes before the second is read.  If it were
+    missed, a process would use the old value until its restart.
     """
 
     async def main():
         store = platform_standins.Store()
         for number in range(4):
             store.put('t', f'k{number}', 'old')
-        store.page = 2
+        store.page_size = 2
         changes = [lambda: store.put('t', 'k0', 'new')]
-        store.between_pages = lambda: changes and changes.pop()()
+        store.after_read = lambda: changes and changes.pop()()
         client = rows.RowStore(store.address)
         found = await client.read('t')
         assert [row.key for row in found.rows] == ['k0', 'k1', 'k2', 'k3']
@@ -208,11 +212,11 @@
     run(main)
 
 
-def test_a_call_that_gets_no_answer_is_soon_made_again(monkeypatch):
-    """A process starts while the store is away in part, or not there yet.
+def test_a_call_without_an_answer_is_soon_retried(monkeypatch):
+    """A process starts while the store is partly or wholly unavailable.
 
-    Were the first call waited for as long as a slow store may take, callers
-    would wait for a second beyond the store's return.
+    With the timeout of a slow store for the first call, callers would wait
+    for a second beyond the store's return.
     """
     monkeypatch.setattr(rows, 'FIRST_CALL_SECONDS', 0.05)
     monkeypatch.setattr(rows, 'CALL_SECONDS', 30.0)
@@ -221,27 +225,27 @@
         store = platform_standins.Store()
         store.put('op', 'a', b'1')
         store.mute = 1
-        followed = Followed(store)
-        await followed.until(lambda rows: rows == {'a': b'1'})
-        await followed.end()
+        follower = Follower(store)
+        await follower.wait_until(lambda rows: rows == {'a': b'1'})
+        await follower.stop()
 
     run(main)
 
 
-def test_a_slow_store_is_given_more_time_after_each_failure():
-    patience = rows.Patience()
-    before = patience.seconds
-    patience.failed()
-    assert patience.seconds == 2.0 * before
+def test_the_timeout_grows_after_each_failure():
+    timeout = rows.CallTimeout()
+    before = timeout.seconds
+    timeout.increase()
+    assert timeout.seconds == 2.0 * before
     for _ in range(5):
-        patience.failed()
-    assert patience.seconds == rows.CALL_SECONDS
-    patience.answered()
-    assert patience.seconds == before
+        timeout.increase()
+    assert timeout.seconds == rows.CALL_SECONDS
+    timeout.reset()
+    assert timeout.seconds == before
 
 
-def test_another_address_of_the_store_is_used_from_the_next_call_on():
-    """The settings file names another address while the process runs."""
+def test_a_new_address_of_the_store_is_used_from_the_next_call_on():
+    """The settings are reloaded with another address of the store."""
 
     async def main():
         before, after = platform_standins.Store(), platform_standins.Store()
@@ -258,8 +262,8 @@
     run(main)
 
 
-def test_an_entry_lists_itself_though_answers_are_lost():
-    """Writes are done and not answered: done again, they change nothing."""
+def test_an_entry_registers_itself_although_answers_are_lost():
+    """The store applies writes without an answer; retries change nothing."""
 
     async def main():
         store = platform_standins.Store()
@@ -267,7 +271,7 @@
         client = rows.RowStore(store.address)
         loop = asyncio.get_running_loop()
         task = loop.create_task(
-            members.enlist(client, 'e', '127.0.0.1:5', 'z', random.Random(1))
+            members.register(client, 'e', '127.0.0.1:5', 'z', random.Random(1))
         )
         await asyncio.sleep(0.2)
         store.mode = platform_standins.CALM
@@ -284,15 +288,17 @@
 
 
 class Orders:
-    """A worker's client and what it fed."""
+    """A worker's client and the events that it passed on."""
 
     def __init__(self, standin):
-        self.fed = asyncio.Queue()
+        self.events = asyncio.Queue()
         self.client = worker.WorkerClient(
-            standin.address, clocks.ProcessClock.start(), self.fed.put_nowait
+            standin.address,
+            clocks.ProcessClock.start(),
+            self.events.put_nowait,
         )
-        self.client.worker_clock.sample(standin.clock_ms())
-        self.life = worker.life_of(standin.name, standin.born)
+        self.client.worker_clock.add_sample(standin.clock_ms())
+        self.life = worker.make_life(standin.name, standin.born)
 
     def start(self, run=1):
         self.client.start(
@@ -305,32 +311,32 @@
             )
         )
 
-    async def next(self):
-        return await asyncio.wait_for(self.fed.get(), 10)
+    async def get_event(self):
+        return await asyncio.wait_for(self.events.get(), 10)
 
 
-def test_a_run_is_started_watched_and_seen_to_end():
+def test_a_run_is_started_and_watched_until_its_end():
     async def main():
         standin = platform_standins.Worker()
         orders = Orders(standin)
         orders.start()
-        answered = await orders.next()
+        answered = await orders.get_event()
         assert answered.result is workerapi.StartResult.STARTED
         name, body = standin.orders[0]
         ahead = body['until_ms'] - standin.clock_ms()
         assert 300 < ahead <= 650
         orders.client.watch(workerapi.Watch(orders.life, 0, 0.65, 0.5))
-        watched = await orders.next()
+        watched = await orders.get_event()
         assert watched.ended[0].kind is workerapi.EndKind.DONE
-        assert standin.lives == [standin.name] * 2
+        assert standin.target_ids == [standin.name] * 2
         await orders.client.close()
 
     run(main)
 
 
 def test_a_burst_of_starts_opens_few_connections(monkeypatch):
-    """Each new connection to a worker is paid for."""
-    # A busy machine's answers may take longer than the platform's.
+    """Each new connection to a worker has a cost."""
+    # Answers on a busy machine may take longer than on the platform.
     monkeypatch.setattr(worker, 'ORDER_SECONDS', 30.0)
 
     async def main():
@@ -339,7 +345,7 @@
         for run in range(1, 21):
             orders.start(run)
         for _ in range(20):
-            answered = await orders.next()
+            answered = await orders.get_event()
             assert answered.result is not workerapi.StartResult.UNKNOWN
         assert len(standin.connections) <= worker.MAX_CONNECTIONS
         assert worker.MAX_CONNECTIONS <= 6
@@ -356,38 +362,38 @@
         ('late', workerapi.StartResult.LATE),
     ],
 )
-def test_a_refused_start_has_done_nothing(reason, result):
+def test_a_refused_start_has_no_effect(reason, result):
     async def main():
         standin = platform_standins.Worker()
-        standin.refuse = reason
+        standin.refusal_reason = reason
         orders = Orders(standin)
         orders.start()
-        assert (await orders.next()).result is result
+        assert (await orders.get_event()).result is result
         await orders.client.close()
 
     run(main)
 
 
-def test_a_start_without_an_answer_is_of_unknown_effect():
-    """The worker leaves the order unanswered; it may carry it out later."""
+def test_a_start_without_an_answer_has_an_unknown_result():
+    """The worker doesn't answer the order, but may execute it later."""
 
     async def main():
         standin = platform_standins.Worker()
         standin.silent = True
         orders = Orders(standin)
         orders.start()
-        found = await orders.next()
+        found = await orders.get_event()
         assert found.result is workerapi.StartResult.UNKNOWN
         await orders.client.close()
 
     run(main)
 
 
-def test_a_list_of_another_life_is_told_apart():
-    """A worker crashed and came back under its id, empty.
+def test_the_lists_of_another_incarnation_are_recognised():
+    """A worker crashes and restarts under its id without any runs.
 
-    It takes orders meant for its former life, so runs that were on their
-    way may be there: only its own lists tell which are over.
+    It accepts orders meant for its earlier incarnation, so starts sent before
+    may run there: only its own lists show which runs are over.
     """
 
     async def main():
@@ -395,8 +401,8 @@
         orders = Orders(standin)
         standin.born += 1000
         orders.client.watch(workerapi.Watch(orders.life, 0, 0.65, 0.0))
-        new_life = worker.life_of(standin.name, standin.born)
-        assert await orders.next() == workerapi.WorkerReborn(
+        new_life = worker.make_life(standin.name, standin.born)
+        assert await orders.get_event() == workerapi.WorkerReborn(
             orders.life, new_life, standin.born
         )
         await orders.client.close()
@@ -404,29 +410,29 @@
     run(main)
 
 
-def test_another_life_s_clock_starts_anew():
-    """A worker comes back with a clock that counts from its own start.
+def test_a_new_incarnation_resets_the_clock_samples():
+    """A worker restarts with a clock that counts from its own start.
 
-    By the former life's clock its leases would last as long as it allows,
-    and runs go on that were taken for over.
+    With the earlier incarnation's clock its leases would get the longest
+    allowed length, and runs that the agent counts as over would continue.
     """
 
     class Clock:
         def now(self):
             return 100.0
 
-    found = worker.WorkerClock(Clock())
-    found.sample(900_000, 1)
-    found.sample(20, 2)
-    assert found.until(0.65) == 670
-    found.sample(900_010, 1)
-    assert found.until(0.65) == 670
+    worker_clock = worker.WorkerClock(Clock())
+    worker_clock.add_sample(900_000, 1)
+    worker_clock.add_sample(20, 2)
+    assert worker_clock.get_instant(0.65) == 670
+    worker_clock.add_sample(900_010, 1)
+    assert worker_clock.get_instant(0.65) == 670
 
 
-def test_the_worker_s_clock_is_never_run_ahead():
-    """A late answer makes the worker's clock look older than it is.
+def test_a_late_answer_does_not_set_the_worker_s_clock_back():
+    """A late answer makes the worker's clock appear slower than it is.
 
-    Leases worked out from it alone would be short, and runs would lapse.
+    Leases computed from it alone would be too short, and runs would be ended.
     """
 
     class Clock:
@@ -436,30 +442,30 @@
             return self.instant
 
     clock = Clock()
-    found = worker.WorkerClock(clock)
-    found.sample(5_000)
+    worker_clock = worker.WorkerClock(clock)
+    worker_clock.add_sample(5_000)
     clock.instant += 0.5
-    found.sample(5_200)
-    assert found.until(0.65) == 5_000 + 500 + 650
+    worker_clock.add_sample(5_200)
+    assert worker_clock.get_instant(0.65) == 5_000 + 500 + 650
 
 
 # Both programs
 
 
 class Programs:
-    """Entry and agent as processes, with stand-ins beside them."""
+    """An entry and an agent as processes, with stand-ins of their peers."""
 
     def __init__(self, tmp_path):
         self.store = platform_standins.Store()
         self.worker = platform_standins.Worker()
-        self.ports = platform_standins.free_ports(6)
+        self.ports = platform_standins.find_free_ports(6)
         self.processes = []
         self._tmp_path = tmp_path
 
     def start(self, role):
-        front, ready, control, one, two, app = self.ports
-        first = {'entry': one, 'agent': two}[role]
-        path = node_file(
+        front, ready, control, entry_links, agent_links, app = self.ports
+        links = {'entry': entry_links, 'agent': agent_links}[role]
+        path = write_node_file(
             self._tmp_path,
             store=self.store.address,
             node_name=role,
@@ -468,7 +474,7 @@
                 'ready': f'127.0.0.1:{ready}',
                 'control': f'127.0.0.1:{control}',
             },
-            internal_ports=[first, first],
+            internal_ports=[links, links],
             app=self.worker.address,
         )
         process = subprocess.Popen(
@@ -488,14 +494,14 @@
         async with asyncio.timeout(30):
             while True:
                 try:
-                    body = self.worker.beat(1)
+                    body = self.worker.make_heartbeat(1)
                     async with session.post(url, json=body) as answer:
                         assert answer.status == 200
                         return
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.05)
 
-    async def ready(self, session):
+    async def wait_ready(self, session):
         url = f'http://127.0.0.1:{self.ports[1]}/v1/ready'
         async with asyncio.timeout(30):
             while True:
@@ -513,7 +519,7 @@
         async with session.post(url, json=body, headers=headers) as answer:
             return answer.status, await answer.json()
 
-    def end(self):
+    def stop(self):
         for process in self.processes:
             process.kill()
             process.communicate()
@@ -528,10 +534,10 @@
 }
 
 
-def test_a_job_goes_through_both_programs(tmp_path):
-    """The whole path, from a caller's request to the worker and back.
+def test_a_job_runs_through_both_programs(tmp_path):
+    """A job takes the whole path from a caller to the worker and back.
 
-    Then the entry is asked to stop with a job open, which it must answer.
+    Then the entry is stopped while a job is open, which it must still answer.
     """
 
     async def main():
@@ -542,7 +548,7 @@
             programs.start('agent')
             async with aiohttp.ClientSession() as session:
                 await programs.announce(session)
-                await programs.ready(session)
+                await programs.wait_ready(session)
                 path = '/dates/5c0e7a21d94b36f8'
                 found = await programs.post(session, path, JOB)
                 assert found == (200, {'state': 'completed'})
@@ -561,7 +567,7 @@
                 )
                 assert status == 400
                 assert 'steps' in body['reason']
-                programs.worker.seconds = 0.5
+                programs.worker.run_seconds = 0.5
                 waiting = asyncio.ensure_future(
                     programs.post(session, path[:-1] + '0', JOB)
                 )
@@ -570,6 +576,6 @@
                 entry.send_signal(signal.SIGTERM)
                 assert await waiting == (200, {'state': 'completed'})
         finally:
-            programs.end()
+            programs.stop()
 
     run(main)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,12 +7,12 @@
 def test_the_programs_keep_their_promises_under_faults(
     tmp_path, seed, seconds
 ):
-    """Processes are killed, paused, stopped and cut off from one another.
+    """Processes are killed, paused, stopped and disconnected at random.
 
-    Seed 2 crashed a worker that came back under its name: starts on their
-    way to its former life ran there and elsewhere at the same time.  Seed 26
-    killed an agent while the store refused all calls and the agent's zone
-    was closed: it came back and started a task there.
+    With seed 2 a worker crashed and restarted under its name, and starts sent
+    to its earlier incarnation ran there and elsewhere at the same time.  With
+    seed 26 an agent was killed while the store refused all calls and the
+    agent's zone was closed; after its restart it started a task there.
     """
     broken, answered = soak.play(seed, seconds, tmp_path)
     assert broken == []
