--- a/src/agatepick/api/__init__.py
+++ b/src/agatepick/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP side towards callers and operators."""
+"""HTTP API for callers and operators."""
--- a/src/agatepick/api/callers.py
+++ b/src/agatepick/api/callers.py
@@ -1,15 +1,15 @@
-"""Callers' HTTP: hand in a job, ask how it stands, cancel it.
-
-``POST /v1/jobs`` holds the answer open until the job has ended, or answers
-``202`` at once with ``Prefer: respond-async``.  The status of an answer
-follows the job's:
-
-* complete: 200 with every task's outcome under the caller's own ids;
-* pending: 202 with ``Location``; ask there again;
-* failed: 502, or 504 past the deadline and 409 when cancelled, a problem
-  document that lists each task's outcome;
-* not run: 503 or 429 where a retry may help, else 422 (or as
-  :data:`STATUS_OF_CODE` says), a problem document.
+"""HTTP API for callers: submit a job, query its status, cancel it.
+
+``POST /v1/jobs`` holds the request open until the job has ended, or responds
+with ``202`` shortly after submission with ``Prefer: respond-async``.  The HTTP
+status depends on the status of the job:
+
+* complete: 200 with the outcome of every task, by the caller's task ids;
+* pending: 202 with ``Location``, which the caller polls;
+* failed: 502, or 504 after the deadline and 409 when cancelled, with a
+  problem document that lists the outcome of each task;
+* not run: 503 or 429 if a retry may help, otherwise 422 (or the status in
+  :data:`HTTP_STATUS_BY_CODE`), with a problem document.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 from agatepick.api import web
 from agatepick import types
 
-ASYNC_GRACE = 0.05
-"""Seconds that even an asynchronous request is held, so that a refusal at
-the door is told at once and not by a second request."""
-PENDING_RETRY = 1.0
+ASYNC_HOLD_SECONDS = 0.05
+"""An asynchronous request is held this long, so that its response already
+reports a rejection by admission control and saves a second request."""
+PENDING_RETRY_SECONDS = 1.0
 
-STATUS_OF_CODE = {
+HTTP_STATUS_BY_CODE = {
     'cancelled': 409,
     'deadline': 504,
     'key_ahead': 422,
@@ -42,14 +42,14 @@
     'quota': 429,
     'unknown_job': 404,
 }
-"""HTTP status of those codes of a :class:`agatepick.types.JobAnswer` for
-which it doesn't follow from the job's status and whether a retry helps."""
+"""HTTP status by code of a :class:`agatepick.types.JobAnswer`, for codes
+whose HTTP status doesn't follow from the job status and ``retry_after``."""
 
 _PREFER_WAIT = re.compile(r'\bwait\s*=\s*(\d{1,6})\b')
 
 
 def routes(front: web.Front) -> list[tornado.routing.URLSpec]:
-    """Routes of the callers' side."""
+    """Return the routes of the callers' API."""
     args = {'front': front}
     return [
         tornado.routing.URLSpec(r'/v1/jobs', Jobs, args),
@@ -57,15 +57,16 @@
     ]
 
 
-def job_key(header: str | None, now: float) -> types.JobKey:
-    """The key of an ``Idempotency-Key``; a new one if there is none.
+def parse_job_key(header: str | None, now: float) -> types.JobKey:
+    """Return the key in an ``Idempotency-Key`` header, or a new key.
 
-    The owner of a job and the age of its key follow from the UUIDv7, so
-    other forms are refused.
+    The owner of a job and the age of its key are derived from the UUIDv7, so
+    other formats are rejected.
 
-    :param now: by the clock that keys are judged by.  The wall clock may be
-        set while a process runs, whose own clock never steps; a key stamped
-        by the one would be ahead of the other, and refused.
+    :param now: time of the process clock, which also validates keys.  The
+        wall clock may be stepped while the process runs, but the process
+        clock never steps; a key with a wall clock timestamp could lie in the
+        future of the process clock and would be rejected.
     """
     if header is None:
         return str(uuid_utils.uuid7(nanoseconds=int(now * 1e9)))
@@ -83,12 +84,12 @@
     return str(key)
 
 
-def status_of(answer: types.JobAnswer) -> int:
-    """The HTTP status that tells how a job stands."""
+def get_http_status(answer: types.JobAnswer) -> int:
+    """Return the HTTP status for the status of a job."""
     if answer.status == types.JobStatus.COMPLETE:
         return 200
-    if answer.code in STATUS_OF_CODE:
-        return STATUS_OF_CODE[answer.code]
+    if answer.code in HTTP_STATUS_BY_CODE:
+        return HTTP_STATUS_BY_CODE[answer.code]
     if answer.status == types.JobStatus.PENDING:
         return 202
     if answer.status == types.JobStatus.FAILED:
@@ -97,43 +98,45 @@
 
 
 class CallerHandler(web.Handler):
-    """Base of the callers' handlers."""
+    """Base class of the handlers of the callers' API."""
 
-    def team(self) -> str | None:
-        """The team that the caller's token names.
+    def authenticate_team(self) -> str | None:
+        """Return the team that the caller's token belongs to.
 
-        :returns: ``None`` if the settings hold no tokens of teams.
+        :returns: ``None`` if no team tokens are configured.
         """
         teams = self.front.tokens.teams
         if not teams:
             return None
-        token = web.bearer(self.request)
-        # All are compared, so that the time taken tells nothing.
-        found = [
+        token = web.get_bearer_token(self.request)
+        # Comparing every token keeps the response time constant.
+        teams_of_token = [
             team
             for team, known in teams.items()
-            if web.same_token(token, known)
+            if web.tokens_equal(token, known)
         ]
-        if not found:
+        if not teams_of_token:
             raise web.Refused(
                 401,
                 'bad_token',
                 'no team has this bearer token',
-                run=self.run_if_not_taken(),
+                run=self.get_run_before_submission(),
                 headers={'WWW-Authenticate': 'Bearer'},
             )
-        return found[0]
+        return teams_of_token[0]
 
     def send_answer(
         self, answer: types.JobAnswer, status: int | None = None
     ) -> None:
-        """Answer with how a job stands."""
-        status = status or status_of(answer)
+        """Send the status of a job."""
+        status = status or get_http_status(answer)
         self.set_header('Location', f'/v1/jobs/{answer.key}')
-        tasks = tuple(job_bodies.task_reply(task) for task in answer.tasks)
+        tasks = tuple(
+            job_bodies.make_task_reply(task) for task in answer.tasks
+        )
         if status < 300:
             if answer.status == types.JobStatus.PENDING:
-                after = answer.retry_after or PENDING_RETRY
+                after = answer.retry_after or PENDING_RETRY_SECONDS
                 self.set_header('Retry-After', str(math.ceil(after)))
             reply = job_bodies.JobReply(
                 answer.key,
@@ -161,27 +164,27 @@
 
 
 class Jobs(CallerHandler):
-    """``/v1/jobs``."""
+    """Resource ``/v1/jobs``."""
 
-    _wait: 'asyncio.Task[object] | None' = None
+    _reply_task: 'asyncio.Task[object] | None' = None
 
-    def run_if_not_taken(self) -> str:
-        """``pending`` for a key of the caller's own.
+    def get_run_before_submission(self) -> str:
+        """Return ``pending`` for a request with an idempotency key.
 
-        The job may run already, from the same request sent before.  Told
-        "not run", its caller would hand it in under another key, and it
-        would run twice.
+        An earlier attempt of the same request may already have started the
+        job.  After "not run" the caller would submit it under another key,
+        and the job would run twice.
         """
         if 'Idempotency-Key' in self.request.headers:
             return types.JobStatus.PENDING.value
-        return super().run_if_not_taken()
+        return super().get_run_before_submission()
 
     async def post(self) -> None:
-        """Hand in a job."""
-        self.body_is_whole()
-        body = self.take_body()
-        team = self.team()
-        key = job_key(
+        """Submit a job."""
+        self.mark_body_complete()
+        body = self.get_body()
+        team = self.authenticate_team()
+        key = parse_job_key(
             self.request.headers.get('Idempotency-Key'),
             self.front.clock.now(),
         )
@@ -189,67 +192,69 @@
         job = job_bodies.job_spec(
             body, key, team, now, self.front.limits.max_tasks
         )
-        hold = self._hold()
-        self._wait = asyncio.create_task(
+        hold_seconds = self._get_hold_seconds()
+        self._reply_task = asyncio.create_task(
             self.front.calls.call(
                 lambda number: calls.JobSubmitted(number, job)
             )
         )
-        done, _ = await asyncio.wait([self._wait], timeout=hold)
-        if self._wait.cancelled():
+        done, _ = await asyncio.wait([self._reply_task], timeout=hold_seconds)
+        if self._reply_task.cancelled():
             return
         if done:
-            answer = typing.cast(types.JobAnswer, self._wait.result())
+            answer = typing.cast(types.JobAnswer, self._reply_task.result())
         else:
-            self._wait.cancel()
+            self._reply_task.cancel()
             answer = types.JobAnswer(key, types.JobStatus.PENDING)
         self.send_answer(answer)
 
     def on_connection_close(self) -> None:
         super().on_connection_close()
-        if self._wait is not None:
-            self._wait.cancel()
+        if self._reply_task is not None:
+            self._reply_task.cancel()
 
-    def _hold(self) -> float:
+    def _get_hold_seconds(self) -> float:
         prefer = self.request.headers.get('Prefer', '').lower()
-        found = _PREFER_WAIT.search(prefer)
+        match = _PREFER_WAIT.search(prefer)
         longest = self.front.limits.max_hold_seconds
-        if found:
-            return min(float(found[1]), longest)
-        return ASYNC_GRACE if 'respond-async' in prefer else longest
+        if match:
+            return min(float(match[1]), longest)
+        return ASYNC_HOLD_SECONDS if 'respond-async' in prefer else longest
 
 
 class Job(CallerHandler):
-    """``/v1/jobs/{id}``."""
+    """Resource ``/v1/jobs/{id}``."""
 
-    run_if_refused = ''
+    run_if_rejected = ''
 
     async def get(self, key: str) -> None:
-        """How a job stands; its answer once it has ended."""
-        team = self.team() or ''
-        known = self._key(key)
+        """Return the status of a job, with its results once it has ended."""
+        team = self.authenticate_team() or ''
+        parsed_key = self._parse_key(key)
         answer = await self.front.calls.call(
-            lambda number: calls.JobAsked(number, known, team)
+            lambda number: calls.JobAsked(number, parsed_key, team)
         )
         self.send_answer(typing.cast(types.JobAnswer, answer))
 
     async def delete(self, key: str) -> None:
-        """Cancel a job: what hasn't started never will."""
-        team = self.team() or ''
-        known = self._key(key)
+        """Cancel a job; tasks that haven't started are never started."""
+        team = self.authenticate_team() or ''
+        parsed_key = self._parse_key(key)
         answer = typing.cast(
             types.JobAnswer,
             await self.front.calls.call(
-                lambda number: calls.JobCancelled(number, known, team)
+                lambda number: calls.JobCancelled(number, parsed_key, team)
             ),
         )
-        status = status_of(answer)
+        status = get_http_status(answer)
         if answer.code == 'cancelled':
             status = 200
         self.send_answer(answer, status)
 
-    def _key(self, text: str) -> str:
+    def _parse_key(self, text: str) -> str:
         try:
             return str(uuid.UUID(text))
         except ValueError:
-            raise self.refused(404, 'unknown_job', 'no such job') from None
+            raise self.make_rejection(
+                404, 'unknown_job', 'no such job'
+            ) from None
--- a/src/agatepick/api/calls.py
+++ b/src/agatepick/api/calls.py
@@ -1,8 +1,8 @@
-"""Calls from the HTTP side into a reducer, and the replies that come back.
+"""Calls from HTTP handlers into a reducer, and their replies.
 
-A handler never touches a reducer's state.  It makes a call: an event that
-carries a number, for which the reducer sooner or later returns a
-:class:`Reply` effect with the same number.  :class:`Calls` pairs the two.
+A handler never accesses the state of a reducer.  It makes a call: an event
+with a call number, to which the reducer responds with a :class:`Reply` effect
+of the same number.  :class:`Calls` matches replies to calls.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from agatepick import exceptions
 from agatepick import types
 
-MAX_OPEN = 20_000
-"""Calls awaiting a reply.  One costs about 1 KiB with its connection, so
-this bounds what a burst of held-open requests may take of the memory."""
+MAX_OPEN_CALLS = 20_000
+"""Limit of calls that await a reply.  A call and its connection take about
+1 KiB, so the limit bounds the memory used by a burst of held requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A caller hands in a job; replied to once it has ended."""
+    """Submission of a job by a caller; the reply follows when the job ends."""
 
     call: int
     job: types.JobSpec
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAsked:
-    """A caller asks how a job stands; replied to at once."""
+    """Request for the status of a job; the reply follows immediately."""
 
     call: int
     key: types.JobKey
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """A caller no longer wants a job; replied to with how it stands."""
+    """Cancellation of a job by a caller; the reply is the job's status."""
 
     call: int
     key: types.JobKey
@@ -47,9 +47,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeProposed:
-    """An operator proposes a change of the configuration.
+    """Configuration change proposed by an operator.
 
-    :param based_on: version that the operator has seen; ``None`` for any.
+    :param based_on: expected current version; ``None`` for any.
     """
 
     call: int
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusAsked:
-    """An operator asks for the configuration and state of this process."""
+    """Operator's request for the configuration and state of this process."""
 
     call: int
 
@@ -69,10 +69,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Effect: the answer to a call.
+    """Effect that answers a call.
 
-    :param answer: a :class:`agatepick.types.JobAnswer` for callers; for
-        operators the verdict on a change or a status object.
+    :param answer: a :class:`agatepick.types.JobAnswer` for callers, or a
+        status object or the verdict on a change for operators.
     """
 
     call: int
@@ -80,15 +80,15 @@
 
 
 class Calls:
-    """Open calls of one process.
+    """Pending calls of one process.
 
-    :param feed: takes an event into the reducer and carries out its effects;
-        it may call :meth:`reply` before it returns.
-    :param limit: calls that may be open at once.
+    :param feed: passes an event to the reducer and executes its effects; it
+        may call :meth:`reply` before it returns.
+    :param limit: maximum number of pending calls.
     """
 
     def __init__(
-        self, feed: typing.Callable[[Event], None], limit: int = MAX_OPEN
+        self, feed: typing.Callable[[Event], None], limit: int = MAX_OPEN_CALLS
     ):
         self._feed = feed
         self._limit = limit
@@ -99,13 +99,14 @@
         return len(self._open)
 
     async def call(self, make: typing.Callable[[int], Event]) -> object:
-        """Feed the event that ``make`` builds; return the reply's answer.
+        """Feed the event built by ``make`` and return the answer to it.
 
-        A caller that goes away cancels the wait, not what it asked for.
+        Cancelling this coroutine ends only the wait: the reducer still
+        processes the event.
 
-        :param make: builds the event from the number of the call.
-        :raises agatepick.exceptions.TooManyCalls: if too many calls are
-            open; the event was not fed.
+        :param make: builds the event from the call number.
+        :raises agatepick.exceptions.TooManyCalls: if the limit of pending
+            calls is reached; the event is not fed.
         """
         if len(self._open) >= self._limit:
             raise exceptions.TooManyCalls(
@@ -121,7 +122,7 @@
             self._open.pop(number, None)
 
     def reply(self, reply: Reply) -> None:
-        """Hand an answer to its call; dropped if nobody waits any more."""
+        """Resolve a pending call; the reply to a cancelled call is dropped."""
         fut = self._open.get(reply.call)
         if fut is not None and not fut.done():
             fut.set_result(reply.answer)
--- a/src/agatepick/api/job_bodies.py
+++ b/src/agatepick/api/job_bodies.py
@@ -1,7 +1,7 @@
-"""The JSON of jobs and answers, checked and turned into our own types.
+"""JSON bodies of jobs and answers: validation and conversion.
 
-These are ``msgspec`` structures and not data classes, because only those
-refuse a member that they don't know.
+The bodies are ``msgspec`` structures rather than data classes, because only
+structures can reject unknown members.
 """
 
 import typing
@@ -12,8 +12,8 @@
 from agatepick.api import web
 from agatepick import types
 
-DEFAULT_TIMEOUT = 10.0
-MAX_TIMEOUT = 300.0
+DEFAULT_TIMEOUT_SECONDS = 10.0
+MAX_TIMEOUT_SECONDS = 300.0
 
 _Text = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
@@ -49,7 +49,8 @@
     tasks: typing.Annotated[tuple[TaskBody, ...], msgspec.Meta(min_length=1)]
     team: typing.Annotated[str, msgspec.Meta(max_length=256)] = ''
     timeout_seconds: (
-        typing.Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT)] | None
+        typing.Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_SECONDS)]
+        | None
     ) = None
     deadline: typing.Annotated[float, msgspec.Meta(gt=0)] | None = None
     urgent: bool = False
@@ -83,13 +84,13 @@
 def job_spec(
     body: bytes, key: str, team: str | None, now: float, max_tasks: int
 ) -> types.JobSpec:
-    """The job that a request's body describes.
+    """Return the job described by a request body.
 
-    :param team: the team of the caller's token; ``None`` if callers need no
-        token, and the body names it.
-    :raises agatepick.api.web.Refused: naming the field at fault.
+    :param team: team of the caller's token; ``None`` if callers need no
+        token and the body names the team.
+    :raises agatepick.api.web.Refused: with the name of the invalid field.
     """
-    parsed = _parsed(body)
+    parsed = _decode_job(body)
     if len(parsed.tasks) > max_tasks:
         raise web.Refused(
             413,
@@ -97,20 +98,24 @@
             f'{len(parsed.tasks)} tasks; allowed: {max_tasks}',
             field='$.tasks',
         )
-    _check_ids(parsed.tasks)
+    _check_task_ids(parsed.tasks)
     if parsed.deadline is not None and parsed.timeout_seconds is not None:
-        raise _bad_field('$.deadline', 'give deadline or timeout_seconds')
+        raise _make_field_rejection(
+            '$.deadline', 'give deadline or timeout_seconds'
+        )
     deadline = parsed.deadline or now + (
-        parsed.timeout_seconds or DEFAULT_TIMEOUT
+        parsed.timeout_seconds or DEFAULT_TIMEOUT_SECONDS
     )
-    # A deadline that has passed is left to the owner: the job may have run,
-    # and refused here as "not run" its caller would hand it in anew.
-    if deadline > now + MAX_TIMEOUT:
-        raise _bad_field('$.deadline', f'is over {MAX_TIMEOUT:g} s ahead')
+    # Only the owner rejects an expired deadline.  The job may have run, and
+    # after "not run" from here the caller would submit it again.
+    if deadline > now + MAX_TIMEOUT_SECONDS:
+        raise _make_field_rejection(
+            '$.deadline', f'is over {MAX_TIMEOUT_SECONDS:g} s ahead'
+        )
     return types.JobSpec(
         key=key,
-        team=_team(parsed, team),
-        tasks=tuple(_task_spec(task) for task in parsed.tasks),
+        team=_resolve_team(parsed, team),
+        tasks=tuple(_make_task_spec(task) for task in parsed.tasks),
         deadline=deadline,
         urgent=parsed.urgent,
         zones=parsed.zones,
@@ -118,35 +123,35 @@
     )
 
 
-def _parsed(body: bytes) -> JobBody:
+def _decode_job(body: bytes) -> JobBody:
     try:
         return msgspec.json.decode(body, type=JobBody)
     except msgspec.ValidationError as exc:
         detail, _, field = str(exc).partition(' - at `')
-        raise _bad_field(field.rstrip('`') or '$', detail) from exc
+        raise _make_field_rejection(field.rstrip('`') or '$', detail) from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise web.Refused(400, 'bad_json', f'not JSON: {exc}') from exc
 
 
-def _bad_field(field: str, detail: str) -> web.Refused:
+def _make_field_rejection(field: str, detail: str) -> web.Refused:
     return web.Refused(422, 'bad_field', f'{field}: {detail}', field=field)
 
 
-def _check_ids(tasks: tuple[TaskBody, ...]) -> None:
-    seen: dict[str, int] = {}
+def _check_task_ids(tasks: tuple[TaskBody, ...]) -> None:
+    index_by_id: dict[str, int] = {}
     for index, task in enumerate(tasks):
-        first = seen.setdefault(task.id, index)
+        first = index_by_id.setdefault(task.id, index)
         if first != index:
-            raise _bad_field(
+            raise _make_field_rejection(
                 f'$.tasks[{index}].id',
                 f'{task.id!r} is the id of $.tasks[{first}] too',
             )
 
 
-def _team(parsed: JobBody, team: str | None) -> str:
+def _resolve_team(parsed: JobBody, team: str | None) -> str:
     if team is None:
         if not parsed.team:
-            raise _bad_field('$.team', 'is missing')
+            raise _make_field_rejection('$.team', 'is missing')
         return parsed.team
     if parsed.team not in ('', team):
         raise web.Refused(
@@ -158,11 +163,11 @@
     return team
 
 
-def _task_spec(task: TaskBody) -> types.TaskSpec:
+def _make_task_spec(task: TaskBody) -> types.TaskSpec:
     return types.TaskSpec(
         id=task.id,
         kind=task.kind,
-        payload=_payload(task.payload),
+        payload=_encode_payload(task.payload),
         needs=types.Needs(
             task.needs.cpu, task.needs.memory_mb, task.needs.accelerators
         ),
@@ -170,23 +175,24 @@
     )
 
 
-def task_reply(task: types.TaskAnswer) -> TaskReply:
-    """The JSON of one task's outcome."""
+def make_task_reply(task: types.TaskAnswer) -> TaskReply:
+    """Return the JSON structure for the outcome of one task."""
     return TaskReply(
         id=task.id,
         outcome=task.outcome.value,
-        body=_raw(task.body),
+        body=_encode_upstream_body(task.body),
         reason=task.reason,
         step=task.step,
         peer=task.peer,
     )
 
 
-def _raw(body: bytes) -> msgspec.Raw | msgspec.UnsetType:
-    """An upstream's body to put into the answer as it is.
+def _encode_upstream_body(body: bytes) -> msgspec.Raw | msgspec.UnsetType:
+    """Return an upstream's response body for inclusion in the answer.
 
-    Bytes that are no JSON would break the whole answer, so that a caller
-    could read none of its other tasks; they are passed on as text.
+    JSON is included unchanged.  Other bytes would make the whole answer
+    unreadable, with the results of all other tasks, so they are encoded as a
+    JSON string.
     """
     if not body:
         return msgspec.UNSET
@@ -197,7 +203,7 @@
         return msgspec.Raw(msgspec.json.encode(text))
 
 
-def _payload(payload: msgspec.Raw | msgspec.UnsetType) -> bytes:
+def _encode_payload(payload: msgspec.Raw | msgspec.UnsetType) -> bytes:
     return (
         b'null' if isinstance(payload, msgspec.UnsetType) else bytes(payload)
     )
--- a/src/agatepick/api/openapi.py
+++ b/src/agatepick/api/openapi.py
@@ -1,8 +1,8 @@
-"""Builds the OpenAPI document of the HTTP side from the code's own types.
+"""Generator of the OpenAPI document for the HTTP API.
 
-The document is kept as ``openapi.json`` in the package; a test holds it
-against this module, and this module against the server's routes.  Write it
-anew with ``python -m agatepick.api.openapi > src/agatepick/api/openapi.json``.
+The document is stored as ``openapi.json`` in the package; tests compare it
+with the output of this module and with the server's routes.  Regenerate it
+with ``python -m agatepick.api.openapi > src/agatepick/api/openapi.json``.
 """
 
 import importlib.metadata
@@ -23,12 +23,12 @@
 _Json = dict[str, typing.Any]
 
 CHANGES: tuple[type, ...] = tuple(
-    one
-    for one in typing.get_args(cluster.Change)
-    if one is not cluster.EntryListed
+    change
+    for change in typing.get_args(cluster.Change)
+    if change is not cluster.EntryListed
 )
-"""Changes that an operator may propose; entries list themselves."""
-BODIES: tuple[type, ...] = (
+"""Changes that operators may propose; only entries propose EntryListed."""
+SCHEMA_TYPES: tuple[type, ...] = (
     *CHANGES,
     job_bodies.JobBody,
     job_bodies.JobReply,
@@ -42,8 +42,8 @@
 )
 
 
-def document() -> _Json:
-    """The whole document."""
+def build_document() -> _Json:
+    """Return the OpenAPI document."""
     return {
         'openapi': '3.1.0',
         'info': {
@@ -55,9 +55,9 @@
                 'work.'
             ),
         },
-        'paths': {**_caller_paths(), **_operator_paths()},
+        'paths': {**_build_caller_paths(), **_build_operator_paths()},
         'components': {
-            'schemas': _schemas(),
+            'schemas': _build_schemas(),
             'securitySchemes': {
                 'team': {'type': 'http', 'scheme': 'bearer'},
                 'operator': {'type': 'http', 'scheme': 'bearer'},
@@ -66,26 +66,28 @@
     }
 
 
-def text() -> str:
-    """The document as the file holds it."""
-    return json.dumps(document(), indent=2, sort_keys=True) + '\n'
+def render() -> str:
+    """Return the text of ``openapi.json``."""
+    return json.dumps(build_document(), indent=2, sort_keys=True) + '\n'
 
 
-def _schemas() -> _Json:
-    _, found = msgspec.json.schema_components(BODIES, ref_template=_REF)
-    return found
+def _build_schemas() -> _Json:
+    _, schemas = msgspec.json.schema_components(
+        SCHEMA_TYPES, ref_template=_REF
+    )
+    return schemas
 
 
-def _ref(kind: type) -> _Json:
+def _make_ref(kind: type) -> _Json:
     return {'$ref': _REF.format(name=kind.__name__)}
 
 
-def _content(kind: type | None, media: str = web.JSON) -> _Json:
-    schema = {} if kind is None else _ref(kind)
+def _make_content(kind: type | None, media: str = web.JSON) -> _Json:
+    schema = {} if kind is None else _make_ref(kind)
     return {media: {'schema': schema}}
 
 
-def _operation(
+def _build_operation(
     summary: str,
     answers: dict[int, tuple[str, type | None]],
     *,
@@ -113,33 +115,33 @@
         'summary': summary,
         'parameters': parameters,
         'responses': {
-            str(status): {'description': words, 'content': _content(kind)}
+            str(status): {'description': words, 'content': _make_content(kind)}
             for status, (words, kind) in answers.items()
         },
     }
     operation['responses']['default'] = {
         'description': 'refused, failed, or not known: see "run" and "code"',
-        'content': _content(web.Problem, web.PROBLEM),
+        'content': _make_content(web.Problem, web.PROBLEM),
     }
     if body is not None:
         operation['requestBody'] = {
             'required': True,
-            'content': _content(body),
+            'content': _make_content(body),
         }
     if security:
         operation['security'] = [{security: []}]
     return operation
 
 
-def _any_change() -> _Json:
-    refs = [_ref(one) for one in CHANGES]
+def _build_change_body() -> _Json:
+    refs = [_make_ref(change) for change in CHANGES]
     return {
         'required': True,
         'content': {web.JSON: {'schema': {'oneOf': refs}}},
     }
 
 
-def _caller_paths() -> _Json:
+def _build_caller_paths() -> _Json:
     job = job_bodies.JobReply
     answers: dict[int, tuple[str, type | None]] = {
         200: ('complete: every task finished', job),
@@ -147,7 +149,7 @@
     }
     return {
         '/v1/jobs': {
-            'post': _operation(
+            'post': _build_operation(
                 'Hand in a job',
                 answers,
                 body=job_bodies.JobBody,
@@ -156,10 +158,10 @@
             )
         },
         '/v1/jobs/{id}': {
-            'get': _operation(
+            'get': _build_operation(
                 'How a job stands', answers, path=('id',), security='team'
             ),
-            'delete': _operation(
+            'delete': _build_operation(
                 'Cancel a job',
                 {**answers, 200: ('cancelled, or ended before', job)},
                 path=('id',),
@@ -169,40 +171,40 @@
     }
 
 
-def _operator_paths() -> _Json:
+def _build_operator_paths() -> _Json:
     verdict: dict[int, tuple[str, type | None]] = {
         200: ('accepted', operators.VerdictReply)
     }
     match = ('If-Match',)
     return {
         '/v1/config': {
-            'get': _operation(
+            'get': _build_operation(
                 'The configuration, with its version as ETag',
                 {200: ('the configuration', operators.ConfigReply)},
             ),
             'post': {
-                **_operation('Any change', verdict, headers=match),
-                'requestBody': _any_change(),
+                **_build_operation('Any change', verdict, headers=match),
+                'requestBody': _build_change_body(),
             },
         },
         '/v1/presets': {
-            'get': _operation(
+            'get': _build_operation(
                 'The presets', {200: ('presets', operators.PresetsReply)}
             )
         },
         '/v1/presets/{name}': {
-            'put': _operation(
+            'put': _build_operation(
                 'Switch to a preset', verdict, headers=match, path=('name',)
             )
         },
         '/v1/zones': {
-            'get': _operation(
+            'get': _build_operation(
                 'The availability zones',
                 {200: ('zones', operators.ZonesReply)},
             )
         },
         '/v1/zones/{name}': {
-            'put': _operation(
+            'put': _build_operation(
                 'Take a zone out of service, or return it',
                 verdict,
                 body=operators.ZoneBody,
@@ -211,17 +213,19 @@
             )
         },
         '/v1/status': {
-            'get': _operation('State of the entry', {200: ('state', None)})
+            'get': _build_operation(
+                'State of the entry', {200: ('state', None)}
+            )
         },
         '/v1/timeline': {
-            'get': _operation(
+            'get': _build_operation(
                 'Events of the entry, a line of JSON each',
                 {200: ('events', None)},
                 query=('job', 'task', 'zone'),
             )
         },
         '/healthz': {
-            'get': _operation(
+            'get': _build_operation(
                 'Whether a balancer may send requests here',
                 {
                     200: ('ready', operators.Health),
@@ -234,4 +238,4 @@
 
 
 if __name__ == '__main__':
-    sys.stdout.write(text())
+    sys.stdout.write(render())
--- a/src/agatepick/api/operators.py
+++ b/src/agatepick/api/operators.py
@@ -1,9 +1,9 @@
-"""Operators' HTTP: configuration, presets, zones, status and time line.
+"""HTTP API for operators: configuration, presets, zones, status, timeline.
 
-Every call but the health check needs the operators' bearer token.  A change
-may name the version that it was based on (``If-Match``, from an ``ETag``):
-if another change has won since, it is refused as a conflict that names the
-version which won, and nothing of it is written.
+Every request except the health check needs the operators' bearer token.  A
+change may name the version that it is based on (``If-Match`` with the value of
+an ``ETag``).  If a different version has been accepted since, the change is
+rejected as a conflict that names this version, and nothing is written.
 """
 
 import re
@@ -18,14 +18,14 @@
 from agatepick import exceptions
 
 JSON_LINES = 'application/jsonl'
-STATUS_OF_VERDICT = {
+HTTP_STATUS_BY_VERDICT = {
     'accepted': 200,
     'conflict': 409,
     'invalid': 422,
     'unavailable': 503,
     'unknown': 504,
 }
-UNAVAILABLE_RETRY = 1.0
+UNAVAILABLE_RETRY_SECONDS = 1.0
 _ETAG = re.compile(r'^(?:W/)?"(\d{1,18})"$')
 _NAME = r'([A-Za-z0-9][A-Za-z0-9._-]{0,62})'
 
@@ -92,21 +92,21 @@
 
 
 class ConfigurationView(typing.Protocol):
-    """What a status tells of the configuration."""
+    """Configuration part of an entry's status."""
 
     @property
     def in_force(self) -> cluster.ClusterConfig:
-        """The version in force now."""
+        """Configuration in force now."""
         ...
 
     @property
     def accepted(self) -> cluster.ClusterConfig:
-        """The last version."""
+        """Configuration accepted last."""
         ...
 
 
 class StatusView(typing.Protocol):
-    """What handlers need of an entry's status."""
+    """Part of an entry's status that the handlers use."""
 
     @property
     def configuration(self) -> ConfigurationView:
@@ -120,7 +120,7 @@
 
 
 def routes(front: web.Front) -> list[tornado.routing.URLSpec]:
-    """Routes of the operators' side."""
+    """Return the routes of the operators' API."""
     args = {'front': front}
     return [
         tornado.routing.URLSpec(pattern, handler, args)
@@ -136,7 +136,7 @@
 
 
 def process_routes(front: web.Front) -> list[tornado.routing.URLSpec]:
-    """Routes that any process serves: its time line and its health."""
+    """Return the routes of every process: timeline and health check."""
     args = {'front': front}
     return [
         tornado.routing.URLSpec(r'/v1/timeline', Timeline, args),
@@ -145,14 +145,14 @@
 
 
 class OperatorHandler(web.Handler):
-    """Base of the operators' handlers: checks the token first."""
+    """Base class of the operators' handlers; verifies the token."""
 
-    run_if_refused = ''
+    run_if_rejected = ''
 
     def prepare(self) -> None:
         super().prepare()
-        if not web.same_token(
-            web.bearer(self.request), self.front.tokens.operator
+        if not web.tokens_equal(
+            web.get_bearer_token(self.request), self.front.tokens.operator
         ):
             raise web.Refused(
                 401,
@@ -162,23 +162,23 @@
                 headers={'WWW-Authenticate': 'Bearer'},
             )
 
-    async def status(self) -> StatusView:
-        """The entry's status."""
+    async def fetch_entry_status(self) -> StatusView:
+        """Return the status of the entry."""
         return typing.cast(
             StatusView, await self.front.calls.call(calls.StatusAsked)
         )
 
-    async def change(self, change: cluster.Change) -> None:
-        """Propose a change; answer with its verdict."""
-        based_on = self._based_on()
+    async def propose_change(self, change: cluster.Change) -> None:
+        """Propose a change and send its verdict."""
+        based_on = self._parse_if_match()
         proposed = typing.cast(
             cluster.Proposed,
             await self.front.calls.call(
                 lambda number: calls.ChangeProposed(number, change, based_on)
             ),
         )
-        self._tag(proposed.version)
-        status = STATUS_OF_VERDICT[proposed.verdict]
+        self._set_etag(proposed.version)
+        status = HTTP_STATUS_BY_VERDICT[proposed.verdict]
         if status == 200:
             reply = VerdictReply(
                 proposed.verdict,
@@ -190,128 +190,130 @@
             return
         if proposed.verdict == 'conflict' and based_on is not None:
             status = 412
-        self.send_problem(_problem(proposed, status))
+        self.send_problem(_make_problem(proposed, status))
 
-    def send_tagged(self, reply: msgspec.Struct, version: int) -> None:
-        """Answer with JSON, tagged by the configuration's version."""
-        self._tag(version)
+    def send_with_etag(self, reply: msgspec.Struct, version: int) -> None:
+        """Send JSON with the configuration version as ``ETag``."""
+        self._set_etag(version)
         self.send_json(200, msgspec.json.encode(reply))
 
-    def _tag(self, version: int) -> None:
+    def _set_etag(self, version: int) -> None:
         self.set_header('ETag', f'"{version}"')
 
-    def _based_on(self) -> int | None:
+    def _parse_if_match(self) -> int | None:
         header = self.request.headers.get('If-Match', '*').strip()
         if header == '*':
             return None
-        found = _ETAG.match(header)
-        if found is None:
-            raise self.refused(
+        match = _ETAG.match(header)
+        if match is None:
+            raise self.make_rejection(
                 400, 'bad_if_match', f'If-Match: found {header[:60]!r}'
             )
-        return int(found[1])
+        return int(match[1])
 
 
 class Config(OperatorHandler):
-    """``/v1/config``."""
+    """Resource ``/v1/config``."""
 
     async def get(self) -> None:
-        """The whole configuration."""
-        view = (await self.status()).configuration
+        """Return the whole configuration."""
+        view = (await self.fetch_entry_status()).configuration
         version = view.accepted.version
-        self.send_tagged(
+        self.send_with_etag(
             ConfigReply(version, view.in_force, view.accepted), version
         )
 
     async def post(self) -> None:
-        """Any change, as ``{"kind": ..., ...}``."""
-        self.body_is_whole()
+        """Propose any change, given as ``{"kind": ..., ...}``."""
+        self.mark_body_complete()
         try:
-            change = cluster.change_from_json(self.take_body())
+            change = cluster.change_from_json(self.get_body())
         except exceptions.BadChange as exc:
-            raise self.refused(422, 'bad_change', exc.message) from exc
+            raise self.make_rejection(422, 'bad_change', exc.message) from exc
         if isinstance(change, cluster.EntryListed):
-            raise self.refused(
+            raise self.make_rejection(
                 422, 'bad_change', 'entries list themselves when they start'
             )
-        await self.change(change)
+        await self.propose_change(change)
 
 
 class Presets(OperatorHandler):
-    """``/v1/presets``."""
+    """Resource ``/v1/presets``."""
 
     async def get(self) -> None:
-        """The presets, and which is in force."""
-        view = (await self.status()).configuration
+        """Return the presets and the name of the one in force."""
+        view = (await self.fetch_entry_status()).configuration
         reply = PresetsReply(
             view.accepted.version,
             view.in_force.preset,
             view.accepted.preset,
             cluster.PRESETS,
         )
-        self.send_tagged(reply, reply.version)
+        self.send_with_etag(reply, reply.version)
 
 
 class Preset(OperatorHandler):
-    """``/v1/presets/{name}``."""
+    """Resource ``/v1/presets/{name}``."""
 
     async def put(self, name: str) -> None:
         """Switch to this preset."""
-        self.body_is_whole()
+        self.mark_body_complete()
         if name not in cluster.PRESETS:
-            raise self.refused(
+            raise self.make_rejection(
                 404,
                 'unknown_preset',
                 f'found {name!r}; allowed: {", ".join(cluster.PRESETS)}',
             )
-        await self.change(cluster.PresetUse(name))
+        await self.propose_change(cluster.PresetUse(name))
 
 
 class Zones(OperatorHandler):
-    """``/v1/zones``."""
+    """Resource ``/v1/zones``."""
 
     async def get(self) -> None:
-        """The zones that agents are in or that the configuration names."""
-        status = await self.status()
+        """Return the zones of agents and of the configuration."""
+        status = await self.fetch_entry_status()
         view = status.configuration
         named = {zone.name for zone in view.accepted.zones}
         zones = tuple(
-            _zone_reply(name, view)
+            _make_zone_reply(name, view)
             for name in sorted(named.union(status.zones))
         )
         reply = ZonesReply(view.accepted.version, zones)
-        self.send_tagged(reply, reply.version)
+        self.send_with_etag(reply, reply.version)
 
 
 class Zone(OperatorHandler):
-    """``/v1/zones/{name}``."""
+    """Resource ``/v1/zones/{name}``."""
 
     async def put(self, name: str) -> None:
-        """Take the zone out of service, or return it."""
-        self.body_is_whole()
+        """Take the zone out of service or return it to service."""
+        self.mark_body_complete()
         try:
-            body = msgspec.json.decode(self.take_body(), type=ZoneBody)
+            body = msgspec.json.decode(self.get_body(), type=ZoneBody)
         except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
-            raise self.refused(422, 'bad_field', str(exc)) from exc
+            raise self.make_rejection(422, 'bad_field', str(exc)) from exc
         if body.state == 'out':
-            await self.change(cluster.ZoneOut(name))
+            await self.propose_change(cluster.ZoneOut(name))
         else:
-            await self.change(cluster.ZoneIn(name))
+            await self.propose_change(cluster.ZoneIn(name))
 
 
 class Status(OperatorHandler):
-    """``/v1/status``."""
+    """Resource ``/v1/status``."""
 
     async def get(self) -> None:
-        """State of this entry."""
-        self.send_json(200, msgspec.json.encode(await self.status()))
+        """Return the state of this entry."""
+        self.send_json(
+            200, msgspec.json.encode(await self.fetch_entry_status())
+        )
 
 
 class Timeline(OperatorHandler):
-    """``/v1/timeline``."""
+    """Resource ``/v1/timeline``."""
 
     async def get(self) -> None:
-        """This process's events, a line of JSON each."""
+        """Return the events of this process as JSON lines."""
         names = ('job', 'task', 'zone')
         wanted = {name: self.get_query_argument(name, '') for name in names}
         lines = self.front.timeline.lines(**wanted)
@@ -320,33 +322,33 @@
 
 
 class Healthz(web.Handler):
-    """``/healthz``."""
+    """Resource ``/healthz``."""
 
-    run_if_refused = ''
+    run_if_rejected = ''
 
     async def get(self) -> None:
-        """200 if a balancer may send requests here, else 503."""
+        """Return 200 if a balancer may send requests here, else 503."""
         ready = self.front.ready()
         self.send_json(
             200 if ready else 503, msgspec.json.encode(Health(ready))
         )
 
 
-def _zone_reply(name: str, view: ConfigurationView) -> ZoneReply:
+def _make_zone_reply(name: str, view: ConfigurationView) -> ZoneReply:
     zone = view.accepted.zone(name)
     return ZoneReply(
         name,
-        _state(view.in_force.zone_out(name)),
-        _state(view.accepted.zone_out(name)),
+        _format_state(view.in_force.zone_out(name)),
+        _format_state(view.accepted.zone_out(name)),
         0.0 if zone is None else zone.since,
     )
 
 
-def _state(out: bool) -> str:
+def _format_state(out: bool) -> str:
     return 'out' if out else 'in'
 
 
-_DETAILS = {
+_VERDICT_DETAILS = {
     'conflict': 'another change won; nothing of this one was written',
     'invalid': 'the change is not valid; nothing was written',
     'unavailable': 'the table service did not take the change',
@@ -357,11 +359,11 @@
 }
 
 
-def _problem(proposed: cluster.Proposed, status: int) -> web.Problem:
-    detail = _DETAILS[proposed.verdict]
+def _make_problem(proposed: cluster.Proposed, status: int) -> web.Problem:
+    detail = _VERDICT_DETAILS[proposed.verdict]
     if proposed.reason:
         detail = f'{detail}: {proposed.reason}'
-    retry = UNAVAILABLE_RETRY if status == 503 else 0.0
+    retry = UNAVAILABLE_RETRY_SECONDS if status == 503 else 0.0
     return web.Problem(
         title=web.title_of(status),
         status=status,
--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -1,7 +1,7 @@
-"""What all HTTP handlers share: limits, tokens and problem documents.
+"""Common parts of HTTP handlers: limits, tokens and problem documents.
 
-Every refusal is an ``application/problem+json`` document whose ``run`` field
-says what became of the work: ``not_run``, ``failed`` or ``pending``.
+Every rejection is an ``application/problem+json`` document whose ``run`` field
+is the status of the work: ``not_run``, ``failed`` or ``pending``.
 """
 
 import asyncio
@@ -27,29 +27,30 @@
 PROBLEM = 'application/problem+json'
 JSON = 'application/json'
 HARD_LIMIT_FACTOR = 4
-"""Past its own limit a request gets a clear refusal; past this many times
-the limit the connection is cut, so a hostile peer can't fill the memory."""
-BUSY_RETRY = 1.0
+"""A request over its limit gets a problem document; over this multiple of
+the limit the connection is closed, so that a hostile peer can't exhaust the
+memory."""
+BUSY_RETRY_SECONDS = 1.0
 
 _log = logging.getLogger(__name__)
 
 
-class Timelike(typing.Protocol):
-    """Where the time line of this process is kept."""
+class TimelineReader(typing.Protocol):
+    """Read access to the timeline of this process."""
 
     def lines(
         self, job: str = '', task: str = '', zone: str = ''
     ) -> list[bytes]:
-        """Kept events that match, each a line of JSON, oldest first."""
+        """Return the matching events as JSON lines, oldest first."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Front:
-    """What handlers work with.
+    """Dependencies of the HTTP handlers.
 
-    :param name: name of this process, as the peer in errors.
-    :param ready: whether a balancer may send requests here.
+    :param name: name of this process, reported as the peer in errors.
+    :param ready: returns whether a balancer may send requests here.
     """
 
     name: types.PeerName
@@ -57,7 +58,7 @@
     clock: types.Clock
     limits: settings.Http
     tokens: settings.Tokens
-    timeline: Timelike
+    timeline: TimelineReader
     ready: typing.Callable[[], bool] = lambda: True
     measured: metrics.Metrics = dataclasses.field(
         default_factory=metrics.Metrics
@@ -87,9 +88,9 @@
 
 
 class Refused(Exception):
-    """Ends a request with a problem document.
+    """Rejection of a request by a problem document.
 
-    :param headers: further headers of the answer.
+    :param headers: additional response headers.
     """
 
     def __init__(
@@ -118,31 +119,31 @@
 
 
 def title_of(status: int) -> str:
-    """The standard phrase of an HTTP status."""
+    """Return the standard reason phrase of an HTTP status."""
     return http.HTTPStatus(status).phrase
 
 
 @tornado.web.stream_request_body
 class Handler(tornado.web.RequestHandler):
-    """Base of all handlers: takes the body within limits, shows problems.
+    """Base class of all handlers: limits the body and reports problems.
 
-    The body is taken as a stream so that a request over a limit is answered
-    with a problem document rather than by a cut connection.
+    The body is streamed, so that a request over a limit is answered with a
+    problem document instead of a closed connection.
     """
 
-    run_if_refused = types.JobStatus.NOT_RUN.value
-    """What a refusal of this handler says about the work."""
+    run_if_rejected = types.JobStatus.NOT_RUN.value
+    """Value of ``run`` when this handler rejects a request."""
 
     def initialize(self, front: Front) -> None:
-        """Take what handlers work with."""
+        """Store the dependencies of the handler."""
         self.front = front
         self._body = bytearray()
-        self._over = False
-        self._idle: asyncio.TimerHandle | None = None
+        self._body_over_limit = False
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     @property
     def body(self) -> bytes:
-        """The whole body of the request."""
+        """Body of the request as received so far."""
         return bytes(self._body)
 
     def set_default_headers(self) -> None:
@@ -150,66 +151,69 @@
 
     def prepare(self) -> None:
         limits = self.front.limits
-        taken = sum(
+        header_bytes = sum(
             len(name) + len(value) + 4
             for name, value in self.request.headers.get_all()
         )
-        if taken > limits.max_header_bytes:
-            self._close_after()
-            raise self.refused(
+        if header_bytes > limits.max_header_bytes:
+            self._close_after_response()
+            raise self.make_rejection(
                 431,
                 'headers_too_large',
-                f'headers take {taken} bytes; allowed: '
+                f'headers take {header_bytes} bytes; allowed: '
                 f'{limits.max_header_bytes}',
             )
         length = self.request.headers.get('Content-Length', '0')
         if length.isdigit() and int(length) > limits.max_body_bytes:
-            self._close_after()
-            raise self._too_large(int(length))
-        self._idle = asyncio.get_running_loop().call_later(
-            limits.idle_seconds, self._body_is_late
+            self._close_after_response()
+            raise self._make_too_large(int(length))
+        self._idle_timer = asyncio.get_running_loop().call_later(
+            limits.idle_seconds, self._refuse_late_body
         )
 
     def data_received(self, chunk: bytes) -> None:
         if len(self._body) + len(chunk) > self.front.limits.max_body_bytes:
-            self._over = True
+            self._body_over_limit = True
             self._body.clear()
-        if not self._over:
+        if not self._body_over_limit:
             self._body += chunk
 
-    def take_body(self) -> bytes:
-        """The body, once it is whole and within the limit."""
-        if self._over:
-            raise self._too_large(None)
+    def get_body(self) -> bytes:
+        """Return the complete body.
+
+        :raises Refused: if the body is over the limit.
+        """
+        if self._body_over_limit:
+            raise self._make_too_large(None)
         return self.body
 
     def on_finish(self) -> None:
-        self._stop_idle()
+        self._cancel_idle_timer()
 
     def on_connection_close(self) -> None:
-        self._stop_idle()
+        self._cancel_idle_timer()
         super().on_connection_close()
 
-    def body_is_whole(self) -> None:
-        """Stop the idle limit: the caller has sent all it will send."""
-        self._stop_idle()
+    def mark_body_complete(self) -> None:
+        """Cancel the idle timer, since the whole body has arrived."""
+        self._cancel_idle_timer()
 
-    def run_if_not_taken(self) -> str:
-        """What to say of the work when a request isn't even looked at."""
-        return self.run_if_refused
+    def get_run_before_submission(self) -> str:
+        """Return the value of ``run`` if a request fails before submission."""
+        return self.run_if_rejected
 
-    def refused(self, status: int, code: str, detail: str) -> Refused:
-        """A refusal that says what this handler's refusals say of work."""
-        return Refused(status, code, detail, run=self.run_if_refused)
+    def make_rejection(self, status: int, code: str, detail: str) -> Refused:
+        """Return a rejection with this handler's value of ``run``."""
+        return Refused(status, code, detail, run=self.run_if_rejected)
 
     def send_json(self, status: int, data: bytes, kind: str = JSON) -> None:
-        """Answer with JSON."""
+        """Send a JSON response."""
         self.set_status(status)
         self.set_header('Content-Type', kind)
         self.finish(data)
 
     def send_problem(self, problem: Problem) -> None:
-        """Answer with a problem document and its ``Retry-After``."""
+        """Send a problem document, with ``Retry-After`` if it applies."""
         if problem.retry_after > 0:
             self.set_header('Retry-After', str(math.ceil(problem.retry_after)))
         shown = msgspec.structs.replace(
@@ -230,14 +234,14 @@
                     title=title_of(503),
                     status=503,
                     detail=exc.message,
-                    run=self.run_if_not_taken(),
+                    run=self.get_run_before_submission(),
                     code='busy',
                     step=exc.step,
-                    retry_after=BUSY_RETRY,
+                    retry_after=BUSY_RETRY_SECONDS,
                 )
             )
             return
-        self.send_problem(self._unforeseen(status_code, exc))
+        self.send_problem(self._make_unexpected_problem(status_code, exc))
 
     def log_exception(
         self,
@@ -257,13 +261,13 @@
             error=f'{type(value).__name__}: {value}',
         )
 
-    def _unforeseen(self, status: int, exc: object) -> Problem:
-        """A problem for what no handler foresaw.
+    def _make_unexpected_problem(self, status: int, exc: object) -> Problem:
+        """Return the problem document for an unexpected exception.
 
-        Whether a job of a request that broke half way ran isn't known, so
-        it is pending: the caller asks again under the same key.
+        After a server error it is unknown whether the job has run, so ``run``
+        is ``pending`` and the caller retries with the same key.
         """
-        run = self.run_if_refused
+        run = self.run_if_rejected
         if status >= 500 and run:
             run = types.JobStatus.PENDING.value
         detail = title_of(status)
@@ -280,27 +284,27 @@
             peer=peer,
         )
 
-    def _too_large(self, length: int | None) -> Refused:
-        found = 'the body is' if length is None else f'{length} bytes is'
-        return self.refused(
+    def _make_too_large(self, length: int | None) -> Refused:
+        subject = 'the body is' if length is None else f'{length} bytes is'
+        return self.make_rejection(
             413,
             'body_too_large',
-            f'{found} over the limit of '
+            f'{subject} over the limit of '
             f'{self.front.limits.max_body_bytes} bytes',
         )
 
-    def _close_after(self) -> None:
+    def _close_after_response(self) -> None:
         self.set_header('Connection', 'close')
 
-    def _stop_idle(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-            self._idle = None
+    def _cancel_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
 
-    def _body_is_late(self) -> None:
+    def _refuse_late_body(self) -> None:
         if self._finished:
             return
-        self._close_after()
+        self._close_after_response()
         self.write_error(
             408,
             exc_info=(
@@ -310,7 +314,7 @@
                     'body_late',
                     f'the body was not whole after '
                     f'{self.front.limits.idle_seconds:g} s',
-                    run=self.run_if_not_taken(),
+                    run=self.get_run_before_submission(),
                 ),
                 None,
             ),
@@ -318,23 +322,25 @@
 
 
 class NotFound(Handler):
-    """Answers whatever no other handler takes."""
+    """Handler of paths that have no other handler."""
 
-    run_if_refused = ''
+    run_if_rejected = ''
 
     def prepare(self) -> None:
-        raise self.refused(404, 'no_such_path', f'no {self.request.path}')
+        raise self.make_rejection(
+            404, 'no_such_path', f'no {self.request.path}'
+        )
 
 
-def bearer(req: tornado.httputil.HTTPServerRequest) -> str:
-    """The bearer token of a request; empty if it has none."""
+def get_bearer_token(req: tornado.httputil.HTTPServerRequest) -> str:
+    """Return the bearer token of a request, or an empty string."""
     scheme, _, token = req.headers.get('Authorization', '').partition(' ')
     return token.strip() if scheme.lower() == 'bearer' else ''
 
 
-def same_token(one: str, other: str) -> bool:
-    """Whether two tokens are equal, in time that tells nothing of them."""
-    return hmac.compare_digest(one.encode(), other.encode())
+def tokens_equal(token: str, other_token: str) -> bool:
+    """Return whether two tokens are equal, in constant time."""
+    return hmac.compare_digest(token.encode(), other_token.encode())
 
 
 def server(
@@ -342,7 +348,7 @@
     routes: list[tornado.routing.URLSpec],
     tls: typing.Any = None,
 ) -> tornado.httpserver.HTTPServer:
-    """An HTTP server over routes, with the limits of its settings.
+    """Return an HTTP server for the routes, with the configured limits.
 
     :param tls: an ``ssl.SSLContext``, or ``None`` for plain HTTP.
     """
@@ -365,10 +371,10 @@
 
 def _log_request(handler: tornado.web.RequestHandler) -> None:
     if isinstance(handler, Handler):
-        found = handler.front.measured
-        found.count('http_requests', f'{handler.get_status() // 100}xx')
-        found.seconds('http_seconds', handler.request.request_time())
-        found.gauge('http_open', len(handler.front.calls))
+        recorder = handler.front.measured
+        recorder.count('http_requests', f'{handler.get_status() // 100}xx')
+        recorder.seconds('http_seconds', handler.request.request_time())
+        recorder.gauge('http_open', len(handler.front.calls))
     logs.event(
         _log,
         logging.DEBUG,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files share."""
+"""Fixtures shared by several test files."""
 
 import asyncio
 import dataclasses
@@ -27,7 +27,7 @@
 
 
 class FixedClock:
-    """A clock that tests set."""
+    """Clock with a time that tests set."""
 
     def __init__(self, now=NOW):
         self.instant = now
@@ -37,14 +37,14 @@
 
 
 class NoTimeline:
-    """A time line that keeps nothing."""
+    """Timeline that stores no events."""
 
     def lines(self, job='', task='', zone=''):
         return []
 
 
 class Site:
-    """An HTTP server over a fake reducer, and a client to it."""
+    """HTTP server with a fake reducer, and a client of it."""
 
     def __init__(self, front, routes):
         self.front = front
@@ -59,7 +59,7 @@
         return f'http://127.0.0.1:{self.port}'
 
     async def fetch(self, method, path, body=None, **headers):
-        """The response, whatever its status, with its JSON as ``data``."""
+        """Return the response of any status, with its JSON as ``data``."""
         if body is not None and not isinstance(body, bytes):
             body = json.dumps(body).encode()
         names = {key.replace('_', '-'): val for key, val in headers.items()}
@@ -81,17 +81,17 @@
 
 
 def bound():
-    """Sockets bound to a free port of the loopback."""
+    """Return sockets bound to a free loopback port."""
     return tornado.netutil.bind_sockets(0, '127.0.0.1')
 
 
 def never(event):
-    """A reducer that must not be reached."""
-    pytest.fail(f'reached by {event}')
+    """Fail the test, as a reducer that must not receive events."""
+    pytest.fail(f'unexpected event: {event}')
 
 
 def front_of(feed, clock, teams=None, **limits):
-    """What handlers work with, over a function as the reducer."""
+    """Return the handlers' dependencies, with a function as the reducer."""
     http = settings.Http(listen='127.0.0.1:0')
     return web.Front(
         name='entry-1',
@@ -104,7 +104,7 @@
 
 
 def site_of(feed):
-    """A served entry over a function as the reducer."""
+    """Return a running HTTP server with a function as the reducer."""
     built = front_of(feed, FixedClock())
     return Site(built, callers.routes(built))
 
@@ -116,7 +116,7 @@
 
 @pytest.fixture
 def front(clock):
-    """Builds what handlers work with, over a function as the reducer."""
+    """Builds the handlers' dependencies, with a function as the reducer."""
 
     def build(feed, teams=None, **limits):
         return front_of(feed, clock, teams, **limits)
@@ -126,9 +126,9 @@
 
 @pytest.fixture
 def serve(front):
-    """Runs a scenario against a server over a fake reducer.
+    """Runs a scenario against an HTTP server with a fake reducer.
 
-    ``answer(event)`` gives the reply to an event; ``None`` gives none.
+    ``answer(event)`` returns the reply to an event, or ``None`` for no reply.
     """
 
     def run(answer, scenario, routes=callers.routes, **options):
@@ -152,7 +152,7 @@
 
 @pytest.fixture
 def bench_answer():
-    """Builds a caller's answer to the bench's job ``key`` of two tasks."""
+    """Builds the answer to the bench job ``key``, which has two tasks."""
 
     def build(status=types.JobStatus.COMPLETE, *tasks, key='key'):
         return types.JobAnswer(key, status, tasks)
@@ -162,7 +162,7 @@
 
 @pytest.fixture
 def bench_finished():
-    """Builds the answer of one task that its upstream ran."""
+    """Builds the answer of a task that the upstream has run."""
 
     def build(place):
         task = bench_truth.task_id(place)
@@ -174,7 +174,7 @@
 
 @pytest.fixture
 def bench_seen():
-    """Builds what a bench run of one job of two tasks left behind."""
+    """Builds the evidence of a bench run of one job with two tasks."""
     tasks = (bench_arrivals.TaskPlan('k', 1.0, 1.0),) * 2
     job = bench_arrivals.JobPlan(0, 0.0, 'team', tasks)
     pattern = bench_plan.Pattern.STEADY
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -19,8 +19,8 @@
 }
 
 
-def answered(event):
-    """A reducer that finishes each task with its payload as the body."""
+def answer_complete(event):
+    """Answer a job as complete, with each task's payload as its body."""
     tasks = tuple(
         types.TaskAnswer(task.id, types.Outcome.FINISHED, task.payload)
         for task in event.job.tasks
@@ -28,16 +28,16 @@
     return types.JobAnswer(event.job.key, types.JobStatus.COMPLETE, tasks)
 
 
-def silent(event):
+def no_reply(event):
     return None
 
 
-def test_a_job_is_passed_on_whole_and_answered_under_the_callers_ids(serve):
+def test_a_job_is_submitted_and_answered_with_the_callers_ids(serve):
     events = []
 
     def answer(event):
         events.append(event)
-        return answered(event)
+        return answer_complete(event)
 
     async def scenario(site):
         return await site.fetch('POST', '/v1/jobs', JOB, Idempotency_Key=KEY)
@@ -57,32 +57,33 @@
     assert event.job.tasks[1].needs == types.Needs(cpu=1.5)
 
 
-def test_an_entry_mints_a_key_for_a_caller_who_sends_none(serve):
+def test_an_entry_generates_a_key_for_a_request_without_one(serve):
     async def scenario(site):
         return await site.fetch('POST', '/v1/jobs', JOB)
 
-    response = serve(answered, scenario)
+    response = serve(answer_complete, scenario)
     assert uuid.UUID(response.data['job']).version == 7
 
 
-def test_a_minted_key_is_stamped_by_the_entry_s_own_clock(serve):
+def test_a_generated_key_has_the_time_of_the_process_clock(serve):
     """The machine's clock is set forward while an entry runs.
 
-    The entry's own clock doesn't step.  Keys minted by the other one would be
-    ahead of it, and every job without a key be refused until a restart.
+    The entry's process clock doesn't step.  Generated keys with the machine's
+    time would be ahead of it, and the entry would reject every job without a
+    key until a restart.
     """
 
     async def scenario(site):
         return await site.fetch('POST', '/v1/jobs', JOB)
 
-    response = serve(answered, scenario)
+    response = serve(answer_complete, scenario)
     assert ownership.stamp(response.data['job']) == conftest.NOW
 
 
-def test_a_job_that_takes_long_is_pending_and_can_be_asked_for(serve):
-    """The work takes longer than an entry holds a request open.
+def test_a_long_job_is_pending_with_a_location(serve):
+    """A job runs longer than the entry holds the request open.
 
-    A caller gets the address where the answer will be, not an error.
+    The caller receives the URL to poll instead of an error.
     """
 
     async def scenario(site):
@@ -92,7 +93,7 @@
         assert len(site.front.calls) == 0
         return held
 
-    response = serve(silent, scenario)
+    response = serve(no_reply, scenario)
     assert response.code == 202
     assert response.data['run'] == 'pending'
     assert response.headers['Location'] == f'/v1/jobs/{KEY}'
@@ -112,10 +113,10 @@
 def test_a_job_that_did_not_complete_is_a_problem(
     serve, status, code, retry_after, http
 ):
-    """A job is refused at the door, or some of its tasks fail.
+    """A job is rejected by admission control, or some of its tasks fail.
 
-    The caller reads from one field whether anything ran, and from another
-    when to try again.
+    The response has one field that tells whether anything ran and another
+    with the retry delay.
     """
     task = types.TaskAnswer('a', types.Outcome.UNKNOWN, reason='agent lost')
 
@@ -180,9 +181,9 @@
 def test_a_request_over_a_limit_is_refused_as_not_run(
     serve, body, options, http, code
 ):
-    """A caller sends what is too large or isn't JSON.
+    """A caller sends a request that is too large or isn't JSON.
 
-    It reads which limit it broke, and that nothing ran.
+    The response names the limit and reports that nothing ran.
     """
 
     async def scenario(site):
@@ -195,10 +196,10 @@
 
 @pytest.mark.parametrize('key, run', [(KEY, 'pending'), (None, 'not_run')])
 def test_a_busy_entry_does_not_call_a_running_job_not_run(serve, key, run):
-    """A caller sends a job again, at an entry that can take no more.
+    """A caller resubmits a job at an entry that is at its call limit.
 
-    Its job may run already.  Told "not run" it would take a new key, and
-    two clubs would be booked onto one copy.
+    The job may already run.  After "not run" the caller would use a new key,
+    the job would run twice, and two clubs would be booked onto one copy.
     """
     headers = {'Idempotency-Key': key} if key else {}
 
@@ -212,23 +213,25 @@
     assert response.headers['Retry-After'] == '1'
 
 
-def test_a_deadline_that_has_passed_is_for_the_owner_to_judge(serve):
-    """A caller asks again for a job after the deadline in its body.
+def test_an_expired_deadline_is_checked_by_the_owner(serve):
+    """A caller resubmits a job after the deadline in its body.
 
-    The job may have run, so it is passed on and not refused at the door.
+    The job may have run, so the entry passes it to the owner instead of
+    rejecting it.
     """
     body = {**JOB, 'deadline': conftest.NOW - 5, 'timeout_seconds': None}
 
     async def scenario(site):
         return await site.fetch('POST', '/v1/jobs', body)
 
-    assert serve(answered, scenario).code == 200
+    assert serve(answer_complete, scenario).code == 200
 
 
-def test_a_body_that_never_ends_is_refused(serve):
+def test_an_incomplete_body_is_refused_after_the_idle_timeout(serve):
     """A caller's connection stalls in the middle of its request.
 
-    It is told so after the idle limit, and its place is free again.
+    After the idle timeout the caller receives an error and the connection is
+    released.
     """
 
     async def scenario(site):
@@ -256,23 +259,25 @@
 
 
 def test_a_token_names_the_team_of_its_caller(serve):
-    """One team's caller sends another team's name, or no token at all.
+    """A caller sends another team's name, or no token.
 
-    It is refused, so that no team uses up another's quota.
+    The request is rejected, so that no team can use another team's quota.
     """
-    good = {'Authorization': f'Bearer {conftest.TEAM_TOKEN}'}
+    token_header = {'Authorization': f'Bearer {conftest.TEAM_TOKEN}'}
     teams = []
 
     def answer(event):
         teams.append(event.job.team)
-        return answered(event)
+        return answer_complete(event)
 
     async def scenario(site):
         nameless = {**JOB, 'team': ''}
         other = {**JOB, 'team': 'curico'}
         return [
-            (await site.fetch('POST', '/v1/jobs', nameless, **good)).code,
-            (await site.fetch('POST', '/v1/jobs', other, **good)).code,
+            (
+                await site.fetch('POST', '/v1/jobs', nameless, **token_header)
+            ).code,
+            (await site.fetch('POST', '/v1/jobs', other, **token_header)).code,
             (await site.fetch('POST', '/v1/jobs', JOB)).code,
         ]
 
@@ -281,10 +286,11 @@
     assert teams == ['talca']
 
 
-def test_a_caller_that_goes_away_does_not_cancel_its_job(serve):
+def test_a_closed_connection_does_not_cancel_its_job(serve):
     """A caller's connection breaks while its request is held open.
 
-    The job goes on: only a DELETE ends it, and the answer can be asked for.
+    The job continues: only a DELETE cancels it, and the caller can still
+    query its answer.
     """
     events = []
 
@@ -329,8 +335,8 @@
     assert serve(answer, scenario) == [200, 409, 404, 404, 404, 405]
 
 
-def test_an_upstreams_body_that_is_no_json_leaves_the_answer_whole(serve):
-    """An upstream answers with bytes that are no JSON.
+def test_an_upstream_body_that_is_not_json_keeps_the_answer_valid(serve):
+    """An upstream responds with bytes that aren't JSON.
 
     The caller can still read the outcome of every task.
     """
@@ -344,4 +350,4 @@
 
     body = serve(answer, scenario).data['tasks'][0]['body']
     assert body.startswith('{"oh')
-    assert callers.job_key(f'"{KEY}"', conftest.NOW) == KEY
+    assert callers.parse_job_key(f'"{KEY}"', conftest.NOW) == KEY
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -6,56 +6,58 @@
 from agatepick import exceptions
 
 
-def test_crossed_replies_reach_the_calls_they_answer():
-    """Replies come in another order than the requests did.
+def test_replies_out_of_order_reach_their_calls():
+    """Replies arrive in a different order than the requests.
 
-    A user would get the answer to someone else's request.
+    Without call numbers, users would receive the answers to other requests.
     """
-    fed = []
-    book = calls.Calls(fed.append)
+    events = []
+    pending_calls = calls.Calls(events.append)
 
     async def scenario():
-        asked = [
+        tasks = [
             asyncio.create_task(
-                book.call(lambda n, k=key: calls.JobAsked(n, k, 'team'))
+                pending_calls.call(
+                    lambda n, k=key: calls.JobAsked(n, k, 'team')
+                )
             )
             for key in 'abc'
         ]
         await asyncio.sleep(0)
-        for event in reversed(fed):
-            book.reply(calls.Reply(event.call, event.key.upper()))
-        return await asyncio.gather(*asked)
+        for event in reversed(events):
+            pending_calls.reply(calls.Reply(event.call, event.key.upper()))
+        return await asyncio.gather(*tasks)
 
     assert asyncio.run(scenario()) == ['A', 'B', 'C']
-    assert len(book) == 0
+    assert len(pending_calls) == 0
 
 
 def test_a_reply_made_while_the_event_is_fed_is_not_lost():
     def feed(event):
-        book.reply(calls.Reply(event.call, 'at once'))
+        pending_calls.reply(calls.Reply(event.call, 'at once'))
 
-    book = calls.Calls(feed)
-    assert asyncio.run(book.call(calls.StatusAsked)) == 'at once'
+    pending_calls = calls.Calls(feed)
+    assert asyncio.run(pending_calls.call(calls.StatusAsked)) == 'at once'
 
 
-def test_a_call_past_the_bound_is_refused_before_anything_is_done():
-    """A burst of held-open requests fills the table of open calls.
+def test_a_call_over_the_limit_is_refused_before_it_is_fed():
+    """A burst of held requests reaches the limit of pending calls.
 
-    A user is told at once that nothing was done, and places are free again
-    when earlier callers have gone away.
+    A user immediately receives an error that nothing was done, and a
+    cancelled call makes room for another one.
     """
-    fed = []
-    book = calls.Calls(fed.append, limit=1)
+    events = []
+    pending_calls = calls.Calls(events.append, limit=1)
 
     async def scenario():
-        first = asyncio.create_task(book.call(calls.StatusAsked))
+        first = asyncio.create_task(pending_calls.call(calls.StatusAsked))
         await asyncio.sleep(0)
         with pytest.raises(exceptions.TooManyCalls):
-            await book.call(calls.StatusAsked)
-        assert len(fed) == 1
+            await pending_calls.call(calls.StatusAsked)
+        assert len(events) == 1
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        assert len(book) == 0
-        book.reply(calls.Reply(fed[0].call, 'too late'))
+        assert len(pending_calls) == 0
+        pending_calls.reply(calls.Reply(events[0].call, 'too late'))
 
     asyncio.run(scenario())
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -12,17 +12,17 @@
 
 
 def served(front):
-    """Each path template that a server answers, with its methods."""
+    """Return the path templates that a server handles, with methods."""
     built = front(lambda event: None)
-    found = {}
+    methods_by_path = {}
     for route in [*callers.routes(built), *operators.routes(built)]:
         names = iter(['id'] if '/jobs/' in route.regex.pattern else ['name'])
         pattern = route.regex.pattern.rstrip('$')
         path = re.sub(r'\(.*\)', lambda _: '{%s}' % next(names), pattern)
-        found[path] = {
+        methods_by_path[path] = {
             method for method in METHODS if method in vars(route.handler_class)
         }
-    return found
+    return methods_by_path
 
 
 def test_the_file_names_the_routes_that_are_served(front):
@@ -30,14 +30,14 @@
     assert {path: set(item) for path, item in paths.items()} == served(front)
 
 
-def test_the_file_is_what_the_code_says():
-    assert openapi.FILE.read_text() == openapi.text()
+def test_the_file_matches_the_generated_document():
+    assert openapi.FILE.read_text() == openapi.render()
 
 
 def test_answers_have_the_fields_that_the_file_names(serve):
-    """A caller's own types are generated from the file.
+    """Callers generate their types from the file.
 
-    A member that the file doesn't name would be lost on the way.
+    Their clients would drop members that the file doesn't define.
     """
     schemas = json.loads(openapi.FILE.read_text())['components']['schemas']
     task = types.TaskAnswer('a', types.Outcome.FAILED, b'1', 'r', 's', 'p')
@@ -51,13 +51,13 @@
         )
 
     async def scenario(site):
-        good = await site.fetch('POST', '/v1/jobs', JOB)
-        bad = await site.fetch('POST', '/v1/jobs', {**JOB, 'urgent': True})
-        return good, bad
+        complete = await site.fetch('POST', '/v1/jobs', JOB)
+        failed = await site.fetch('POST', '/v1/jobs', {**JOB, 'urgent': True})
+        return complete, failed
 
-    good, bad = serve(answer, scenario)
-    assert good.data.keys() == schemas['JobReply']['properties'].keys()
-    assert bad.data.keys() <= schemas['Problem']['properties'].keys()
+    complete, failed = serve(answer, scenario)
+    assert complete.data.keys() == schemas['JobReply']['properties'].keys()
+    assert failed.data.keys() <= schemas['Problem']['properties'].keys()
     fields = schemas['TaskReply']['properties'].keys()
-    assert good.data['tasks'][0].keys() == fields
-    assert bad.headers['Content-Type'] == web.PROBLEM
+    assert complete.data['tasks'][0].keys() == fields
+    assert failed.headers['Content-Type'] == web.PROBLEM
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -27,7 +27,7 @@
 
 
 def verdict(kind, version=8):
-    """A reducer that gives every change one verdict."""
+    """Return a fake reducer that gives every change the same verdict."""
 
     def answer(event):
         if isinstance(event, calls.StatusAsked):
@@ -44,10 +44,10 @@
     return serve(answer, scenario, routes=operators.routes)
 
 
-def test_what_is_in_force_is_told_apart_from_what_was_accepted(serve):
-    """A zone was taken out a second ago, and the fence has not passed.
+def test_responses_show_the_versions_in_force_and_accepted(serve):
+    """A zone was taken out of service, but the fence hasn't elapsed.
 
-    An operator must see that work may still start there.
+    The response must show the operator that tasks may still start there.
     """
     response = ask(serve, verdict('accepted'), 'GET', '/v1/zones')
     assert response.headers['ETag'] == '"7"'
@@ -68,19 +68,19 @@
         ('/v1/presets/peak', {}, cluster.PresetUse('peak')),
     ],
 )
-def test_a_change_is_proposed_on_the_version_that_was_seen(
+def test_a_change_is_based_on_the_version_in_if_match(
     serve, path, body, change
 ):
-    seen = []
+    events = []
 
     def answer(event):
-        seen.append(event)
+        events.append(event)
         return verdict('accepted')(event)
 
     response = ask(serve, answer, 'PUT', path, body, If_Match='"7"')
     assert (response.code, response.headers['ETag']) == (200, '"8"')
     assert response.data['in_force_at'] == 12.5
-    assert (seen[0].change, seen[0].based_on) == (change, 7)
+    assert (events[0].change, events[0].based_on) == (change, 7)
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,13 @@
         ('invalid', {}, 422),
     ],
 )
-def test_a_change_that_was_not_accepted_says_so(serve, kind, headers, http):
-    """Two operators race, or the table service fails in the middle.
+def test_a_change_that_is_not_accepted_has_its_own_status(
+    serve, kind, headers, http
+):
+    """Two operators make changes at once, or the table service fails.
 
-    The loser learns which version won; after a lost answer nobody claims
-    that the change was or wasn't made.
+    A conflict names the accepted version; after a lost response the outcome
+    is reported as unknown.
     """
     body = {'kind': 'quota_set', 'team': 'talca', 'slots': 5}
     answer = verdict(kind, version=9)
