--- a/src/agatepick/runtime/__init__.py
+++ b/src/agatepick/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Whole processes: a reducer with its shell, links and signals."""
+"""Processes: a reducer with its shell, links and signal handling."""
--- a/src/agatepick/runtime/daemons.py
+++ b/src/agatepick/runtime/daemons.py
@@ -1,7 +1,7 @@
-"""The programs ``agatepick entry``, ``agent`` and the stand-ins.
+"""Programs ``agatepick entry``, ``agatepick agent`` and the stand-ins.
 
-Each runs until SIGTERM or SIGINT asks it to stop; then it drains and ends.
-A second signal ends it at once.
+Each program runs until SIGTERM or SIGINT; then it drains and exits.  A second
+signal terminates it immediately.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 
 LOG = logging.getLogger(__name__)
 
-ANNOUNCED_SECONDS = 5.0
+ANNOUNCEMENT_LEASE_SECONDS = 5.0
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Program(typing.Protocol):
-    """What runs until it is stopped."""
+    """Program that runs until it is stopped."""
 
     async def stop(self) -> None:
         """Stop gracefully."""
@@ -59,7 +59,7 @@
 
 
 def run_upstream(cfg: settings.UpstreamSettings) -> commands.Output:
-    """Run a stand-in worker's upstream until it is stopped."""
+    """Run the upstream of a stand-in worker until it is stopped."""
     logs.setup(cfg.log.level, cfg.worker.name)
     asyncio.run(_run_upstream(cfg))
     return commands.Output('')
@@ -76,7 +76,7 @@
         http=process.http_address,
         peers=process.member.address,
     )
-    await _until_stopped(process, contexts)
+    await _run_until_stopped(process, contexts)
 
 
 async def _run_agent(cfg: settings.AgentSettings) -> None:
@@ -89,7 +89,7 @@
         'agent_listening',
         upstream=process.upstream_address,
     )
-    await _until_stopped(process, contexts)
+    await _run_until_stopped(process, contexts)
 
 
 async def _run_table(cfg: settings.TableSettings) -> None:
@@ -102,50 +102,52 @@
     )
     server.faults.delay = table.write_seconds
     logs.event(LOG, logging.INFO, 'table_listening', http=server.address)
-    await _until_stopped(server, None)
+    await _run_until_stopped(server, None)
 
 
 async def _run_upstream(cfg: settings.UpstreamSettings) -> None:
-    said = cfg.worker
+    worker_cfg = cfg.worker
     announced = upstream.Announced(
         session=str(uuid_utils.uuid7()),
-        kinds=said.kinds,
-        slots=said.slots,
-        capacity=types.Needs(said.cpu, said.memory_mb, said.accelerators),
+        kinds=worker_cfg.kinds,
+        slots=worker_cfg.slots,
+        capacity=types.Needs(
+            worker_cfg.cpu, worker_cfg.memory_mb, worker_cfg.accelerators
+        ),
         url='',
-        term=ANNOUNCED_SECONDS,
+        term=ANNOUNCEMENT_LEASE_SECONDS,
     )
     worker = standin_upstream.HttpWorker(
-        standin_upstream.StandIn(default_seconds=said.task_seconds),
-        said.agent,
+        standin_upstream.StandIn(default_seconds=worker_cfg.task_seconds),
+        worker_cfg.agent,
         announced,
-        said.listen,
+        worker_cfg.listen,
     )
     await worker.start()
-    logs.event(LOG, logging.INFO, 'upstream_listening', http=said.listen)
-    await _until_stopped(worker, None)
+    logs.event(LOG, logging.INFO, 'upstream_listening', http=worker_cfg.listen)
+    await _run_until_stopped(worker, None)
 
 
-async def _until_stopped(
+async def _run_until_stopped(
     program: Program, contexts: tls.Contexts | None
 ) -> None:
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in _SIGNALS:
-        loop.add_signal_handler(number, asked.set)
-    reloading = None
+        loop.add_signal_handler(number, stop_requested.set)
+    reload_task = None
     if contexts is not None and contexts.cfg.enabled:
-        reloading = loop.create_task(_reload(contexts))
-    await asked.wait()
+        reload_task = loop.create_task(_reload_certificates(contexts))
+    await stop_requested.wait()
     for number in _SIGNALS:
-        # From here on a second signal ends the process at once.
+        # Without a handler a second signal terminates the process.
         loop.remove_signal_handler(number)
     await program.stop()
-    if reloading is not None:
-        reloading.cancel()
+    if reload_task is not None:
+        reload_task.cancel()
 
 
-async def _reload(contexts: tls.Contexts) -> None:
+async def _reload_certificates(contexts: tls.Contexts) -> None:
     while True:
         await asyncio.sleep(contexts.cfg.reload_seconds)
         try:
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -1,7 +1,7 @@
-"""Whole processes: a reducer with its shell, links, store and HTTP side.
+"""Processes: a reducer with its shell, links, store and HTTP servers.
 
-Every part that touches the outside can be replaced, so that demo, bench and
-tests run the very same processes inside one event loop.
+Every external dependency can be replaced, so that the demo, the bench and the
+tests run the same process code inside one event loop.
 """
 
 import asyncio
@@ -46,10 +46,11 @@
 
 LAST_ANSWERS_SECONDS = 0.1
 _INCARNATION_BITS = 63
-_POLL_SHARE = 1 / 6
-_RENEW_SHARE = 0.23
-"""Parts of the fence between reads of the head, and between renewals and
-grants: two of either may fail before a read lease runs out."""
+_POLL_FENCE_SHARE = 1 / 6
+_RENEW_FENCE_SHARE = 0.23
+"""Intervals as fractions of the fence: between reads of the head, and
+between renewals and grants.  Two in a row of either may fail before a read
+lease expires."""
 
 
 Feed = typing.Callable[[object], None]
@@ -57,11 +58,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outside:
-    """What a process reaches beyond its own sockets.
+    """External dependencies of a process.
 
-    :param table: client of the table service; by URL if ``None``.
-    :param runner: makes what runs an agent's tasks from the agent's feed;
-        by HTTP if ``None``.
+    :param table: client of the table service; ``None`` creates one for the
+        configured URL.
+    :param runner: creates the upstream that runs the agent's tasks, given
+        the agent's feed; ``None`` uses HTTP.
     :param delay: latency added to messages between processes.
     """
 
@@ -73,25 +75,25 @@
 
     @classmethod
     def real(cls) -> 'Outside':
-        """The machine's clock and randomness; the rest by settings."""
+        """Return the real clock and random source; the rest is configured."""
         rng = random.Random(secrets.randbits(_INCARNATION_BITS))
         return cls(clocks.ProcessClock.start(), rng)
 
 
 def new_incarnation() -> int:
-    """A number that no earlier process of the same name had."""
+    """Return a random number that identifies this run of a process."""
     return secrets.randbits(_INCARNATION_BITS)
 
 
 class Process:
-    """What entries and agents have in common."""
+    """Common base class of entries and agents."""
 
     def __init__(
         self,
         cfg: settings.Process,
         stop_seconds: float,
         timeline_events: int,
-        metrics_at: settings.Metrics,
+        metrics_cfg: settings.Metrics,
         outside: Outside,
     ):
         self.name = cfg.name
@@ -102,33 +104,33 @@
         )
         self.metrics = metrics.Metrics()
         self.metrics_address = ''
-        self._metrics_at = metrics_at
+        self._metrics_cfg = metrics_cfg
         self._metrics_http: httpserver.HTTPServer | None = None
         self._stop_seconds = stop_seconds
         self._http: httpserver.HTTPServer | None = None
-        self._closing: asyncio.Task[None] | None = None
+        self._close_task: asyncio.Task[None] | None = None
         self.shell: shell.Shell
         self.links: links.Links
 
     async def run(self) -> None:
-        """Serve until the graceful stop is done."""
+        """Serve until the graceful stop has completed."""
         await self.shell.done.wait()
         self.kill()
 
     async def stop(self) -> None:
-        """Stop gracefully; what isn't done in time is cut off."""
+        """Stop gracefully; abort what is unfinished at the timeout."""
         self.shell.feed(core.StopRequested())
         try:
             await asyncio.wait_for(self.shell.done.wait(), self._stop_seconds)
         except TimeoutError:
             LOG.warning('event=stop_cut_off process=%s', self.name)
         self.shell.done.set()
-        # The last messages and answers leave before their connections close.
+        # The last messages and responses are sent before connections close.
         await asyncio.sleep(LAST_ANSWERS_SECONDS)
         self.kill()
 
     def kill(self) -> None:
-        """End at once, as a crash would."""
+        """Terminate immediately, as in a crash."""
         self.shell.done.set()
         self.shell.end()
         self.links.end()
@@ -136,19 +138,21 @@
             self._metrics_http.stop()
         if self._http is not None:
             self._http.stop()
-            # Callers of a dead process must see a broken connection and ask
-            # elsewhere; one left open would let them wait for ever.
+            # A closed connection makes callers retry at another entry; on an
+            # open one they would wait indefinitely.
             loop = asyncio.get_running_loop()
-            self._closing = loop.create_task(
+            self._close_task = loop.create_task(
                 self._http.close_all_connections()
             )
 
-    def _begin(self, contexts: tls.Contexts, reducer: core.Reducer) -> None:
+    def _start_shell(
+        self, contexts: tls.Contexts, reducer: core.Reducer
+    ) -> None:
         outside = self.outside
         self.shell = shell.Shell(reducer, outside.clock)
         self.links = links.Links(
-            self._hello,
-            self._take,
+            self._make_hello,
+            self._receive,
             outside.clock,
             outside.rng,
             contexts.peer_server,
@@ -158,35 +162,39 @@
         )
         self.shell.use_links(self.links)
         self.shell.handle(core.Send, self._send)
-        self.shell.handle(core.Note, self._note)
-        if self._metrics_at.listen:
+        self.shell.handle(core.Note, self._record_note)
+        if self._metrics_cfg.listen:
             self._serve_metrics()
 
     def _serve_metrics(self) -> None:
-        sockets = _bind(self._metrics_at.listen)
-        self.metrics_address = _address(sockets)
+        sockets = _bind_sockets(self._metrics_cfg.listen)
+        self.metrics_address = _format_address(sockets)
         self._metrics_http = httpserver.HTTPServer(
-            metrics.application(self._metrics_text)
+            metrics.application(self._render_metrics)
         )
         self._metrics_http.add_sockets(sockets)
 
-    def _hello(self) -> messages.Hello:
+    def _make_hello(self) -> messages.Hello:
         raise NotImplementedError
 
     def _send(self, effect: core.Send) -> None:
-        self.timeline.add_tasks(timeline.sent(effect.peer, effect.message))
+        self.timeline.add_tasks(
+            timeline.note_sent_tasks(effect.peer, effect.message)
+        )
         self.links.send(effect.peer, effect.message)
 
-    def _take(self, event: object) -> None:
+    def _receive(self, event: object) -> None:
         if isinstance(event, core.Received):
-            self.timeline.add_tasks(timeline.taken(event.peer, event.message))
+            self.timeline.add_tasks(
+                timeline.note_received_tasks(event.peer, event.message)
+            )
         self.shell.feed(event)
 
-    def _note(self, effect: core.Note) -> None:
+    def _record_note(self, effect: core.Note) -> None:
         self.timeline.add(effect)
-        self.metrics.noted(effect)
+        self.metrics.count_note(effect)
 
-    def _metrics_text(self) -> bytes:
+    def _render_metrics(self) -> bytes:
         traffic = self.links.traffic
         self.metrics.gauge('links_messages_out', traffic.messages_out)
         self.metrics.gauge('links_messages_in', traffic.messages_in)
@@ -196,7 +204,7 @@
 
 
 class EntryProcess(Process):
-    """One entry."""
+    """Process of one entry."""
 
     def __init__(
         self,
@@ -213,7 +221,7 @@
         )
         self.cfg = cfg
         self._policy = policy
-        self._calls_out: set[asyncio.Task[None]] = set()
+        self._store_tasks: set[asyncio.Task[None]] = set()
         self.member: messages.Member
         self.entry: entry.Entry
         self.calls: calls.Calls
@@ -226,18 +234,18 @@
         outside: Outside | None = None,
         policy: str = placement.DEFAULT_POLICY,
     ) -> 'EntryProcess':
-        """An entry that listens nowhere yet.
+        """Return an entry that isn't listening yet.
 
-        :param policy: placement policy; others than the default are the
+        :param policy: placement policy; policies other than the default are
             baselines of the bench.
         """
         return cls(cfg, outside or Outside.real(), policy)
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
-        """Listen, and begin to follow the configuration."""
+        """Listen and start to follow the configuration."""
         peers = self.cfg.peers
-        sockets = _bind(peers.listen)
-        address = peers.advertise or _address(sockets)
+        sockets = _bind_sockets(peers.listen)
+        address = peers.advertise or _format_address(sockets)
         self.member = messages.Member(
             self.name,
             self.incarnation,
@@ -246,35 +254,35 @@
             0.0,
         )
         self.entry = entry.Entry.from_config(
-            self._entry_config(), self.outside.rng
+            self._make_entry_config(), self.outside.rng
         )
-        self._begin(contexts or _PLAIN, self.entry)
+        self._start_shell(contexts or _PLAINTEXT, self.entry)
         self.calls = calls.Calls(self.shell.feed, self.cfg.http.max_open)
         self.shell.handle(calls.Reply, self.calls.reply)
-        self._use_table()
+        self._register_table()
         self.links.add_sockets(sockets)
         self.links.begin()
-        self._listen_http(contexts or _PLAIN)
+        self._listen_http(contexts or _PLAINTEXT)
         self.shell.begin()
 
-    def _use_table(self) -> None:
+    def _register_table(self) -> None:
         table = self.outside.table
         if table is None:
             table = tablestore.TableStore.from_config(
-                tablestore.TableSettings(_host(self.cfg.store.url)),
+                tablestore.TableSettings(_strip_scheme(self.cfg.store.url)),
                 self.outside.rng,
             )
         client = table
         loop = asyncio.get_running_loop()
 
-        async def carry(effect: store.CallStore) -> None:
+        async def run_call(effect: store.CallStore) -> None:
             self.shell.feed(await client.call(effect))
 
         def call(effect: store.CallStore) -> None:
-            # The loop itself keeps only weak references to its tasks.
-            task = loop.create_task(carry(effect))
-            self._calls_out.add(task)
-            task.add_done_callback(self._calls_out.discard)
+            # The event loop keeps only weak references to its tasks.
+            task = loop.create_task(run_call(effect))
+            self._store_tasks.add(task)
+            task.add_done_callback(self._store_tasks.discard)
 
         self.shell.handle(store.CallStore, call)
 
@@ -291,19 +299,19 @@
         )
         routes = [*callers.routes(front), *operators.routes(front)]
         self._http = web.server(front, routes, contexts.http)
-        sockets = _bind(self.cfg.http.listen)
-        self.http_address = _address(sockets)
+        sockets = _bind_sockets(self.cfg.http.listen)
+        self.http_address = _format_address(sockets)
         self._http.add_sockets(sockets)
 
-    def _entry_config(self) -> entry.EntryConfig:
+    def _make_entry_config(self) -> entry.EntryConfig:
         timing = self.cfg.timing
         return entry.EntryConfig(
             me=self.member,
             configuration=configuration.ConfigurationSettings(
                 readlease.Rules(timing.fence_seconds, timing.margin_seconds),
-                poll=timing.fence_seconds * _POLL_SHARE,
-                renew=timing.fence_seconds * _RENEW_SHARE,
-                grant=timing.fence_seconds * _RENEW_SHARE,
+                poll=timing.fence_seconds * _POLL_FENCE_SHARE,
+                renew=timing.fence_seconds * _RENEW_FENCE_SHARE,
+                grant=timing.fence_seconds * _RENEW_FENCE_SHARE,
                 store_timeout=self.cfg.store.timeout_seconds,
             ),
             dispatch=dispatch.DispatchSettings(self.name, policy=self._policy),
@@ -313,7 +321,7 @@
             ),
         )
 
-    def _hello(self) -> messages.Hello:
+    def _make_hello(self) -> messages.Hello:
         return messages.Hello(
             self.name,
             entry.ENTRY,
@@ -326,7 +334,7 @@
 
 
 class AgentProcess(Process):
-    """One agent, beside its upstream."""
+    """Process of one agent, which runs beside its upstream."""
 
     def __init__(self, cfg: settings.AgentSettings, outside: Outside):
         super().__init__(
@@ -347,40 +355,40 @@
     def from_settings(
         cls, cfg: settings.AgentSettings, outside: Outside | None = None
     ) -> 'AgentProcess':
-        """An agent that dials nobody yet."""
+        """Return an agent that has no connections yet."""
         return cls(cfg, outside or Outside.real())
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
-        """Take announcements and dial the entries."""
+        """Listen for announcements and connect to the entries."""
         self.agent = agent.Agent.from_config(
             agent.AgentConfig.from_settings(self.cfg),
             self.incarnation,
         )
-        self._begin(contexts or _PLAIN, self.agent)
-        self._use_upstream()
+        self._start_shell(contexts or _PLAINTEXT, self.agent)
+        self._register_upstream()
         self._listen_announcements()
         if self.cfg.operators.listen:
-            self._listen_operators(contexts or _PLAIN)
+            self._listen_operators(contexts or _PLAINTEXT)
         self.links.begin()
         self.shell.begin()
 
-    def _use_upstream(self) -> None:
+    def _register_upstream(self) -> None:
         make = self.outside.runner or httpupstream.HttpUpstream
-        runner = make(self._take_ended)
+        runner = make(self._receive_upstream_event)
         self._runner = runner
         self.shell.handle(upstream.RunTask, self._run_task)
         self.shell.handle(upstream.StopTask, runner.stop)
 
     def _run_task(self, effect: upstream.RunTask) -> None:
-        self._mark('task_started', effect, '')
+        self._record_task('task_started', effect, '')
         self._runner.run(effect)
 
-    def _take_ended(self, event: object) -> None:
+    def _receive_upstream_event(self, event: object) -> None:
         if isinstance(event, upstream.TaskEnded):
-            self._mark('task_ended', event, event.state)
+            self._record_task('task_ended', event, event.state)
         self.shell.feed(event)
 
-    def _mark(
+    def _record_task(
         self,
         name: str,
         task: upstream.RunTask | upstream.TaskEnded,
@@ -391,13 +399,13 @@
         self.timeline.add_tasks(timeline.TaskNote(name, '', zone, (mark,)))
 
     def _listen_announcements(self) -> None:
-        sockets = _bind(self.cfg.upstream.listen)
-        self.upstream_address = _address(sockets)
+        sockets = _bind_sockets(self.cfg.upstream.listen)
+        self.upstream_address = _format_address(sockets)
         self._http = announce.server(self.shell.feed, self.cfg.upstream)
         self._http.add_sockets(sockets)
 
     def _listen_operators(self, contexts: tls.Contexts) -> None:
-        """Serve the time line; everything else is asked of entries."""
+        """Serve timeline and health; only entries serve the other routes."""
         cfg = self.cfg.operators
         front = web.Front(
             self.name,
@@ -410,17 +418,17 @@
         )
         routes = operators.process_routes(front)
         self._operators = web.server(front, routes, contexts.http)
-        sockets = _bind(cfg.listen)
-        self.operators_address = _address(sockets)
+        sockets = _bind_sockets(cfg.listen)
+        self.operators_address = _format_address(sockets)
         self._operators.add_sockets(sockets)
 
     def kill(self) -> None:
-        """End at once, as a crash would."""
+        """Terminate immediately, as in a crash."""
         super().kill()
         if self._operators is not None:
             self._operators.stop()
 
-    def _hello(self) -> messages.Hello:
+    def _make_hello(self) -> messages.Hello:
         process = self.cfg.process
         return messages.Hello(
             self.name,
@@ -433,14 +441,14 @@
         )
 
 
-_PLAIN = tls.Contexts(settings.Tls(enabled=False))
+_PLAINTEXT = tls.Contexts(settings.Tls(enabled=False))
 
 
-def _host(url: str) -> str:
+def _strip_scheme(url: str) -> str:
     return url.partition('://')[2]
 
 
-def _bind(address: str) -> list[typing.Any]:
+def _bind_sockets(address: str) -> list[typing.Any]:
     host, _, port = address.rpartition(':')
     try:
         return netutil.bind_sockets(int(port), host.strip('[]'))
@@ -452,6 +460,6 @@
         ) from exc
 
 
-def _address(sockets: list[typing.Any]) -> str:
+def _format_address(sockets: list[typing.Any]) -> str:
     host, port = sockets[0].getsockname()[:2]
     return f'[{host}]:{port}' if ':' in host else f'{host}:{port}'
--- a/src/agatepick/runtime/shell.py
+++ b/src/agatepick/runtime/shell.py
@@ -1,8 +1,8 @@
-"""Runs one reducer on the event loop: feeds it events, carries out effects.
+"""Event loop driver of one reducer: feeds events and executes effects.
 
-What a kind of effect means is a handler registered for its class, so the
-shell knows no role.  Events that arise while effects are carried out wait
-their turn: a reducer never runs inside itself.
+The handler of an effect is registered for the effect's class, so the shell is
+the same for entries and agents.  Events raised while effects are executed are
+queued, so that a reducer is never called recursively.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 LOG = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.25
-"""The longest time without a Tick."""
+"""Maximum time between two Ticks."""
 
 Handler = typing.Callable[[typing.Any], None]
 
 
 class Shell:
-    """One reducer with its links, timers and handlers of effects."""
+    """One reducer with its links, timer and effect handlers."""
 
     def __init__(self, reducer: core.Reducer, clock: types.Clock):
         self.reducer = reducer
@@ -35,23 +35,23 @@
             core.Note: _log_note,
         }
         self._queue: collections.deque[object] = collections.deque()
-        self._busy = False
+        self._reducing = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Carry out effects of class ``kind`` by ``handler``."""
+        """Register ``handler`` for effects of class ``kind``."""
         self._handlers[kind] = handler
 
     def use_links(self, peers: links.Links) -> None:
-        """Carry out the effects on connections by ``peers``."""
+        """Register ``peers`` for the effects on connections."""
         self.handle(core.Send, lambda e: peers.send(e.peer, e.message))
         self.handle(core.Dial, lambda e: peers.dial(e.peer, e.address))
         self.handle(core.Hangup, lambda e: peers.hangup(e.peer))
 
     def begin(self) -> None:
-        """Feed the first Tick; more follow by themselves."""
-        self._tick()
+        """Feed the first Tick, which schedules the following ones."""
+        self._feed_tick()
 
     def end(self) -> None:
         """Stop the ticks."""
@@ -59,36 +59,36 @@
             self._timer.cancel()
 
     def feed(self, event: object) -> None:
-        """Take one event, now or as soon as the one in progress is done."""
+        """Process an event, after those that are already queued."""
         self._queue.append(event)
-        if self._busy:
+        if self._reducing:
             return
-        self._busy = True
+        self._reducing = True
         try:
             while self._queue:
-                self._step(self._queue.popleft())
+                self._reduce_event(self._queue.popleft())
         finally:
-            self._busy = False
+            self._reducing = False
 
-    def _step(self, event: object) -> None:
+    def _reduce_event(self, event: object) -> None:
         for effect in self.reducer.reduce(event, self._clock.now()):
             self._handlers[type(effect)](effect)
 
-    def _tick(self) -> None:
-        self._schedule(self._clock.now() + TICK_SECONDS)
+    def _feed_tick(self) -> None:
+        self._schedule_tick(self._clock.now() + TICK_SECONDS)
         self.feed(core.Tick())
 
     def _wake_at(self, effect: core.WakeAt) -> None:
         if effect.at < self._timer_at:
-            self._schedule(effect.at)
+            self._schedule_tick(effect.at)
 
-    def _schedule(self, at: float) -> None:
+    def _schedule_tick(self, at: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
         loop = asyncio.get_running_loop()
         seconds = max(0.0, at - self._clock.now())
-        self._timer = loop.call_later(seconds, self._tick)
+        self._timer = loop.call_later(seconds, self._feed_tick)
 
 
 def _log_note(effect: core.Note) -> None:
--- a/src/agatepick/telemetry/__init__.py
+++ b/src/agatepick/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What can be seen: the time line, logs and metrics."""
+"""Telemetry: the timeline, logs and metrics."""
--- a/src/agatepick/telemetry/logs.py
+++ b/src/agatepick/telemetry/logs.py
@@ -1,7 +1,7 @@
 """Logs: one line of key=value pairs for each event.
 
-The names of events and fields are those of the time line, so that a line
-found in one is found in the other.
+Events and fields have the same names as in the timeline, so that an event can
+be looked up in both.
 """
 
 import json
@@ -12,16 +12,16 @@
 
 from agatepick import core
 
-_PLAIN = frozenset(
+_UNQUOTED_CHARACTERS = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789'
     '._-:/+,@%[]<>()*~'
 )
 
 
 def line(name: str, fields: typing.Iterable[tuple[str, object]]) -> str:
-    """``event=name key=value ...``; values that need it are quoted."""
+    """Return ``event=name key=value ...``, with values quoted if needed."""
     pairs = [('event', name), *fields]
-    return ' '.join(f'{key}={_quoted(str(value))}' for key, value in pairs)
+    return ' '.join(f'{key}={_quote(str(value))}' for key, value in pairs)
 
 
 def event(
@@ -33,9 +33,10 @@
 
 
 def noted(log: logging.Logger, note: core.Note, routine: bool = False) -> None:
-    """Log an entry of the time line.
+    """Log an event of the timeline.
 
-    :param routine: of the ordinary course, dropped first under load.
+    :param routine: whether the event belongs to normal operation; routine
+        lines are dropped first under load.
     """
     if log.isEnabledFor(logging.INFO):
         text = line(note.name, note.fields)
@@ -43,10 +44,10 @@
 
 
 def setup(level: str, process: str, stream: typing.Any = None) -> None:
-    """Send all logs of this process to standard error, a line an event.
+    """Send all logs of this process to standard error, one line per event.
 
-    :param level: lowest level that is shown, such as ``info``.
-    :param process: name that each line carries.
+    :param level: lowest level that is logged, such as ``info``.
+    :param process: process name that is added to each line.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(_Formatter(process))
@@ -56,46 +57,53 @@
 
 
 class Budget:
-    """How many lines a process may still write.
+    """Token bucket that limits the log lines of a process.
 
-    Load pattern: a burst of refusals writes as many lines as requests come,
-    and the processor time that they take is missing just then.  Lines of the
-    ordinary course may take only the upper half of the budget, so that those
-    that explain a failure outlive them.
+    A burst of rejected requests logs a line for each request, and spends
+    processor time on it when the process is overloaded.  Routine lines may
+    use only the upper half of the budget, so that lines that explain a
+    failure are still written.
 
-    :param lines_per_second: refill; as many may come at once.
+    :param lines_per_second: refill rate, and maximum burst in lines.
     """
 
     def __init__(self, lines_per_second: float):
-        self._rate = lines_per_second
-        self._left = lines_per_second
-        self._at: float | None = None
+        self._lines_per_second = lines_per_second
+        self._available = lines_per_second
+        self._refilled_at: float | None = None
         self.dropped = 0
 
-    def takes(self, routine: bool, now: float) -> bool:
-        """Whether a line may be written; one that may not is counted."""
-        if self._at is not None:
-            grown = self._left + (now - self._at) * self._rate
-            self._left = min(grown, self._rate)
-        self._at = now
-        floor = self._rate / 2.0 if routine else 0.0
-        if self._left - 1.0 < floor:
+    def try_consume(self, routine: bool, now: float) -> bool:
+        """Return whether a line may be written; otherwise count it as dropped.
+
+        :param routine: whether the line belongs to normal operation.
+        :param now: current time in seconds.
+        """
+        if self._refilled_at is not None:
+            refilled = (
+                self._available
+                + (now - self._refilled_at) * self._lines_per_second
+            )
+            self._available = min(refilled, self._lines_per_second)
+        self._refilled_at = now
+        floor = self._lines_per_second / 2.0 if routine else 0.0
+        if self._available - 1.0 < floor:
             self.dropped += 1
             return False
-        self._left -= 1.0
+        self._available -= 1.0
         return True
 
-    def take_dropped(self) -> int:
-        """Lines dropped since the last call."""
+    def pop_dropped_count(self) -> int:
+        """Return the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor, never more than it takes at once.
+    """Log handler that writes lines to a descriptor without blocking.
 
-    A reader that has stopped would else hold up every request: the pipe is
-    full after 64 KiB, and a blocking write waits for ever.
+    If the reader of a pipe stops, the pipe is full after 64 KiB, and a
+    blocking write would stall every request of the process.
     """
 
     def __init__(self, descriptor: int, lines_per_second: float):
@@ -105,11 +113,11 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it as dropped."""
+        """Write one line or count it as dropped."""
         routine = getattr(record, 'routine', False)
-        if not self._budget.takes(routine, record.created):
+        if not self._budget.try_consume(routine, record.created):
             return
-        dropped = self._budget.take_dropped()
+        dropped = self._budget.pop_dropped_count()
         text = self.format(record)
         if dropped:
             text += f'\n{text.partition(" event=")[0]} event=lines_dropped'
@@ -117,15 +125,15 @@
         try:
             os.write(self._descriptor, text.encode() + b'\n')
         except OSError:
-            # Nobody reads: there is no place left to tell it but the next
-            # line that gets through.
+            # The pipe is full or closed; the next line that can be written
+            # reports the dropped ones.
             self._budget.dropped += dropped + 1
 
 
 def setup_bounded(process: str, lines_per_second: float) -> None:
-    """Send all logs to standard output without ever waiting for it.
+    """Send all logs to standard output without blocking.
 
-    :param process: name that each line carries.
+    :param process: process name that is added to each line.
     """
     handler = BoundedHandler(sys.stdout.fileno(), lines_per_second)
     handler.setFormatter(_Formatter(process))
@@ -135,7 +143,11 @@
 
 
 class _Formatter(logging.Formatter):
-    """Prefixes time, level and process; foreign lines become events too."""
+    """Formatter that adds time, level and process to each line.
+
+    Messages that aren't events, such as those of libraries, become ``log``
+    events.
+    """
 
     def __init__(self, process: str):
         super().__init__()
@@ -147,30 +159,30 @@
             text = line('log', [('logger', record.name), ('message', text)])
         if record.exc_info and record.exc_info[1] is not None:
             exc = record.exc_info[1]
-            text += f' error={_quoted(f"{type(exc).__name__}: {exc}")}'
+            text += f' error={_quote(f"{type(exc).__name__}: {exc}")}'
         level = record.levelname.lower()
         return (
             f'time={record.created:.6f} level={level} '
-            f'process={_quoted(self._process)} {text}'
+            f'process={_quote(self._process)} {text}'
         )
 
 
-def _quoted(value: str) -> str:
-    if value and _PLAIN.issuperset(value):
+def _quote(value: str) -> str:
+    if value and _UNQUOTED_CHARACTERS.issuperset(value):
         return value
     return json.dumps(value)
 
 
 def logger(name: str) -> logging.Logger:
-    """The logger of a module."""
+    """Return the logger of a module."""
     return logging.getLogger(name)
 
 
 def info(log: logging.Logger, name: str, **fields: object) -> None:
-    """Log one event of the ordinary course."""
+    """Log one event of normal operation."""
     event(log, logging.INFO, name, **fields)
 
 
 def warning(log: logging.Logger, name: str, **fields: object) -> None:
-    """Log one event that an operator may have to look into."""
+    """Log one event that an operator may have to investigate."""
     event(log, logging.WARNING, name, **fields)
--- a/src/agatepick/telemetry/metrics.py
+++ b/src/agatepick/telemetry/metrics.py
@@ -1,7 +1,8 @@
 """Metrics of one process, as text for a scraper.
 
-The names, kinds and units are :data:`METRICS`; ``docs/metrics.md`` lists the
-same.  A name that isn't there can't be counted, so the page stays whole.
+:data:`METRICS` defines the names, kinds and units, and ``docs/metrics.md``
+lists them.  A metric must be defined there before it can be recorded, so the
+page is complete.
 """
 
 import dataclasses
@@ -13,12 +14,25 @@
 
 from agatepick import core
 
-SECONDS = (0.01, 0.03, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 5.0, 10.0)
-"""Upper edges of the buckets: most tasks take 50 ms to a second."""
+BUCKET_SECONDS = (
+    0.01,
+    0.03,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.5,
+    0.75,
+    1.0,
+    2.0,
+    5.0,
+    10.0,
+)
+"""Upper bounds of the buckets; most tasks take 50 ms to 1 s."""
 
 
 class Kind(enum.StrEnum):
-    """Kinds of metrics."""
+    """Kind of a metric."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -27,9 +41,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metric:
-    """One metric: its name, kind, unit and meaning.
+    """Definition of a metric: its name, kind, unit and meaning.
 
-    :param label: what a counter is split by; empty for nothing.
+    :param label: name of a counter's label; empty for none.
     """
 
     name: str
@@ -40,8 +54,8 @@
 
 
 METRICS = {
-    one.name: one
-    for one in (
+    metric.name: metric
+    for metric in (
         Metric(
             'events',
             Kind.COUNTER,
@@ -92,18 +106,18 @@
 
 
 class Metrics:
-    """The metrics of one process."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
         self._counters: dict[str, prometheus_client.Counter] = {}
         self._gauges: dict[str, prometheus_client.Gauge] = {}
         self._histograms: dict[str, prometheus_client.Histogram] = {}
-        for one in METRICS.values():
-            self._add(one)
+        for metric in METRICS.values():
+            self._register(metric)
 
     def count(self, name: str, by: str) -> None:
-        """Add one to a counter, under a value of its label."""
+        """Increment a counter for one value of its label."""
         self._counters[name].labels(by).inc()
 
     def gauge(self, name: str, value: float) -> None:
@@ -114,46 +128,49 @@
         """Record a duration."""
         self._histograms[name].observe(seconds)
 
-    def noted(self, note: core.Note) -> None:
-        """Count an event of the time line by its name."""
+    def count_note(self, note: core.Note) -> None:
+        """Count an event of the timeline by its name."""
         self.count('events', note.name)
 
     def text(self) -> bytes:
-        """All of them in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self._registry)
 
-    def _add(self, one: Metric) -> None:
-        name = f'agatepick_{one.name}'
-        if one.kind is Kind.COUNTER:
-            self._counters[one.name] = prometheus_client.Counter(
-                name, one.meaning, (one.label,), registry=self._registry
+    def _register(self, metric: Metric) -> None:
+        name = f'agatepick_{metric.name}'
+        if metric.kind is Kind.COUNTER:
+            self._counters[metric.name] = prometheus_client.Counter(
+                name, metric.meaning, (metric.label,), registry=self._registry
             )
-        elif one.kind is Kind.GAUGE:
-            self._gauges[one.name] = prometheus_client.Gauge(
-                name, one.meaning, registry=self._registry
+        elif metric.kind is Kind.GAUGE:
+            self._gauges[metric.name] = prometheus_client.Gauge(
+                name, metric.meaning, registry=self._registry
             )
         else:
-            self._histograms[one.name] = prometheus_client.Histogram(
-                name, one.meaning, buckets=SECONDS, registry=self._registry
+            self._histograms[metric.name] = prometheus_client.Histogram(
+                name,
+                metric.meaning,
+                buckets=BUCKET_SECONDS,
+                registry=self._registry,
             )
 
 
-class _Page(web.RequestHandler):
+class _MetricsHandler(web.RequestHandler):
     def initialize(self, text: typing.Callable[[], bytes]) -> None:
         self._text = text
 
     def get(self) -> None:
-        """All metrics."""
+        """Send all metrics."""
         self.set_header('Content-Type', prometheus_client.CONTENT_TYPE_LATEST)
         self.finish(self._text())
 
 
 def application(text: typing.Callable[[], bytes]) -> web.Application:
-    """Serves metrics at ``/metrics``.
+    """Return an application that serves metrics at ``/metrics``.
 
-    :param text: called for each answer; all metrics as of that moment.
+    :param text: called for each request; returns the current metrics.
     """
     return web.Application(
-        [(r'/metrics', _Page, {'text': text})],
+        [(r'/metrics', _MetricsHandler, {'text': text})],
         log_function=lambda handler: None,
     )
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -1,10 +1,10 @@
-"""The time line: what happened in each process, merged in causal order.
+"""Timeline: the events of each process, merged in causal order.
 
-Each process keeps its last events.  An event is stamped by a hybrid logical
-clock: physical microseconds, moved on so that every event is stamped later
-than the ones before it and than every message that had come in.  So events
-merged by stamp never show an effect before its cause, whatever the offset
-between the processes' clocks.
+Each process keeps its most recent events.  An event has a timestamp of a
+hybrid logical clock: physical microseconds, advanced as needed so that every
+event has a later timestamp than all earlier events and received messages.
+Events merged by timestamp therefore never show an effect before its cause,
+whatever the offset between the clocks of the processes.
 """
 
 import collections
@@ -22,39 +22,39 @@
 from agatepick import types
 
 MICROSECONDS = 1_000_000
-MAX_AHEAD = 60 * MICROSECONDS
-"""A stamp further ahead of our clock is not taken over.  One process with a
-broken clock would otherwise move every process's stamps to its own time."""
+MAX_LEAD_MICROSECONDS = 60 * MICROSECONDS
+"""A received timestamp further ahead of the local clock is ignored.
+Otherwise one process with a wrong clock would shift the timestamps of all."""
 
 _log = logging.getLogger('agatepick')
 
 
 class HybridClock:
-    """Stamps in microseconds that respect causes; starts at the clock."""
+    """Hybrid logical clock in microseconds, based on a physical clock."""
 
     def __init__(self, clock: types.Clock):
         self._clock = clock
         self._last = 0
 
     def stamp(self) -> int:
-        """A stamp later than all before; for an event or a message out."""
-        self._last = max(self._physical(), self._last + 1)
+        """Return a timestamp later than all earlier ones."""
+        self._last = max(self._read_microseconds(), self._last + 1)
         return self._last
 
     def merge(self, stamp: int) -> None:
-        """Take note of the stamp of a message that came in."""
-        if stamp <= self._physical() + MAX_AHEAD:
+        """Advance the clock to the timestamp of a received message."""
+        if stamp <= self._read_microseconds() + MAX_LEAD_MICROSECONDS:
             self._last = max(self._last, stamp)
 
-    def _physical(self) -> int:
+    def _read_microseconds(self) -> int:
         return int(self._clock.now() * MICROSECONDS)
 
 
 class Event(msgspec.Struct, frozen=True):
     """One event of one process.
 
-    :param stamp: hybrid logical clock, microseconds.
-    :param at: the process's clock, seconds since the epoch.
+    :param stamp: timestamp of the hybrid logical clock, in microseconds.
+    :param at: time of the process clock, in seconds since the epoch.
     """
 
     stamp: int
@@ -63,24 +63,24 @@
     event: str
     fields: dict[str, str]
 
-    def concerns(self, job: str, task: str, zone: str) -> bool:
-        """Whether the event is about what is named; empty is anything."""
+    def matches(self, job: str, task: str, zone: str) -> bool:
+        """Return whether the event matches a filter; empty matches any."""
         fields = self.fields
         return (
             (not job or fields.get('job') == job)
             and (not task or fields.get('task') == task)
-            and (not zone or zone in _zones(fields))
+            and (not zone or zone in _get_zones(fields))
         )
 
     def show(self) -> str:
-        """The event as a line for a person."""
+        """Return the event as a line of text."""
         fields = logs.line(self.event, self.fields.items())
         return f'{self.at:.6f} {self.process} {fields}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskMark:
-    """One task in a :class:`TaskNote`, by its index in the job."""
+    """One task in a :class:`TaskNote`, identified by its index in the job."""
 
     job: types.JobKey
     index: int
@@ -90,10 +90,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskNote:
-    """What befell some tasks at once; an event for each when it is read.
+    """One event of several tasks; expanded to one event per task when read.
 
-    Thousands of tasks a second pass through an entry, so what is kept of
-    them is small and is made into events only for whoever looks.
+    Thousands of tasks per second pass through an entry, so the stored form is
+    compact and events are created only on request.
     """
 
     name: str
@@ -102,101 +102,109 @@
     marks: tuple[TaskMark, ...]
 
 
-def sent(peer: str, message: messages.Message) -> TaskNote | None:
-    """What sending a message means for tasks, if anything."""
+def note_sent_tasks(peer: str, message: messages.Message) -> TaskNote | None:
+    """Return the task events of a sent message, or ``None``."""
     if not isinstance(message, messages.Starts):
         return None
     marks = tuple(
-        [TaskMark(one.job, one.index, one.attempt) for one in message.tasks]
+        [
+            TaskMark(task.job, task.index, task.attempt)
+            for task in message.tasks
+        ]
     )
     return TaskNote('task_sent', peer, '', marks)
 
 
-def taken(peer: str, message: messages.Message) -> TaskNote | None:
-    """What a message that came in means for tasks, if anything."""
+def note_received_tasks(
+    peer: str, message: messages.Message
+) -> TaskNote | None:
+    """Return the task events of a received message, or ``None``."""
     if not isinstance(message, messages.Results) or not message.reports:
         return None
     marks = tuple(
         [
-            TaskMark(one.job, one.index, one.attempt, one.state)
-            for one in message.reports
+            TaskMark(report.job, report.index, report.attempt, report.state)
+            for report in message.reports
         ]
     )
     return TaskNote('task_reported', peer, '', marks)
 
 
 class Timeline:
-    """The last events of one process.
+    """Most recent events of one process.
 
-    :param process: its name.
-    :param capacity: events kept; the oldest go first.
+    :param process: name of the process.
+    :param capacity: maximum number of events; the oldest are evicted first.
     """
 
     def __init__(self, process: str, capacity: int, clock: types.Clock):
         self.hybrid = HybridClock(clock)
         self._process = process
         self._clock = clock
-        self._kept: collections.deque[_Kept] = collections.deque(
+        self._records: collections.deque[_Record] = collections.deque(
             maxlen=capacity
         )
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._records)
 
     def add(self, note: core.Note) -> None:
-        """Keep an event, and log it."""
-        self._keep(note)
+        """Store an event and log it."""
+        self._append(note)
         logs.noted(_log, note)
 
     def add_tasks(self, note: TaskNote | None) -> None:
-        """Keep what befell tasks; shown in the log only for debugging."""
+        """Store events of tasks; they are logged only at level debug."""
         if note is None:
             return
-        self._keep(note)
+        self._append(note)
         if _log.isEnabledFor(logging.DEBUG):
-            for name, fields in _told(note):
+            for name, fields in _expand_note(note):
                 logs.event(_log, logging.DEBUG, name, **fields)
 
-    def _keep(self, what: core.Note | TaskNote) -> None:
-        self._kept.append(_Kept(self.hybrid.stamp(), self._clock.now(), what))
+    def _append(self, note: core.Note | TaskNote) -> None:
+        self._records.append(
+            _Record(self.hybrid.stamp(), self._clock.now(), note)
+        )
 
     def events(
         self, job: str = '', task: str = '', zone: str = ''
     ) -> list[Event]:
-        """Kept events about a job, task and zone, oldest first."""
+        """Return the events that match job, task and zone, oldest first."""
         events = (
-            Event(kept.stamp, kept.at, self._process, name, fields)
-            for kept in self._kept
-            for name, fields in _told(kept.what)
+            Event(record.stamp, record.at, self._process, name, fields)
+            for record in self._records
+            for name, fields in _expand_note(record.note)
         )
-        return [one for one in events if one.concerns(job, task, zone)]
+        return [event for event in events if event.matches(job, task, zone)]
 
     def lines(
         self, job: str = '', task: str = '', zone: str = ''
     ) -> list[bytes]:
-        """The same, each a line of JSON."""
+        """Return the events that match, as JSON lines."""
         return [
-            msgspec.json.encode(one) for one in self.events(job, task, zone)
+            msgspec.json.encode(event)
+            for event in self.events(job, task, zone)
         ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _Record:
     stamp: int
     at: float
-    what: core.Note | TaskNote
+    note: core.Note | TaskNote
 
 
-def _told(
-    what: core.Note | TaskNote,
+def _expand_note(
+    note: core.Note | TaskNote,
 ) -> list[tuple[str, dict[str, str]]]:
-    """Names and fields of the events that one kept thing stands for."""
-    if isinstance(what, core.Note):
-        return [(what.name, dict(what.fields))]
-    return [(what.name, _task_fields(what, mark)) for mark in what.marks]
+    """Return the names and fields of the events that a note stands for."""
+    if isinstance(note, core.Note):
+        return [(note.name, dict(note.fields))]
+    return [(note.name, _get_task_fields(note, mark)) for mark in note.marks]
 
 
-def _task_fields(note: TaskNote, mark: TaskMark) -> dict[str, str]:
+def _get_task_fields(note: TaskNote, mark: TaskMark) -> dict[str, str]:
     fields = {
         'job': mark.job,
         'task': str(mark.index),
@@ -208,22 +216,24 @@
     return {name: value for name, value in fields.items() if value}
 
 
-def _zones(fields: dict[str, str]) -> tuple[str, str]:
-    """Zones that an event is about: by its field, or by its subject."""
+def _get_zones(fields: dict[str, str]) -> tuple[str, str]:
+    """Return the zones named by an event's ``zone`` and ``about`` fields."""
     subject = fields.get('about', '')
     named = subject.removeprefix('zone:') if ':' in subject else ''
     return fields.get('zone', ''), named
 
 
 def merge(parts: typing.Iterable[list[Event]]) -> list[Event]:
-    """Events of several processes in causal order."""
-    return list(heapq.merge(*parts, key=lambda one: (one.stamp, one.process)))
+    """Return the events of several processes in causal order."""
+    return list(
+        heapq.merge(*parts, key=lambda event: (event.stamp, event.process))
+    )
 
 
 def parse(data: bytes) -> list[Event]:
-    """Events from lines of JSON.
+    """Return the events in JSON lines.
 
-    :raises agatepick.exceptions.BadMessage: if a line is no event.
+    :raises agatepick.exceptions.BadMessage: if a line isn't an event.
     """
     try:
         return [
@@ -233,5 +243,5 @@
         ]
     except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
         raise exceptions.BadMessage(
-            f'no event of a time line: {exc}', step='timeline'
+            f'line is not a timeline event: {exc}', step='timeline'
         ) from exc
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -7,9 +7,9 @@
 
 
 def test_each_event_is_one_line_of_pairs():
-    """An upstream's reason holds line breaks and quotes.
+    """An upstream's reason contains line breaks and quotes.
 
-    A log is read by line, so a value must not break out of its own.
+    Logs are read line by line, so a value must not span lines.
     """
     stream = io.StringIO()
     log = logging.getLogger('agatepick.test')
@@ -33,24 +33,25 @@
     )
 
 
-def test_lines_of_failures_outlive_those_of_success():
-    """A burst writes more lines than the budget allows.
+def test_routine_lines_are_dropped_before_failure_lines():
+    """A burst logs more lines than the budget allows.
 
-    What explains a failure must still be found; success is dropped first.
+    Routine lines are dropped first, so that the log still has the lines that
+    explain failures.
     """
     budget = logs.Budget(100.0)
-    routine = sum(budget.takes(True, 1.0) for _ in range(200))
-    failures = sum(budget.takes(False, 1.0) for _ in range(40))
+    routine = sum(budget.try_consume(True, 1.0) for _ in range(200))
+    failures = sum(budget.try_consume(False, 1.0) for _ in range(40))
     assert routine == 50
     assert failures == 40
-    assert budget.take_dropped() == 150
-    assert budget.takes(True, 2.0)
+    assert budget.pop_dropped_count() == 150
+    assert budget.try_consume(True, 2.0)
 
 
-def test_a_reader_that_has_stopped_delays_nothing():
-    """Nobody reads standard output any more, and its pipe is full.
+def test_a_stopped_reader_does_not_block_logging():
+    """The reader of standard output has stopped, and the pipe is full.
 
-    A write that waited would hold up every request of the process.
+    A blocking write would stall every request of the process.
     """
     reading, writing = os.pipe()
     handler = logs.BoundedHandler(writing, 100_000.0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -14,7 +14,7 @@
 
 
 def values(text):
-    """All samples of a metrics page, by name and labels."""
+    """Return the samples of a metrics page by name and labels."""
     return {
         (sample.name, *sample.labels.values()): sample.value
         for family in parser.text_string_to_metric_families(text)
@@ -22,52 +22,52 @@
     }
 
 
-def test_each_kind_is_told_under_its_name_and_in_its_unit():
-    found = metrics.Metrics()
-    found.noted(core.note('job.refused', code='overload'))
-    found.seconds('http_seconds', 0.25)
-    found.gauge('http_open', 3)
-    told = values(found.text().decode())
-    assert told['agatepick_events_total', 'job.refused'] == 1.0
-    assert told['agatepick_http_seconds_sum',] == 0.25
-    assert told['agatepick_http_seconds_bucket', '0.2'] == 0.0
-    assert told['agatepick_http_seconds_bucket', '0.3'] == 1.0
-    assert told['agatepick_http_open',] == 3.0
+def test_each_kind_of_metric_is_exported_with_its_name_and_unit():
+    recorder = metrics.Metrics()
+    recorder.count_note(core.note('job.refused', code='overload'))
+    recorder.seconds('http_seconds', 0.25)
+    recorder.gauge('http_open', 3)
+    samples = values(recorder.text().decode())
+    assert samples['agatepick_events_total', 'job.refused'] == 1.0
+    assert samples['agatepick_http_seconds_sum',] == 0.25
+    assert samples['agatepick_http_seconds_bucket', '0.2'] == 0.0
+    assert samples['agatepick_http_seconds_bucket', '0.3'] == 1.0
+    assert samples['agatepick_http_open',] == 3.0
     with pytest.raises(KeyError):
-        found.gauge('events', 1)
+        recorder.gauge('events', 1)
 
 
-def test_gauges_are_as_of_the_request():
-    """A scraper asks now and then; what it gets must not be of long ago."""
+def test_gauges_are_current_at_each_request():
+    """A scraper would otherwise read the gauges of an earlier request."""
 
     async def main():
-        found = metrics.Metrics()
-        counted = iter((5, 7))
+        recorder = metrics.Metrics()
+        readings = iter((5, 7))
 
         def text():
-            found.gauge('links_bytes_in', next(counted))
-            return found.text()
+            recorder.gauge('links_bytes_in', next(readings))
+            return recorder.text()
 
         server = httpserver.HTTPServer(metrics.application(text))
         (sock,) = netutil.bind_sockets(0, '127.0.0.1')
         server.add_sockets([sock])
         url = f'http://127.0.0.1:{sock.getsockname()[1]}/metrics'
 
-        def ask():
+        def scrape():
             with urllib.request.urlopen(url, timeout=10) as answer:
                 return values(answer.read().decode())
 
         loop = asyncio.get_running_loop()
-        told = [await loop.run_in_executor(None, ask) for _ in range(2)]
+        samples = [await loop.run_in_executor(None, scrape) for _ in range(2)]
         server.stop()
-        return [one['agatepick_links_bytes_in',] for one in told]
+        return [one['agatepick_links_bytes_in',] for one in samples]
 
     assert asyncio.run(main()) == [5.0, 7.0]
 
 
 def test_the_page_lists_each_metric_with_its_unit():
     rows = PAGE.read_text().splitlines()
-    for one in metrics.METRICS.values():
-        name = f'agatepick_{one.name}'
-        row = f'| `{name}` | {one.kind.value} | {one.unit} |'
+    for metric in metrics.METRICS.values():
+        name = f'agatepick_{metric.name}'
+        row = f'| `{name}` | {metric.kind.value} | {metric.unit} |'
         assert any(line.startswith(row) for line in rows), row
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -29,10 +29,10 @@
 
 
 def test_a_resubmission_at_another_entry_joins_the_running_job():
-    """A caller lost its connection and asks another entry again.
+    """A caller loses its connection and resubmits at another entry.
 
-    It must get the answer of the job that already runs; a second run would
-    file every quote twice.
+    It must receive the answer of the running job; a second run would file
+    every quote twice.
     """
 
     async def main():
@@ -53,10 +53,10 @@
 
 
 def test_an_agent_that_dies_leaves_its_tasks_unknown_and_never_rerun():
-    """A worker's machine loses power in the middle of its tasks.
+    """A worker's machine loses power while it runs tasks.
 
-    Nobody can say whether they took effect.  The caller must be told so;
-    a second start elsewhere could double a booking.
+    The answer must report the outcome as unknown, since the tasks may have
+    taken effect; a second start elsewhere could double a booking.
     """
 
     async def main():
@@ -81,11 +81,11 @@
     asyncio.run(main())
 
 
-def test_an_entry_that_stops_cuts_no_request():
-    """An operator replaces an entry while callers wait at it.
+def test_an_entry_that_stops_completes_its_requests():
+    """An operator replaces an entry that has waiting callers.
 
-    What it owns is finished and answered before it goes, and what comes
-    meanwhile is handed to another entry.
+    The entry completes and answers its jobs before it exits, and meanwhile
+    another entry handles new jobs.
     """
 
     async def main():
@@ -109,10 +109,10 @@
     asyncio.run(main())
 
 
-def test_a_question_about_a_key_of_another_format_is_answered():
-    """A caller asks for a job under a UUID that is no UUIDv7.
+def test_a_query_for_a_key_of_another_format_is_answered():
+    """A caller queries a job by a UUID that isn't a UUIDv7.
 
-    No job can have that key; the question must not break the entry.
+    No job can have that key; the request must not crash the entry.
     """
 
     async def main():
@@ -130,10 +130,11 @@
     asyncio.run(main())
 
 
-def test_a_job_can_be_asked_for_and_cancelled_at_any_entry():
-    """A caller without a token hands in a job and comes back for it later.
+def test_a_job_can_be_queried_and_cancelled_at_any_entry():
+    """A caller without a token submits a job and queries it later.
 
-    It has told its team only in the job, and must find it all the same.
+    Only the job's body names the team, so the query doesn't, and must still
+    find the job.
     """
 
     async def main():
@@ -161,11 +162,11 @@
     asyncio.run(main())
 
 
-def test_a_departed_zone_is_reported_empty_once_its_last_task_ended():
-    """An operator takes a zone out while a long task runs there.
+def test_a_drained_zone_is_reported_after_its_last_task():
+    """An operator takes a zone out of service while a long task runs there.
 
-    Told too soon that the zone is empty, he would power it off and cut the
-    task; the wait ends with the task.
+    If the zone were reported empty too early, the operator would power it off
+    and abort the task; the command must wait for the task.
     """
 
     async def main():
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -10,9 +10,9 @@
 
 
 def test_an_effect_never_comes_before_its_cause():
-    """An agent's clock is behind its entry's by a fifth of a second.
+    """The clock of an agent is 0.2 s behind the clock of its entry.
 
-    Sorted by their clocks, a task would seem to start before it was sent.
+    Sorted by these clocks, a task would appear to start before it was sent.
     """
     entry = timeline.Timeline('entry-1', 10, conftest.FixedClock(100.2))
     agent = timeline.Timeline('agent-1', 10, conftest.FixedClock(100.0))
@@ -27,23 +27,27 @@
 
 
 def test_one_broken_clock_does_not_move_the_others():
-    """A process believes that it is a year ahead.
+    """The clock of one process is a year ahead.
 
-    The stamps of those that it talks to stay near the true time.
+    The timestamps of its peers must stay close to the real time.
     """
     clock = conftest.FixedClock(100.0)
-    line = timeline.Timeline('entry-1', 10, clock)
-    line.hybrid.merge(int(100.0 + 365 * 86400) * timeline.MICROSECONDS)
-    line.add(core.note('any'))
-    assert line.events()[0].stamp == 100 * timeline.MICROSECONDS
+    process_timeline = timeline.Timeline('entry-1', 10, clock)
+    process_timeline.hybrid.merge(
+        int(100.0 + 365 * 86400) * timeline.MICROSECONDS
+    )
+    process_timeline.add(core.note('any'))
+    assert process_timeline.events()[0].stamp == 100 * timeline.MICROSECONDS
 
 
-def test_only_the_last_events_are_kept_and_told_by_subject():
-    line = timeline.Timeline('entry-1', 2, conftest.FixedClock(100.0))
+def test_only_the_last_events_are_kept_and_filtered_by_field():
+    process_timeline = timeline.Timeline(
+        'entry-1', 2, conftest.FixedClock(100.0)
+    )
     for job in 'abc':
-        line.add(core.note('job.ended', job=job, zone='talca'))
-    assert len(line) == 2
-    (line_of_c,) = line.lines(job='c', zone='talca')
+        process_timeline.add(core.note('job.ended', job=job, zone='talca'))
+    assert len(process_timeline) == 2
+    (line_of_c,) = process_timeline.lines(job='c', zone='talca')
     (event,) = timeline.parse(line_of_c + b'\n')
     assert event.show() == (
         '100.000000 entry-1 event=job.ended job=c zone=talca'
@@ -53,14 +57,16 @@
 
 
 def test_a_zones_changes_are_found_by_its_name():
-    line = timeline.Timeline('entry-1', 10, conftest.FixedClock(100.0))
-    line.add(core.note('change_accepted', about='zone:talca'))
-    line.add(core.note('change_accepted', about='preset'))
-    assert len(line.events(zone='talca')) == 1
-    assert line.events(zone='curico') == []
+    process_timeline = timeline.Timeline(
+        'entry-1', 10, conftest.FixedClock(100.0)
+    )
+    process_timeline.add(core.note('change_accepted', about='zone:talca'))
+    process_timeline.add(core.note('change_accepted', about='preset'))
+    assert len(process_timeline.events(zone='talca')) == 1
+    assert process_timeline.events(zone='curico') == []
 
 
-def test_the_way_of_one_task_is_told_over_all_processes():
+def test_the_events_of_one_task_are_merged_over_all_processes():
     async def main():
         async with whole.cluster(agents=1) as cluster:
             code, answer = await cluster.call(
@@ -68,13 +74,13 @@
             )
             assert code == 200
             processes = [*cluster.entries, *cluster.agents]
-            found = [
+            parts = [
                 timeline.parse(
                     b'\n'.join(one.timeline.lines(answer['job'], '1'))
                 )
                 for one in processes
             ]
-            return [one.event for one in timeline.merge(found)]
+            return [one.event for one in timeline.merge(parts)]
 
     assert asyncio.run(main()) == [
         'task_sent',
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -1,4 +1,4 @@
-"""Whole clusters in one event loop, over real sockets, for tests."""
+"""Complete clusters in one event loop, with real sockets, for tests."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 ANY_PORT = '127.0.0.1:0'
 PLAIN = settings.Tls(enabled=False)
-# A shorter fence leaves leases that lapse whenever the machine is busy.
+# With a shorter fence, leases expire whenever the machine is busy.
 TIMING = settings.Timing(
     fence_seconds=3.0, margin_seconds=0.1, heartbeat_seconds=0.2
 )
@@ -25,7 +25,7 @@
 
 
 class Whole:
-    """A table service, entries, and agents with stand-in workers."""
+    """Cluster of a table service, entries and agents with stand-ins."""
 
     def __init__(self, table: standin_table.TableServer):
         self.table = table
@@ -82,7 +82,7 @@
         return process
 
     async def settle(self) -> None:
-        """Wait until every entry serves and has every agent's slots."""
+        """Wait until every entry is ready and has the slots of all agents."""
         async with asyncio.timeout(PATIENCE):
             while not all(map(self._settled, self.entries)):
                 await asyncio.sleep(0.02)
@@ -97,12 +97,12 @@
         return serves and listed and all_agents
 
     def listed(self, process):
-        """The listed entries in force, as an entry sees them."""
+        """Return the entries listed in the configuration in force."""
         now = process.outside.clock.now()
         return process.entry.configuration.in_force(now).listed()
 
     async def call(self, process, method, path, body=None, **headers):
-        """One HTTP request; its status and JSON."""
+        """Send an HTTP request and return its status and JSON."""
         resp = await self._client.fetch(
             f'http://{process.http_address}{path}',
             method=method,
@@ -114,7 +114,7 @@
         return resp.code, json.loads(resp.body or b'null')
 
     def starts(self) -> int:
-        """Starts that the workers counted."""
+        """Return the number of starts counted by the workers."""
         return sum(sum(one.starts.values()) for one in self.workers)
 
     def kill(self) -> None:
@@ -138,7 +138,7 @@
 
 
 def job(tasks: int, seconds: float = 0.01, **fields):
-    """The body of a job of equal tasks."""
+    """Return the body of a job with identical tasks."""
     payload = {'seconds': seconds}
     many = [
         {'id': f't{i}', 'kind': 'k', 'payload': payload} for i in range(tasks)
