--- a/src/agatepick/conf/__init__.py
+++ b/src/agatepick/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files, checked whole at the start."""
+"""Settings files, validated completely at startup."""
--- a/src/agatepick/conf/settings.py
+++ b/src/agatepick/conf/settings.py
@@ -1,8 +1,8 @@
 """Settings of each program, as frozen data classes with their defaults.
 
-:mod:`agatepick.conf.settings_files` reads them from TOML and checks them
-whole. Durations are seconds and their keys end in ``_seconds``; sizes are
-bytes or MiB and end in ``_bytes`` or ``_mb``.
+:mod:`agatepick.conf.settings_files` reads them from TOML and validates them.
+Durations are in seconds, with keys that end in ``_seconds``; sizes are in
+bytes or MiB, with keys that end in ``_bytes`` or ``_mb``.
 """
 
 import dataclasses
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Process:
-    """Who this process is; names are unique in the cluster."""
+    """Identity of this process; names are unique in the cluster."""
 
     name: Name
     zone: Name
@@ -79,10 +79,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Http:
-    """The HTTP side: where it listens and what a request may take.
+    """HTTP server: its address and the limits of a request.
 
-    :param plain_beyond_loopback: allows a bind that others can reach
-        although TLS is off.
+    :param plain_beyond_loopback: allows to listen on addresses other than
+        loopback without TLS.
     """
 
     listen: Address
@@ -97,9 +97,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peers:
-    """Connections between our own processes.
+    """Connections between agatepick processes.
 
-    :param advertise: address that others dial; ``listen`` if empty.
+    :param advertise: address that peers connect to; ``listen`` if empty.
     """
 
     listen: Address
@@ -108,7 +108,7 @@
 
     @property
     def address(self) -> str:
-        """Address that others dial."""
+        """Address that peers connect to."""
         return self.advertise or self.listen
 
 
@@ -122,13 +122,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Instants that all processes of a cluster must share.
+    """Durations that must be the same in all processes of a cluster.
 
-    :param fence_seconds: least time from a change's write to its being in
-        force; also the life of a read lease, less the margin.
-    :param margin_seconds: clock offset between peers that is put up with.
+    :param fence_seconds: minimum time from the write of a change until it is
+        in force; also the duration of a read lease, less the margin.
+    :param margin_seconds: tolerated clock offset between peers.
     :param retention_seconds: how long a job and its answer are kept.
-    :param skew_seconds: how far ahead of our clock a key may be stamped.
+    :param skew_seconds: how far the timestamp of a key may lie in the future
+        of the process clock.
     """
 
     fence_seconds: Seconds = 3.0
@@ -143,8 +144,9 @@
 class Tls:
     """Certificates and keys; paths are relative to the settings file.
 
-    :param enabled: ``false`` runs in the clear, then bound to loopback.
-    :param reload_seconds: how often changed files are looked for.
+    :param enabled: ``false`` runs without encryption, on loopback addresses
+        unless ``plain_beyond_loopback`` is set.
+    :param reload_seconds: interval between checks for changed files.
     """
 
     enabled: bool = True
@@ -167,7 +169,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tokens:
-    """Bearer tokens: the operators' and each team's own."""
+    """Bearer tokens of the operators and of each team."""
 
     operator: Token
     teams: dict[Name, Token] = dataclasses.field(default_factory=dict)
@@ -175,14 +177,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metrics:
-    """Where metrics are served as text, at ``/metrics``; empty serves none."""
+    """Address that serves ``/metrics``; empty disables it."""
 
     listen: Address = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Log:
-    """Logs and the time line kept in memory."""
+    """Logs, and the timeline kept in memory."""
 
     level: Level = 'info'
     timeline_events: Count = 10_000
@@ -205,14 +207,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entries:
-    """Entries that an agent dials first; it learns the others from them."""
+    """Entries that an agent connects to first; they list the others."""
 
     seeds: tuple[Address, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstreams:
-    """HTTP side on which the upstream announces itself to its agent."""
+    """HTTP server on which the upstream announces itself to its agent."""
 
     listen: Address
     lease_seconds: Seconds = 5.0
@@ -221,7 +223,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operators:
-    """HTTP side on which an agent shows its time line; empty is none."""
+    """HTTP server for an agent's timeline; an empty address disables it."""
 
     listen: Address = ''
     token: Token = ''
@@ -244,7 +246,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """Limits and behaviour of the stand-in table service."""
+    """Limits and latency of the stand-in table service."""
 
     listen: Address
     reads_per_second: Count = 2000
@@ -262,10 +264,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worker:
-    """A stand-in worker with its upstream.
+    """Stand-in worker with its upstream.
 
-    :param agent: where the upstream announces itself.
-    :param task_seconds: run time of a task whose payload names none.
+    :param agent: URL of the agent that the upstream announces itself to.
+    :param task_seconds: run time of a task whose payload doesn't set one.
     """
 
     name: Name
--- a/src/agatepick/conf/settings_files.py
+++ b/src/agatepick/conf/settings_files.py
@@ -1,8 +1,9 @@
-"""Reads settings from TOML files and checks them whole at start.
+"""Reader and validator of settings files in TOML.
 
-Every fault in a file is found in one go: an unknown key, a missing key, a
-wrong type or unit, a value out of range and pairs of values that can't stand
-together.  Each names the file, the key, what was found and what is allowed.
+All faults in a file are reported together: unknown keys, missing keys, wrong
+types or units, values out of range and combinations of values that aren't
+allowed.  Each fault names the file, the key, the value found and the allowed
+values.
 """
 
 import dataclasses
@@ -15,32 +16,43 @@
 from agatepick import exceptions
 
 _T = typing.TypeVar('_T')
-_MARKS = {'http': 'entry', 'entries': 'agent', 'table': 'table'}
+_PROGRAM_BY_SECTION = {'http': 'entry', 'entries': 'agent', 'table': 'table'}
 
 
 def load(path: str | pathlib.Path, kind: type[_T]) -> _T:
-    """The settings in a file.
+    """Return the settings in a file.
 
-    :param kind: one of the settings classes of this module.
-    :raises agatepick.exceptions.BadSettings: listing every fault, one a
-        line.
+    :param kind: settings class, such as
+        :class:`agatepick.conf.settings.EntrySettings`.
+    :raises agatepick.exceptions.BadSettings: with all faults, one per line.
     """
-    return parse(_read(path), kind, str(path), pathlib.Path(path).parent)
+    return parse(_read_file(path), kind, str(path), pathlib.Path(path).parent)
 
 
 def load_any(path: str | pathlib.Path) -> settings.Settings:
-    """The settings in a file of whichever program; told by its sections.
+    """Return the settings in a file of any program.
 
-    :raises agatepick.exceptions.BadSettings: listing every fault.
+    The sections of the file determine the program.
+
+    :raises agatepick.exceptions.BadSettings: with all faults, one per line.
     """
-    text = _read(path)
-    data = typed_toml.data(text, str(path))
-    name = next((_MARKS[key] for key in data if key in _MARKS), 'upstream')
+    text = _read_file(path)
+    data = typed_toml.parse_toml(text, str(path))
+    name = next(
+        (
+            _PROGRAM_BY_SECTION[key]
+            for key in data
+            if key in _PROGRAM_BY_SECTION
+        ),
+        'upstream',
+    )
     if name == 'upstream' and 'worker' not in data:
-        marks = ', '.join(f'[{one}]' for one in (*_MARKS, 'worker'))
+        sections = ', '.join(
+            f'[{one}]' for one in (*_PROGRAM_BY_SECTION, 'worker')
+        )
         raise exceptions.BadSettings(
-            f'{path}: no section tells the program; '
-            f'found {_shown_keys(data)}; allowed: one of {marks}',
+            f'{path}: no section identifies the program; '
+            f'found {_format_sections(data)}; allowed: one of {sections}',
             step='settings',
         )
     return parse(
@@ -54,16 +66,16 @@
     file: str = '<text>',
     base: pathlib.Path = pathlib.Path(),
 ) -> _T:
-    """The settings in TOML text.
+    """Return the settings in TOML text.
 
-    :param file: names the text in faults.
-    :param base: directory to which the paths in it are relative.
+    :param file: name of the text in fault messages.
+    :param base: directory that paths in the settings are relative to.
     """
-    data = typed_toml.data(text, file)
+    data = typed_toml.parse_toml(text, file)
     faults: list[str] = []
     value = typed_toml.build(data, kind, faults)
-    faults += pair_faults(value)
-    value = _with_paths(value, base, faults)
+    faults += find_combination_faults(value)
+    value = _resolve_tls_paths(value, base, faults)
     if faults:
         lines = '\n'.join(f'{file}: {fault}' for fault in faults)
         raise exceptions.BadSettings(lines, step='settings')
@@ -71,7 +83,7 @@
 
 
 def is_loopback(address: str) -> bool:
-    """Whether an ``ip:port`` can be reached from this machine only."""
+    """Return whether an ``ip:port`` is a loopback address."""
     host = address.rpartition(':')[0].strip('[]')
     try:
         return ipaddress.ip_address(host).is_loopback
@@ -79,7 +91,7 @@
         return False
 
 
-def _read(path: str | pathlib.Path) -> str:
+def _read_file(path: str | pathlib.Path) -> str:
     try:
         return pathlib.Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
@@ -88,21 +100,21 @@
         ) from exc
 
 
-def pair_faults(cfg: object) -> list[str]:
-    """Faults of values that are sound alone but not together."""
+def find_combination_faults(cfg: object) -> list[str]:
+    """Return the faults of values that are valid only separately."""
     faults = []
     tls = getattr(cfg, 'tls', None)
     for name in ('http', 'peers', 'upstream', 'operators'):
         section = getattr(cfg, name, None)
         if section is not None and section.listen:
-            faults += _bind_faults(name, section, tls)
+            faults += _find_bind_faults(name, section, tls)
     if tls is not None:
-        faults += _tls_faults(cfg, tls)
+        faults += _find_tls_faults(cfg, tls)
     timing = getattr(cfg, 'timing', None)
     if timing is not None:
-        faults += _timing_faults(timing)
+        faults += _find_timing_faults(timing)
     if isinstance(cfg, settings.EntrySettings) and cfg.tokens is not None:
-        faults += _token_faults(cfg.tokens)
+        faults += _find_token_faults(cfg.tokens)
     if isinstance(cfg, settings.AgentSettings) and cfg.entries is not None:
         if cfg.entries.seeds == ():
             faults.append('entries.seeds: found []; allowed: one or more')
@@ -115,13 +127,13 @@
     return faults
 
 
-def _bind_faults(
+def _find_bind_faults(
     name: str, section: typing.Any, tls: settings.Tls | None
 ) -> list[str]:
-    # An upstream's announcements come from its own machine, in the clear.
-    clear = name == 'upstream' or (tls is not None and not tls.enabled)
+    # Upstreams announce themselves over plain HTTP from the same machine.
+    plaintext = name == 'upstream' or (tls is not None and not tls.enabled)
     if (
-        clear
+        plaintext
         and not section.plain_beyond_loopback
         and not is_loopback(section.listen)
     ):
@@ -133,46 +145,46 @@
     return []
 
 
-def _tls_faults(cfg: object, tls: settings.Tls) -> list[str]:
+def _find_tls_faults(cfg: object, tls: settings.Tls) -> list[str]:
     if not tls.enabled:
         return []
-    wanted = ['peer_certificate', 'peer_key', 'peer_authority']
-    if isinstance(cfg, settings.EntrySettings) or _shows_timeline(cfg):
-        wanted += ['http_certificate', 'http_key']
+    required = ['peer_certificate', 'peer_key', 'peer_authority']
+    if isinstance(cfg, settings.EntrySettings) or _serves_timeline(cfg):
+        required += ['http_certificate', 'http_key']
     return [
         f'tls.{name}: found nothing with tls.enabled = true; '
         f'allowed: path of a PEM file, or tls.enabled = false'
-        for name in wanted
+        for name in required
         if getattr(tls, name) == ''
     ]
 
 
-def _shows_timeline(cfg: object) -> bool:
+def _serves_timeline(cfg: object) -> bool:
     section = getattr(cfg, 'operators', None)
     return section is not None and bool(section.listen)
 
 
-def _with_paths(
+def _resolve_tls_paths(
     cfg: typing.Any, base: pathlib.Path, faults: list[str]
 ) -> typing.Any:
-    """``cfg`` with the paths of its TLS files made whole."""
+    """Return ``cfg`` with the paths of its TLS files joined to ``base``."""
     tls = getattr(cfg, 'tls', None)
     if tls is None or not tls.enabled:
         return cfg
-    whole = {}
+    resolved = {}
     for name in settings.TLS_FILES:
-        found = getattr(tls, name)
-        if found:
-            whole[name] = str(base / found)
-            if not (base / found).is_file():
+        path = getattr(tls, name)
+        if path:
+            resolved[name] = str(base / path)
+            if not (base / path).is_file():
                 faults.append(
-                    f'tls.{name}: found {found!r}, which is no file; '
+                    f'tls.{name}: found {path!r}, which is no file; '
                     f'allowed: path of a PEM file'
                 )
-    return dataclasses.replace(cfg, tls=dataclasses.replace(tls, **whole))
+    return dataclasses.replace(cfg, tls=dataclasses.replace(tls, **resolved))
 
 
-def _timing_faults(timing: settings.Timing) -> list[str]:
+def _find_timing_faults(timing: settings.Timing) -> list[str]:
     faults = []
     fence, margin = timing.fence_seconds, timing.margin_seconds
     if fence is not None and margin is not None and margin * 4 > fence:
@@ -195,7 +207,7 @@
     return faults
 
 
-def _token_faults(tokens: settings.Tokens) -> list[str]:
+def _find_token_faults(tokens: settings.Tokens) -> list[str]:
     owners: dict[str, str] = {}
     faults = []
     pairs = [('operator', tokens.operator)]
@@ -214,5 +226,5 @@
     return faults
 
 
-def _shown_keys(data: dict[str, typing.Any]) -> str:
+def _format_sections(data: dict[str, typing.Any]) -> str:
     return ', '.join(f'[{key}]' for key in data) or 'nothing'
--- a/src/agatepick/conf/typed_toml.py
+++ b/src/agatepick/conf/typed_toml.py
@@ -1,9 +1,9 @@
-"""Turns TOML into frozen data classes, noting every fault in one go.
+"""Conversion of TOML to frozen data classes with all faults collected.
 
-The fields' types are checked by ``msgspec``, whose own errors stop at the
-first fault; here each field is converted apart so that all are found.  What
-is allowed is told in words by the ``description`` of a type's
-:class:`msgspec.Meta`; ``extra={'secret': True}`` keeps a value out of faults.
+``msgspec`` validates the types of fields, but stops at the first fault; here
+each field is converted separately to find all faults.  The ``description`` of
+a type's :class:`msgspec.Meta` describes the allowed values in fault messages;
+``extra={'secret': True}`` keeps the value itself out of them.
 """
 
 import dataclasses
@@ -18,10 +18,10 @@
 _T = typing.TypeVar('_T')
 
 
-def data(text: str, file: str) -> dict[str, typing.Any]:
-    """The tables in TOML text; ``file`` names it in the fault.
+def parse_toml(text: str, file: str) -> dict[str, typing.Any]:
+    """Return the tables in TOML text; ``file`` is its name in the error.
 
-    :raises agatepick.exceptions.BadSettings: if it isn't TOML.
+    :raises agatepick.exceptions.BadSettings: if the text isn't valid TOML.
     """
     try:
         return tomllib.loads(text)
@@ -34,58 +34,67 @@
 def build(
     data: dict[str, typing.Any], kind: type[_T], faults: list[str]
 ) -> _T:
-    """An instance of ``kind`` made of what is sound in ``data``.
+    """Return an instance of ``kind`` with the valid values in ``data``.
 
-    A faulty or missing part is added to ``faults`` and becomes ``None``, so
-    that what doesn't depend on it can still be checked.
+    An invalid or missing value is added to ``faults`` and replaced by
+    ``None``, so that independent values can still be validated.
     """
-    return typing.cast(_T, _section(data, kind, '', faults))
+    return typing.cast(_T, _build_section(data, kind, '', faults))
 
 
-def _section(
+def _build_section(
     data: dict[str, typing.Any], kind: type, path: str, faults: list[str]
 ) -> typing.Any:
     fields = {field.name: field for field in dataclasses.fields(kind)}
     hints = typing.get_type_hints(kind, include_extras=True)
     for key in data.keys() - fields.keys():
-        faults.append(_unknown(_join(path, key), key, list(fields)))
+        faults.append(
+            _describe_unknown_key(_join_path(path, key), key, list(fields))
+        )
     values = {}
     for name, field in fields.items():
-        where = _join(path, name)
+        where = _join_path(path, name)
         if name in data:
-            values[name] = _value(data[name], hints[name], where, faults)
+            values[name] = _build_value(data[name], hints[name], where, faults)
         elif _is_required(field):
-            faults.append(f'{where}: found nothing; {_allowed(hints[name])}')
+            faults.append(
+                f'{where}: found nothing; {_describe_allowed(hints[name])}'
+            )
             values[name] = None
     return kind(**values)
 
 
-def _value(
+def _build_value(
     found: typing.Any, hint: typing.Any, path: str, faults: list[str]
 ) -> typing.Any:
     if dataclasses.is_dataclass(hint):
         if isinstance(found, dict):
-            return _section(found, typing.cast(type, hint), path, faults)
-        faults.append(f'{path}: found {_shown(found, hint)}; allowed: a table')
+            return _build_section(found, typing.cast(type, hint), path, faults)
+        faults.append(
+            f'{path}: found {_format_value(found, hint)}; allowed: a table'
+        )
         return None
     if typing.get_origin(hint) is tuple and isinstance(found, list):
         item = typing.get_args(hint)[0]
         return tuple(
-            _value(one, item, f'{path}[{index}]', faults)
+            _build_value(one, item, f'{path}[{index}]', faults)
             for index, one in enumerate(found)
         )
     if typing.get_origin(hint) is dict and isinstance(found, dict):
         key_hint, item = typing.get_args(hint)
         return {
-            _value(key, key_hint, path, faults): _value(
-                one, item, _join(path, key), faults
+            _build_value(key, key_hint, path, faults): _build_value(
+                one, item, _join_path(path, key), faults
             )
             for key, one in found.items()
         }
     try:
         return msgspec.convert(found, hint)
     except msgspec.ValidationError:
-        faults.append(f'{path}: found {_shown(found, hint)}; {_allowed(hint)}')
+        faults.append(
+            f'{path}: found {_format_value(found, hint)}; '
+            f'{_describe_allowed(hint)}'
+        )
         return None
 
 
@@ -96,17 +105,17 @@
     )
 
 
-def _join(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f'{path}.{key}' if path else key
 
 
-def _unknown(where: str, key: str, names: list[str]) -> str:
+def _describe_unknown_key(where: str, key: str, names: list[str]) -> str:
     close = difflib.get_close_matches(key, names, n=1)
     hint = f' (did you mean {close[0]!r}?)' if close else ''
     return f'{where}: found an unknown key{hint}; allowed: {", ".join(names)}'
 
 
-def _metas(hint: typing.Any) -> list[msgspec.Meta]:
+def _find_metas(hint: typing.Any) -> list[msgspec.Meta]:
     parts = [hint, *typing.get_args(hint)]
     return [
         meta
@@ -116,7 +125,7 @@
     ]
 
 
-_PLAIN = {
+_TYPE_DESCRIPTIONS = {
     str: 'text',
     bool: 'true or false',
     int: 'a whole number',
@@ -124,8 +133,8 @@
 }
 
 
-def _allowed(hint: typing.Any) -> str:
-    for meta in _metas(hint):
+def _describe_allowed(hint: typing.Any) -> str:
+    for meta in _find_metas(hint):
         if meta.description:
             return f'allowed: {meta.description}'
     if dataclasses.is_dataclass(hint):
@@ -135,11 +144,11 @@
         return 'allowed: a list'
     if typing.get_origin(hint) is dict:
         return 'allowed: a table'
-    return f'allowed: {_PLAIN.get(hint, hint)}'
+    return f'allowed: {_TYPE_DESCRIPTIONS.get(hint, hint)}'
 
 
-def _shown(found: object, hint: typing.Any) -> str:
-    if any((meta.extra or {}).get('secret') for meta in _metas(hint)):
+def _format_value(found: object, hint: typing.Any) -> str:
+    if any((meta.extra or {}).get('secret') for meta in _find_metas(hint)):
         return f'a secret that is a {type(found).__name__}'
     text = repr(found)
     return text if len(text) <= 60 else f'{text[:57]}...'
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -28,17 +28,17 @@
     return caught.value.message.splitlines()
 
 
-def test_a_sound_file_becomes_settings_with_defaults():
+def test_a_valid_file_becomes_settings_with_defaults():
     cfg = settings_files.parse(GOOD, settings.EntrySettings)
     assert cfg.process.zone == 'talca'
     assert cfg.peers.address == '127.0.0.1:7070'
     assert cfg.timing.fence_seconds == 3.0
 
 
-def test_every_fault_is_named_in_one_go():
+def test_all_faults_are_reported_together():
     """An operator makes several mistakes in one file.
 
-    All of them are shown at once, each with what is allowed instead.
+    All faults are reported together, each with the allowed values.
     """
     text = (
         GOOD.replace('name = "entry-1"', '')
@@ -87,18 +87,18 @@
     ],
 )
 def test_a_faulty_value_is_named(old, new, fault):
-    found = faults(GOOD.replace(old, new))
-    assert any(fault in line for line in found), found
+    found_faults = faults(GOOD.replace(old, new))
+    assert any(fault in line for line in found_faults), found_faults
 
 
-def test_an_agent_that_shows_its_time_line_needs_a_token():
+def test_an_agent_that_serves_its_timeline_needs_a_token():
     text = (
         '[process]\nname = "a"\nzone = "z"\n[entries]\nseeds = []\n'
         '[upstream]\nlisten = "127.0.0.1:1"\n[tls]\nenabled = false\n'
         '[operators]\nlisten = "10.0.0.1:2"\n'
     )
-    found = faults(text, settings.AgentSettings)
-    starts = sorted(line.split(': found')[0] for line in found)
+    found_faults = faults(text, settings.AgentSettings)
+    starts = sorted(line.split(': found')[0] for line in found_faults)
     assert starts == [
         'entry.toml: entries.seeds',
         'entry.toml: operators.listen',
@@ -111,10 +111,10 @@
         settings_files.load(tmp_path / 'nowhere.toml', settings.EntrySettings)
 
 
-def test_a_file_tells_by_its_sections_which_program_it_is_for(tmp_path):
+def test_the_sections_of_a_file_identify_its_program(tmp_path):
     path = tmp_path / 'any.toml'
     path.write_text(GOOD)
     assert isinstance(settings_files.load_any(path), settings.EntrySettings)
     path.write_text('[log]\n')
-    with pytest.raises(exceptions.BadSettings, match='no section tells'):
+    with pytest.raises(exceptions.BadSettings, match='no section identifies'):
         settings_files.load_any(path)
