--- a/src/agatepick/__init__.py
+++ b/src/agatepick/__init__.py
@@ -1,8 +1,8 @@
-"""A dispatcher for sub-second tasks, as a library and thin daemons.
+"""Dispatcher for sub-second tasks, as a library and thin daemons.
 
-The public parts are re-exported here.  A reducer (:class:`Reducer`) decides;
-:class:`Shell` runs it; :class:`Calls` brings callers' requests in;
-:class:`Client` hands jobs in from outside.
+The public names are exported here.  A reducer (:class:`Reducer`) makes the
+decisions, :class:`Shell` runs it, :class:`Calls` passes requests to it, and
+:class:`Client` submits jobs over HTTP.
 """
 
 import importlib
@@ -81,9 +81,9 @@
     'server',
 ]
 
-# Loaded when first used: an agent has 64 MB, and what only callers and
-# operators need (clients, HTTP routes) would take a third of it.
-_HOMES = {
+# Modules are imported on first use: an agent has 64 MB, and the clients and
+# HTTP routes that only callers and operators need would take a third of it.
+_PUBLIC_NAMES = {
     'caller_routes': ('agatepick.api.callers', 'routes'),
     'Calls': ('agatepick.api.calls', 'Calls'),
     'ChangeProposed': ('agatepick.api.calls', 'ChangeProposed'),
@@ -122,7 +122,7 @@
 
 
 def __getattr__(name: str) -> typing.Any:
-    if name not in _HOMES:
+    if name not in _PUBLIC_NAMES:
         raise AttributeError(f'module {__name__!r} has no {name!r}')
-    home, own_name = _HOMES[name]
-    return getattr(importlib.import_module(home), own_name)
+    module, own_name = _PUBLIC_NAMES[name]
+    return getattr(importlib.import_module(module), own_name)
--- a/src/agatepick/cli.py
+++ b/src/agatepick/cli.py
@@ -1,22 +1,22 @@
-"""The command line.
+"""Command line interface.
 
 Exit statuses:
 
 ====== ==============================================================
 0      done; for a job: complete
-1      failed in a way that nobody foresaw, or a promise was broken
-2      wrong usage or faulty settings
-3      refused, nothing was done; for a job: not run
+1      unexpected error, or a broken promise in the demo
+2      wrong usage or invalid settings
+3      rejected, nothing was changed; for a job: not run
 4      a job failed
-5      the outcome is pending or not known
+5      the outcome is pending or unknown
 6      no answer from any entry
-7      another change of the configuration won
+7      conflict with another change of the configuration
 8      the token is missing or wrong
 ====== ==============================================================
 
-Errors are one line on standard error.  The entry is named by ``--entry`` or
-``AGATEPICK_ENTRY``, the token by ``AGATEPICK_TOKEN``, the authority that
-signed the entry's certificate by ``AGATEPICK_AUTHORITY``.
+An error is one line on standard error.  ``--entry`` or ``AGATEPICK_ENTRY`` set
+the URL of the entry, ``AGATEPICK_TOKEN`` the token, and
+``AGATEPICK_AUTHORITY`` the authority that signed the entry's certificate.
 """
 
 import contextlib
@@ -32,9 +32,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command line; returns the exit status."""
+    """Run one command line and return the exit status."""
     try:
-        run = _parsed(sys.argv[1:] if argv is None else argv)
+        run = _parse(sys.argv[1:] if argv is None else argv)
         if run is None:
             return 0
         output = run()
@@ -44,12 +44,12 @@
         return exc.exit_status
     except KeyboardInterrupt:
         return 130
-    # A user can do nothing about a traceback; DEBUG keeps it for us.
+    # Users get one line; AGATEPICK_DEBUG shows the traceback.
     except Exception as exc:
         if os.environ.get('AGATEPICK_DEBUG'):
             raise
         print(
-            f'agatepick: unforeseen {type(exc).__name__}: {exc}; set '
+            f'agatepick: unexpected {type(exc).__name__}: {exc}; set '
             f'AGATEPICK_DEBUG=1 to see where, and please report it',
             file=sys.stderr,
         )
@@ -59,8 +59,8 @@
     return output.exit_status
 
 
-def _parsed(argv: list[str]) -> command_tree.Run | None:
-    """What a command line asks for; ``None`` if help was shown."""
+def _parse(argv: list[str]) -> command_tree.Run | None:
+    """Return the action of a command line; ``None`` if help was shown."""
     chosen = command_tree.Commands()
     out, err = io.StringIO(), io.StringIO()
     try:
@@ -70,20 +70,22 @@
         if exc.code == 0:
             _print((out.getvalue() + err.getvalue()).strip())
             return None
-        raise exceptions.BadUsage(_usage(err.getvalue())) from None
+        raise exceptions.BadUsage(
+            _describe_usage_error(err.getvalue())
+        ) from None
     if chosen.run is None:
         _print(out.getvalue().strip())
     return chosen.run
 
 
-def _usage(text: str) -> str:
+def _describe_usage_error(text: str) -> str:
     lines = [line for line in text.splitlines() if line.startswith('ERROR')]
     reason = lines[0].removeprefix('ERROR: ') if lines else 'wrong usage'
     return f'{reason}; see agatepick --help'
 
 
 def _print(text: str) -> None:
-    # A reader such as head may have gone; that is no fault of the user.
+    # A reader such as head may have closed the pipe, which is no error.
     try:
         print(text, flush=True)
     except BrokenPipeError:
--- a/src/agatepick/cmd/__init__.py
+++ b/src/agatepick/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, its clients, and what it shows."""
+"""Commands of the command line, HTTP clients and output formats."""
--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -1,12 +1,13 @@
-"""An asynchronous client of the callers' HTTP side.
+"""Asynchronous client of the callers' HTTP API.
 
-It mints the key of each job and retries only what is true to retry:
+The client creates the idempotency key of each job and retries in these cases:
 
-* the connection broke, or the outcome is pending: the same key again, so
-  that the job can't run twice;
-* a refusal that says "not run" and when to come back: a new key, for the
-  refusal of the old one stands;
-* anything else is the answer.
+* after a broken connection or a pending outcome, with the same key, so that
+  the job can't run twice;
+* after a rejection with "not run" and a retry delay, with a new key, because
+  the rejection of the old key is final.
+
+Any other response is returned to the caller.
 """
 
 import asyncio
@@ -27,21 +28,21 @@
 from agatepick import exceptions
 from agatepick import types
 
-ASK_TIMEOUT = 10.0
-MIN_TIMEOUT = 0.001
+REQUEST_TIMEOUT_SECONDS = 10.0
+MIN_TIMEOUT_SECONDS = 0.001
 RETRY_PAUSES = backoff.Pauses(first=0.1, most=2.0)
-"""Longest pauses before another try."""
-CONNECT_TIMEOUT = 2.0
-NO_RETRY = (401, 403, 404)
-"""Statuses that another try under the same key and token gets again."""
-HOLD_SLACK = 5.0
-"""Seconds that an answer may come after the job's deadline: the entry tells
-of a missed deadline, and that answer still has to reach us."""
+"""Upper bounds of the random pauses between attempts."""
+CONNECT_TIMEOUT_SECONDS = 2.0
+PERMANENT_HTTP_STATUSES = (401, 403, 404)
+"""Statuses that a retry with the same key and token would get again."""
+ANSWER_GRACE_SECONDS = 5.0
+"""Time after the job's deadline in which its answer may still arrive: at the
+deadline the entry reports the missed deadline, which takes time to deliver."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """A task to hand in; ``payload`` is any JSON value."""
+    """Task to submit; ``payload`` is any JSON value."""
 
     id: str
     kind: str
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A job to hand in, with the seconds in which its answer is of use."""
+    """Job to submit; its deadline is ``timeout_seconds`` after submission."""
 
     tasks: tuple[Task, ...]
     team: str = ''
@@ -63,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskResult:
-    """How one task ended; ``body`` is the upstream's JSON value."""
+    """Result of one task; ``body`` is the upstream's JSON value."""
 
     id: str
     outcome: types.Outcome
@@ -75,9 +76,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobResult:
-    """What became of a job; ``tasks`` are under the caller's own ids.
+    """Result of a job; ``tasks`` have the task ids chosen by the caller.
 
-    :param tries: requests that it took.
+    :param tries: number of requests sent.
     """
 
     job: str
@@ -94,12 +95,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every task finished."""
+        """Whether every task has finished."""
         return self.run == types.JobStatus.COMPLETE
 
 
 class _Reply(msgspec.Struct, frozen=True):
-    """Members of answers and problem documents that the client reads."""
+    """Members of responses and problem documents that the client reads."""
 
     run: str = ''
     job: str = ''
@@ -112,16 +113,16 @@
     retry_after: float = 0.0
 
 
-Found = result.Result[JobResult, exceptions.Unreachable]
+FetchResult = result.Result[JobResult, exceptions.Unreachable]
 
 
 class Client:
-    """Hands in jobs at any of some entries.
+    """Client that submits jobs to one of several entries.
 
     :param entries: URLs, such as ``http://127.0.0.1:8080``.
-    :param token: the team's bearer token; empty sends none.
-    :param tls: for ``https`` entries, whom to trust.
-    :param rng: source of the pauses' jitter.
+    :param token: bearer token of the team; empty sends none.
+    :param tls: trusted certificates for ``https`` entries.
+    :param rng: random source of the jitter of pauses.
     """
 
     def __init__(
@@ -134,7 +135,9 @@
         http: tornado.httpclient.AsyncHTTPClient | None = None,
     ):
         if not entries:
-            raise exceptions.BadSettings('no entry to talk to', step='client')
+            raise exceptions.BadSettings(
+                'no entry URL is configured', step='client'
+            )
         self._entries = [entry.rstrip('/') for entry in entries]
         self._token = token
         self._tls = tls
@@ -142,16 +145,16 @@
         self._http = http or tornado.httpclient.AsyncHTTPClient(
             force_instance=True, max_clients=1000
         )
-        self._next = self._rng.randrange(len(entries))
+        self._next_entry = self._rng.randrange(len(entries))
 
     def close(self) -> None:
         """Close the connections."""
         self._http.close()
 
     async def submit(self, job: Job, key: str | None = None) -> JobResult:
-        """Hand in a job and wait for its answer, for as long as it is of use.
+        """Submit a job and wait for its answer until the job's deadline.
 
-        :param key: a UUIDv7 of an earlier submission, to join it.
+        :param key: UUIDv7 of an earlier submission, to join that job.
         :raises agatepick.exceptions.Unreachable: if no entry answered; the
             job may be pending.
         """
@@ -159,34 +162,36 @@
         key = key or new_key()
         until = time.monotonic() + job.timeout_seconds
         for tries in itertools.count(1):
-            left = max(until - time.monotonic(), MIN_TIMEOUT)
-            found = await self._post(body, key, left)
-            pause = self._pause(tries, _hint(found))
+            left = max(until - time.monotonic(), MIN_TIMEOUT_SECONDS)
+            fetched = await self._post(body, key, left)
+            pause = self._compute_pause(tries, _get_retry_after(fetched))
             late = time.monotonic() + pause >= until
-            if late or not _is_retryable(found):
-                return dataclasses.replace(_unwrapped(found), tries=tries)
+            if late or not _is_retryable(fetched):
+                return dataclasses.replace(_unwrap(fetched), tries=tries)
             await asyncio.sleep(pause)
-            if _is_refusal(found):
+            if _is_rejection(fetched):
                 key = new_key()
         raise AssertionError('unreachable')
 
     async def ask(self, key: str) -> JobResult:
-        """How a job stands."""
-        return _unwrapped(await self._fetch('GET', f'/v1/jobs/{key}'))
+        """Return the status of a job."""
+        return _unwrap(await self._fetch('GET', f'/v1/jobs/{key}'))
 
     async def cancel(self, key: str) -> JobResult:
-        """Cancel a job; says how it stands."""
-        return _unwrapped(await self._fetch('DELETE', f'/v1/jobs/{key}'))
+        """Cancel a job and return its status."""
+        return _unwrap(await self._fetch('DELETE', f'/v1/jobs/{key}'))
 
-    async def _post(self, body: bytes, key: str, left: float) -> Found:
+    async def _post(self, body: bytes, key: str, left: float) -> FetchResult:
         headers = {
             'Content-Type': 'application/json',
             'Idempotency-Key': key,
         }
-        found = await self._fetch(
-            'POST', '/v1/jobs', body, headers, left + HOLD_SLACK
+        fetched = await self._fetch(
+            'POST', '/v1/jobs', body, headers, left + ANSWER_GRACE_SECONDS
+        )
+        return fetched.map(
+            lambda job_result: dataclasses.replace(job_result, job=key)
         )
-        return found.map(lambda one: dataclasses.replace(one, job=key))
 
     async def _fetch(
         self,
@@ -194,51 +199,51 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        timeout: float = ASK_TIMEOUT,
-    ) -> Found:
-        entry = self._entries[self._next % len(self._entries)]
-        sent = dict(headers or {})
+        timeout: float = REQUEST_TIMEOUT_SECONDS,
+    ) -> FetchResult:
+        entry = self._entries[self._next_entry % len(self._entries)]
+        all_headers = dict(headers or {})
         if self._token:
-            sent['Authorization'] = f'Bearer {self._token}'
+            all_headers['Authorization'] = f'Bearer {self._token}'
         req = tornado.httpclient.HTTPRequest(
             entry + path,
             method=method,
-            headers=sent,
+            headers=all_headers,
             body=body,
-            connect_timeout=CONNECT_TIMEOUT,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
             request_timeout=timeout,
             ssl_options=self._tls,
         )
         try:
             response = await self._http.fetch(req, raise_error=False)
-        # The client raises the socket's own errors beside HTTP ones.
+        # The HTTP client raises socket errors as well as HTTP errors.
         except (OSError, tornado.httpclient.HTTPError) as exc:
-            self._next += 1
+            self._next_entry += 1
             return result.Failure(
                 exceptions.Unreachable(
                     f'no answer: {exc}', step='request', peer=entry
                 )
             )
         if response.code >= 500:
-            self._next += 1
-        return result.Success(_read(response, entry))
+            self._next_entry += 1
+        return result.Success(_parse_response(response, entry))
 
-    def _pause(self, tries: int, hint: float) -> float:
-        """Seconds before the next try.
+    def _compute_pause(self, tries: int, min_seconds: float) -> float:
+        """Return the seconds until the next attempt.
 
-        Callers that were refused together would come back together, and be
-        refused again; full jitter spreads them over the whole pause.
+        Callers that were rejected together would otherwise retry together
+        and be rejected again; full jitter spreads them over the pause.
         """
-        return hint + self._rng.uniform(0, RETRY_PAUSES.after(tries))
+        return min_seconds + self._rng.uniform(0, RETRY_PAUSES.after(tries))
 
 
 def new_key() -> str:
-    """A key for one job."""
+    """Return a new idempotency key."""
     return str(uuid_utils.uuid7())
 
 
 def encode(job: Job) -> bytes:
-    """The body that hands in a job."""
+    """Return the request body that submits a job."""
     return json.dumps(
         {
             'team': job.team,
@@ -260,9 +265,10 @@
 
 
 def decode(body: bytes) -> Job:
-    """The job in a file's JSON.
+    """Return the job in the JSON of a file.
 
-    :raises agatepick.exceptions.BadSettings: naming the field at fault.
+    :raises agatepick.exceptions.BadSettings: with the name of the invalid
+        field.
     """
     try:
         return msgspec.json.decode(body, type=Job)
@@ -270,11 +276,13 @@
         raise exceptions.BadSettings(str(exc), step='submit') from exc
 
 
-def _read(response: tornado.httpclient.HTTPResponse, entry: str) -> JobResult:
-    """What a response says of the job.
+def _parse_response(
+    response: tornado.httpclient.HTTPResponse, entry: str
+) -> JobResult:
+    """Return the job result in a response.
 
-    A response that says nothing of it, as a balancer's own does, leaves the
-    outcome pending: taken for "not run" the job might run twice.
+    A response from something other than agatepick, such as a balancer, leaves
+    the outcome pending; after "not run" the job might run twice.
     """
     try:
         reply = msgspec.json.decode(response.body, type=_Reply)
@@ -285,7 +293,7 @@
             types.JobStatus.PENDING,
             http_status=response.code,
             code='no_agatepick',
-            detail=f'HTTP {response.code} without an answer of agatepick',
+            detail=f'HTTP {response.code}: the response is not from agatepick',
             step='request',
             peer=entry,
         )
@@ -299,11 +307,11 @@
         reply.field,
         reply.step,
         reply.peer,
-        _retry_after(response, reply),
+        _parse_retry_after(response, reply),
     )
 
 
-def _retry_after(
+def _parse_retry_after(
     response: tornado.httpclient.HTTPResponse, reply: _Reply
 ) -> float:
     if reply.retry_after:
@@ -312,31 +320,32 @@
     return float(header) if header.isdigit() else 0.0
 
 
-def _is_refusal(found: Found) -> bool:
-    one = found.value_or(None)
-    return one is not None and one.run == types.JobStatus.NOT_RUN
+def _is_rejection(fetched: FetchResult) -> bool:
+    job_result = fetched.value_or(None)
+    return job_result is not None and job_result.run == types.JobStatus.NOT_RUN
 
 
-def _is_retryable(found: Found) -> bool:
-    one = found.value_or(None)
-    if one is None:
+def _is_retryable(fetched: FetchResult) -> bool:
+    job_result = fetched.value_or(None)
+    if job_result is None:
         return True
-    if one.run == types.JobStatus.NOT_RUN:
-        return one.retry_after > 0
+    if job_result.run == types.JobStatus.NOT_RUN:
+        return job_result.retry_after > 0
     return (
-        one.run == types.JobStatus.PENDING and one.http_status not in NO_RETRY
+        job_result.run == types.JobStatus.PENDING
+        and job_result.http_status not in PERMANENT_HTTP_STATUSES
     )
 
 
-def _hint(found: Found) -> float:
-    one = found.value_or(None)
-    return 0.0 if one is None else one.retry_after
+def _get_retry_after(fetched: FetchResult) -> float:
+    job_result = fetched.value_or(None)
+    return 0.0 if job_result is None else job_result.retry_after
 
 
-def _unwrapped(found: Found) -> JobResult:
-    match found:
-        case result.Success(one):
-            return typing.cast(JobResult, one)
+def _unwrap(fetched: FetchResult) -> JobResult:
+    match fetched:
+        case result.Success(job_result):
+            return typing.cast(JobResult, job_result)
         case result.Failure(exc):
             raise typing.cast(exceptions.Unreachable, exc)
     raise AssertionError('neither success nor failure')
--- a/src/agatepick/cmd/command_tree.py
+++ b/src/agatepick/cmd/command_tree.py
@@ -1,7 +1,7 @@
-"""The commands by name, with their options, as ``fire`` reads them.
+"""Commands and their options, as ``fire`` parses them.
 
-A command only notes what is to be done; :mod:`agatepick.cli` does it once
-the whole command line has been understood.
+A command method only records the action; :mod:`agatepick.cli` runs it after
+the whole command line has been parsed.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
     'plot',
     'baselines',
 )
-_TEXT_NAMES = (
+_TEXT_PARAMETERS = (
     'config',
     'entry',
     'file',
@@ -44,28 +44,28 @@
     'value',
     'zone',
 )
-"""Names stay text: a zone called ``1`` or a key such as ``1e5`` would
-otherwise become numbers."""
+"""Parameters that are always strings: ``fire`` would convert a zone named
+``1`` or a key such as ``1e5`` to a number."""
 _Command = typing.TypeVar('_Command', bound=typing.Callable[..., None])
 
 
-def _text(command: _Command) -> _Command:
-    parse = fire.decorators.SetParseFn(str, *_TEXT_NAMES)
+def _keep_text(command: _Command) -> _Command:
+    parse = fire.decorators.SetParseFn(str, *_TEXT_PARAMETERS)
     return typing.cast(_Command, parse(command))
 
 
 class Commands:
     """Dispatches sub-second tasks; see the README for a walk through.
 
-    A command only notes what is to be done; it is done once the whole
-    command line has been understood.
+    A command only records the action, which runs after the whole command line
+    has been parsed.
     """
 
     def __init__(self) -> None:
         self._run: Run | None = None
 
     def tree(self) -> dict[str, object]:
-        """The commands by name; ``in`` could not be a method's name."""
+        """Return the commands by name; a method can't be named ``in``."""
         return {
             'entry': self.entry,
             'agent': self.agent,
@@ -96,30 +96,30 @@
 
     @property
     def run(self) -> Run | None:
-        """What is to be done."""
+        """Action of the parsed command."""
         return self._run
 
-    @_text
+    @_keep_text
     def entry(self, config: str) -> None:
-        """Run an entry until it is asked to stop."""
-        self._daemon('run_entry', config, settings.EntrySettings)
+        """Run an entry until it is stopped."""
+        self._set_daemon('run_entry', config, settings.EntrySettings)
 
-    @_text
+    @_keep_text
     def agent(self, config: str) -> None:
-        """Run an agent until it is asked to stop."""
-        self._daemon('run_agent', config, settings.AgentSettings)
+        """Run an agent until it is stopped."""
+        self._set_daemon('run_agent', config, settings.AgentSettings)
 
-    @_text
+    @_keep_text
     def standin_table(self, config: str) -> None:
-        """Run a stand-in of the platform's table service."""
-        self._daemon('run_table', config, settings.TableSettings)
+        """Run a stand-in for the platform's table service."""
+        self._set_daemon('run_table', config, settings.TableSettings)
 
-    @_text
+    @_keep_text
     def standin_upstream(self, config: str) -> None:
         """Run a stand-in worker with its upstream."""
-        self._daemon('run_upstream', config, settings.UpstreamSettings)
+        self._set_daemon('run_upstream', config, settings.UpstreamSettings)
 
-    @_text
+    @_keep_text
     def submit(
         self,
         file: str = '',
@@ -127,35 +127,45 @@
         key: str = '',
         json: bool = False,
     ) -> None:
-        """Hand in the job in a JSON file (else standard input) and wait."""
-        self._ask(entry, json, lambda site: commands.submit(site, file, key))
+        """Submit the job in a JSON file (else standard input) and wait."""
+        self._set_entry_command(
+            entry, json, lambda site: commands.submit(site, file, key)
+        )
 
-    @_text
+    @_keep_text
     def cancel(self, job: str, entry: str = '', json: bool = False) -> None:
         """Cancel a job."""
-        self._ask(entry, json, lambda site: commands.ask(site, job, True))
+        self._set_entry_command(
+            entry,
+            json,
+            lambda site: commands.show_or_cancel_job(site, job, True),
+        )
 
-    @_text
+    @_keep_text
     def status(
         self, job: str = '', entry: str = '', json: bool = False
     ) -> None:
-        """How an entry stands, or with --job how a job stands."""
+        """Show the status of an entry, or of a job with --job."""
         if job:
-            self._ask(entry, json, lambda site: commands.ask(site, job))
+            self._set_entry_command(
+                entry,
+                json,
+                lambda site: commands.show_or_cancel_job(site, job),
+            )
         else:
-            self._show(entry, json, '/v1/status')
+            self._set_show(entry, json, '/v1/status')
 
-    @_text
+    @_keep_text
     def config_check(self, file: str, json: bool = False) -> None:
-        """Check a settings file of any program; name every fault in it."""
-        self._run = lambda: _checked(file, json)
+        """Validate a settings file of any program; list all faults."""
+        self._run = lambda: _check_file(file, json)
 
-    @_text
+    @_keep_text
     def config_show(self, entry: str = '', json: bool = False) -> None:
-        """The cluster's configuration."""
-        self._show(entry, json, '/v1/config')
+        """Show the configuration of the cluster."""
+        self._set_show(entry, json, '/v1/config')
 
-    @_text
+    @_keep_text
     def config_set(
         self,
         name: str,
@@ -169,15 +179,17 @@
 
         The value "none" removes a quota or a setting.
         """
-        change = named_change(name, value)
-        self._change(entry, json, 'POST', '/v1/config', change, based_on, wait)
+        change = parse_change(name, value)
+        self._set_change(
+            entry, json, 'POST', '/v1/config', change, based_on, wait
+        )
 
-    @_text
+    @_keep_text
     def preset_show(self, entry: str = '', json: bool = False) -> None:
-        """The presets, and which one is in force."""
-        self._show(entry, json, '/v1/presets')
+        """Show the presets and the one in force."""
+        self._set_show(entry, json, '/v1/presets')
 
-    @_text
+    @_keep_text
     def preset_use(
         self,
         name: str,
@@ -186,16 +198,16 @@
         wait: bool = False,
         json: bool = False,
     ) -> None:
-        """Switch to another preset; --wait until it is in force."""
+        """Switch to another preset; --wait waits until it is in force."""
         path = f'/v1/presets/{name}'
-        self._change(entry, json, 'PUT', path, {}, based_on, wait)
+        self._set_change(entry, json, 'PUT', path, {}, based_on, wait)
 
-    @_text
+    @_keep_text
     def zone_list(self, entry: str = '', json: bool = False) -> None:
-        """The availability zones and whether they are in service."""
-        self._show(entry, json, '/v1/zones')
+        """Show the availability zones and whether they are in service."""
+        self._set_show(entry, json, '/v1/zones')
 
-    @_text
+    @_keep_text
     def zone_out(
         self,
         zone: str,
@@ -204,17 +216,17 @@
         wait: bool = False,
         json: bool = False,
     ) -> None:
-        """Take a zone out of service; --wait until its last task ended."""
+        """Take a zone out of service; --wait waits for its last task."""
         if not wait:
-            self._zone(zone, 'out', entry, based_on, wait, json)
+            self._set_zone_change(zone, 'out', entry, based_on, wait, json)
             return
-        self._ask(
+        self._set_entry_command(
             entry,
             json,
             lambda site: commands.drain_zone(site, zone, based_on),
         )
 
-    @_text
+    @_keep_text
     def zone_in(
         self,
         zone: str,
@@ -223,33 +235,35 @@
         wait: bool = False,
         json: bool = False,
     ) -> None:
-        """Return a zone to service; --wait until it is in force."""
-        self._zone(zone, 'in', entry, based_on, wait, json)
+        """Return a zone to service; --wait waits until it is in force."""
+        self._set_zone_change(zone, 'in', entry, based_on, wait, json)
 
-    @_text
+    @_keep_text
     def explain(self, *words: str, summary: bool | str = False) -> None:
-        """Tell what happened to a request, from logs of all processes.
+        """Show what happened to a request, from logs of all processes.
 
-        :param words: the request's id, and files; standard input if none is
-            named.
-        :param summary: all are files: count what went wrong, by second,
-            queue and cause.
+        :param words: request id, followed by log files; without files,
+            standard input is read.
+        :param summary: all words are files; count failed and late requests
+            by second, queue and cause.
         """
         if summary:
-            # The word after the option is taken for its value.
+            # fire parses the word after the option as its value.
             first = (summary,) if isinstance(summary, str) else ()
             words = (*first, *words)
-            self._run = functools.partial(_other, 'cmd.summary', 'show', words)
+            self._run = functools.partial(
+                _call_module, 'cmd.summary', 'show', words
+            )
             return
         if not words:
             raise exceptions.BadUsage(
-                'name a request, or give --summary', step='explain'
+                'name a request, or use --summary', step='explain'
             )
         self._run = functools.partial(
-            _other, 'cmd.explain', 'explain', words[0], words[1:]
+            _call_module, 'cmd.explain', 'explain', words[0], words[1:]
         )
 
-    @_text
+    @_keep_text
     def timeline(
         self,
         job: str = '',
@@ -258,46 +272,50 @@
         entry: str = '',
         json: bool = False,
     ) -> None:
-        """Events of the processes that --entry=URL,URL names, merged."""
-        self._ask(
+        """Show the merged events of the processes in --entry=URL,URL."""
+        self._set_entry_command(
             entry,
             json,
             lambda site: commands.show_timeline(site, job, task, zone),
         )
 
-    @_text
+    @_keep_text
     def bench(self, pattern: str = '', **options: typing.Any) -> None:
-        """Play a pattern of load and measure it against the ideal.
+        """Run a load pattern and compare the result with the ideal.
 
         Options: --seed, --seconds, --load, --deployment, --policy, --json,
         --plot=FILE, --baselines.  The pattern "slopes" measures costs.
         """
-        self._run = lambda: _bench(pattern, options)
+        self._run = lambda: _run_bench(pattern, options)
 
     def demo(self, seconds: float = 20.0, json: bool = False) -> None:
-        """Show the whole system at work in one process."""
+        """Run the whole system in one process as a demonstration."""
 
         def run() -> commands.Output:
             _check_number('--seconds', seconds)
-            return _other('cmd.demo', 'run_command', seconds, json)
+            return _call_module('cmd.demo', 'run_command', seconds, json)
 
         self._run = run
 
     def version(self, json: bool = False) -> None:
-        """The version of agatepick."""
-        found = importlib.metadata.version('agatepick')
-        text = f'{{"version": "{found}"}}' if json else f'agatepick {found}'
+        """Show the version of agatepick."""
+        version = importlib.metadata.version('agatepick')
+        text = (
+            f'{{"version": "{version}"}}' if json else f'agatepick {version}'
+        )
         self._run = lambda: commands.Output(text)
 
-    def _daemon(self, function: str, config: str, kind: type[object]) -> None:
+    def _set_daemon(
+        self, function: str, config: str, kind: type[object]
+    ) -> None:
         def run() -> commands.Output:
-            return _other(
+            return _call_module(
                 'runtime.daemons', function, settings_files.load(config, kind)
             )
 
         self._run = run
 
-    def _ask(
+    def _set_entry_command(
         self,
         entry: str,
         as_json: bool,
@@ -312,10 +330,12 @@
 
         self._run = run
 
-    def _show(self, entry: str, as_json: bool, path: str) -> None:
-        self._ask(entry, as_json, lambda site: commands.show(site, path))
+    def _set_show(self, entry: str, as_json: bool, path: str) -> None:
+        self._set_entry_command(
+            entry, as_json, lambda site: commands.show(site, path)
+        )
 
-    def _zone(
+    def _set_zone_change(
         self,
         zone: str,
         state: str,
@@ -325,9 +345,9 @@
         as_json: bool,
     ) -> None:
         path, body = f'/v1/zones/{zone}', {'state': state}
-        self._change(entry, as_json, 'PUT', path, body, based_on, wait)
+        self._set_change(entry, as_json, 'PUT', path, body, based_on, wait)
 
-    def _change(
+    def _set_change(
         self,
         entry: str,
         as_json: bool,
@@ -337,7 +357,7 @@
         based_on: int | None,
         wait: bool,
     ) -> None:
-        self._ask(
+        self._set_entry_command(
             entry,
             as_json,
             lambda site: commands.change(
@@ -346,8 +366,8 @@
         )
 
 
-def named_change(name: str, value: str) -> cluster.Change:
-    """The change that ``config set NAME VALUE`` means.
+def parse_change(name: str, value: str) -> cluster.Change:
+    """Return the change for ``config set NAME VALUE``.
 
     :raises agatepick.exceptions.BadUsage: if the value isn't allowed.
     """
@@ -369,7 +389,7 @@
     return cluster.SettingSet(name, None if value == 'none' else value)
 
 
-def _checked(file: str, as_json: bool) -> commands.Output:
+def _check_file(file: str, as_json: bool) -> commands.Output:
     try:
         cfg = settings_files.load_any(file)
     except exceptions.BadSettings as exc:
@@ -382,10 +402,12 @@
     )
     if as_json:
         return commands.Output(json.dumps({'program': kind, 'faults': []}))
-    return commands.Output(f'{file}: sound settings of agatepick {kind}')
+    return commands.Output(f'{file}: valid settings for agatepick {kind}')
 
 
-def _bench(pattern: str, options: dict[str, typing.Any]) -> commands.Output:
+def _run_bench(
+    pattern: str, options: dict[str, typing.Any]
+) -> commands.Output:
     patterns = [one.value for one in bench_plan.Pattern]
     if pattern not in (*patterns, SLOPES):
         raise exceptions.BadUsage(
@@ -393,11 +415,11 @@
             f'{SLOPES}'
         )
     if pattern != SLOPES:
-        _check_bench(options)
-    return _other('bench.bench', 'run_command', pattern, **options)
+        _check_bench_options(options)
+    return _call_module('bench.bench', 'run_command', pattern, **options)
 
 
-def _check_bench(options: dict[str, typing.Any]) -> None:
+def _check_bench_options(options: dict[str, typing.Any]) -> None:
     for name in options:
         if name not in BENCH_OPTIONS:
             raise exceptions.BadUsage(
@@ -423,10 +445,10 @@
         )
 
 
-def _other(
+def _call_module(
     module: str, function: str, *args: typing.Any, **kwargs: typing.Any
 ) -> commands.Output:
-    """Call a module that other commands have no need to import."""
-    found = importlib.import_module(f'agatepick.{module}')
-    run = functools.partial(getattr(found, function), *args, **kwargs)
+    """Call a function of a module that is imported only when needed."""
+    imported = importlib.import_module(f'agatepick.{module}')
+    run = functools.partial(getattr(imported, function), *args, **kwargs)
     return typing.cast(commands.Output, run())
--- a/src/agatepick/cmd/commands.py
+++ b/src/agatepick/cmd/commands.py
@@ -1,7 +1,7 @@
-"""What the commands do that talk to running entries.
+"""Commands that send requests to running entries.
 
-Each returns the lines to print and the exit status, so that tests need no
-process of their own.
+Each command returns its output and exit status, so that tests can call it
+without starting a process.
 """
 
 import asyncio
@@ -25,18 +25,18 @@
 DEFAULT_ENTRY = 'http://127.0.0.1:8080'
 POLL_SECONDS = 0.2
 MAX_WAIT_SECONDS = 60.0
-STATUS_OF_RUN = {
+EXIT_STATUS_BY_RUN = {
     types.JobStatus.COMPLETE: 0,
     types.JobStatus.NOT_RUN: 3,
     types.JobStatus.FAILED: 4,
     types.JobStatus.PENDING: 5,
 }
-"""Exit status that tells what became of a job."""
+"""Exit status by job status."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Output:
-    """What a command prints, and its exit status."""
+    """Text that a command prints, and its exit status."""
 
     text: str
     exit_status: int = 0
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """Where the entries are and how to talk to them.
+    """Entries and credentials that a command uses, and its output format.
 
     :param entries: URLs of entries.
     :param as_json: print JSON for a script.
@@ -62,13 +62,13 @@
         as_json: bool,
         environment: typing.Mapping[str, str] = os.environ,
     ) -> 'Site':
-        """By option, else by ``AGATEPICK_ENTRY``, else the local one."""
+        """Return a site with ``entry``, ``AGATEPICK_ENTRY`` or the default."""
         text = entry or environment.get('AGATEPICK_ENTRY', DEFAULT_ENTRY)
-        entries = tuple(one.strip() for one in text.split(',') if one.strip())
-        for one in entries:
-            if not one.startswith(('http://', 'https://')):
+        entries = tuple(url.strip() for url in text.split(',') if url.strip())
+        for url in entries:
+            if not url.startswith(('http://', 'https://')):
                 raise exceptions.BadUsage(
-                    f'--entry: found {one!r}; allowed: URLs, such as '
+                    f'--entry: found {url!r}; allowed: URLs, such as '
                     f'{DEFAULT_ENTRY}'
                 )
         return cls(
@@ -79,13 +79,13 @@
         )
 
     def caller(self) -> client.Client:
-        """A client of the callers' side."""
+        """Return a client of the callers' API."""
         return client.Client(
             self.entries, token=self.token, tls=self._context(self.entries[0])
         )
 
     def operator(self, url: str = '') -> operator_client.OperatorClient:
-        """A client of the operators' side of one entry."""
+        """Return a client of the operators' API of one entry."""
         url = url or self.entries[0]
         return operator_client.OperatorClient(
             url, self.token, self._context(url)
@@ -98,7 +98,7 @@
 
 
 async def submit(site: Site, file: str, key: str) -> Output:
-    """Hand in the job in a JSON file, or on standard input."""
+    """Submit the job in a JSON file, or on standard input."""
     if file:
         try:
             body = pathlib.Path(file).read_bytes()
@@ -109,25 +109,27 @@
     job = client.decode(body)
     caller = site.caller()
     try:
-        return job_output(site, await caller.submit(job, key or None))
+        return format_job(site, await caller.submit(job, key or None))
     finally:
         caller.close()
 
 
-async def ask(site: Site, key: str, cancel: bool = False) -> Output:
-    """How a job stands, or cancel it."""
+async def show_or_cancel_job(
+    site: Site, key: str, cancel: bool = False
+) -> Output:
+    """Show the status of a job, or cancel it and show its status."""
     caller = site.caller()
     try:
-        found = await (caller.cancel(key) if cancel else caller.ask(key))
+        job_result = await (caller.cancel(key) if cancel else caller.ask(key))
     finally:
         caller.close()
-    output = job_output(site, found)
-    done = cancel and found.http_status in (200, 202)
+    output = format_job(site, job_result)
+    done = cancel and job_result.http_status in (200, 202)
     return dataclasses.replace(output, exit_status=0) if done else output
 
 
 async def show(site: Site, path: str) -> Output:
-    """Read a resource of the operators' side."""
+    """Show a resource of the operators' API."""
     operator = site.operator()
     try:
         answer = await operator.get(path)
@@ -135,7 +137,7 @@
         operator.close()
     if site.as_json:
         return Output(json.dumps(answer.data))
-    return Output('\n'.join(_flat(answer.data)))
+    return Output('\n'.join(_flatten(answer.data)))
 
 
 async def change(
@@ -146,9 +148,9 @@
     based_on: int | None = None,
     wait: bool = False,
 ) -> Output:
-    """Propose a change on the version that the entry knows.
+    """Propose a change, by default based on the entry's current version.
 
-    :param wait: return only once the change is in force.
+    :param wait: wait until the change is in force.
     """
     operator = site.operator()
     try:
@@ -173,19 +175,19 @@
         based_on = (await operator.get('/v1/config')).version
     answer = await operator.change(method, path, body, based_on)
     if wait:
-        await _until_in_force(operator, int(answer.data['version']))
+        await _wait_until_in_force(operator, int(answer.data['version']))
     return typing.cast(dict[str, typing.Any], answer.data)
 
 
 async def drain_zone(site: Site, zone: str, based_on: int | None) -> Output:
-    """Take a zone out of service and wait until its last task has ended."""
+    """Take a zone out of service and wait until its last task ends."""
     clients = [site.operator(url) for url in site.entries]
     path, body = f'/v1/zones/{zone}', {'state': 'out'}
     try:
         data = await _propose(
             clients[0], 'PUT', path, body, based_on, wait=True
         )
-        drained = await draining.until_empty(
+        drained = await draining.wait_until_empty(
             clients,
             zone,
             int(data['version']),
@@ -193,14 +195,14 @@
             MAX_WAIT_SECONDS,
         )
     finally:
-        for one in clients:
-            one.close()
+        for operator in clients:
+            operator.close()
     if site.as_json:
         return Output(json.dumps(dataclasses.asdict(drained)))
     return Output(drained.show())
 
 
-async def _until_in_force(
+async def _wait_until_in_force(
     operator: operator_client.OperatorClient, version: int
 ) -> None:
     tries = int(MAX_WAIT_SECONDS / POLL_SECONDS)
@@ -210,7 +212,7 @@
             return
         await asyncio.sleep(POLL_SECONDS)
     raise exceptions.OutcomeUnknown(
-        f'version {version} was accepted, and was not in force after '
+        f'version {version} was accepted, but was not in force after '
         f'{MAX_WAIT_SECONDS:g} s',
         step='wait',
         peer=operator.url,
@@ -218,75 +220,79 @@
 
 
 async def show_timeline(site: Site, job: str, task: str, zone: str) -> Output:
-    """The events of every process named by ``--entry``, merged."""
+    """Show the merged events of all processes in ``--entry``."""
     clients = [site.operator(url) for url in site.entries]
     try:
         parts = await asyncio.gather(
             *[
-                one.lines('/v1/timeline', job=job, task=task, zone=zone)
-                for one in clients
+                operator.get_lines(
+                    '/v1/timeline', job=job, task=task, zone=zone
+                )
+                for operator in clients
             ]
         )
     finally:
-        for one in clients:
-            one.close()
+        for operator in clients:
+            operator.close()
     events = timeline.merge([timeline.parse(part) for part in parts])
     if site.as_json:
-        lines = [msgspec.json.encode(one).decode() for one in events]
+        lines = [msgspec.json.encode(event).decode() for event in events]
     else:
-        lines = [one.show() for one in events]
+        lines = [event.show() for event in events]
     return Output('\n'.join(lines))
 
 
-def job_output(site: Site, found: client.JobResult) -> Output:
-    """What is printed of a job."""
-    status = STATUS_OF_RUN[found.run]
-    if found.http_status in (401, 403):
+def format_job(site: Site, job_result: client.JobResult) -> Output:
+    """Return the output for the result of a job."""
+    status = EXIT_STATUS_BY_RUN[job_result.run]
+    if job_result.http_status in (401, 403):
         status = exceptions.Unauthorised.exit_status
     if site.as_json:
-        return Output(msgspec.json.encode(found).decode(), status)
-    lines = [f'job {found.job or "-"}: {found.run.value}']
-    if found.code or found.detail:
-        lines[0] += f': {found.detail or found.code} ({_where(found)})'
-    if found.retry_after:
-        lines[0] += f'; try again in {found.retry_after:g} s'
-    for task in found.tasks:
+        return Output(msgspec.json.encode(job_result).decode(), status)
+    lines = [f'job {job_result.job or "-"}: {job_result.run.value}']
+    if job_result.code or job_result.detail:
+        lines[0] += (
+            f': {job_result.detail or job_result.code} ({_where(job_result)})'
+        )
+    if job_result.retry_after:
+        lines[0] += f'; try again in {job_result.retry_after:g} s'
+    for task in job_result.tasks:
         body = '' if task.body is None else f' {json.dumps(task.body)}'
         why = f': {task.reason}' if task.reason else ''
         lines.append(f'  {task.id}: {task.outcome.value}{why}{body}')
     return Output('\n'.join(lines), status)
 
 
-def _where(found: client.JobResult) -> str:
+def _where(job_result: client.JobResult) -> str:
     parts = [
         f'{name}={value}'
         for name, value in (
-            ('code', found.code),
-            ('field', found.field),
-            ('step', found.step),
-            ('peer', found.peer),
+            ('code', job_result.code),
+            ('field', job_result.field),
+            ('step', job_result.step),
+            ('peer', job_result.peer),
         )
         if value
     ]
     return ' '.join(parts)
 
 
-def _flat(value: typing.Any, path: str = '') -> list[str]:
-    """Lines of ``key = value`` for a person."""
+def _flatten(value: typing.Any, path: str = '') -> list[str]:
+    """Return a JSON value as lines of ``key = value``."""
     if isinstance(value, dict) and value:
         return [
             line
             for key, item in value.items()
-            for line in _flat(item, f'{path}.{key}' if path else key)
+            for line in _flatten(item, f'{path}.{key}' if path else key)
         ]
     if isinstance(value, list) and any(isinstance(i, dict) for i in value):
         return [
             line
             for index, item in enumerate(value)
-            for line in _flat(item, f'{path}[{_label(item, index)}]')
+            for line in _flatten(item, f'{path}[{_get_label(item, index)}]')
         ]
     return [f'{path} = {json.dumps(value)}']
 
 
-def _label(item: typing.Any, index: int) -> object:
+def _get_label(item: typing.Any, index: int) -> object:
     return item.get('name', index) if isinstance(item, dict) else index
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -1,10 +1,10 @@
-"""The demo: the whole system at work in one process, told to a person.
+"""Demonstration of the whole system in one process.
 
-Two entries, three zones of agents, stand-in workers and a stand-in table
-service run over real sockets.  Callers send jobs over HTTP while a zone goes
-out and comes back, the preset is switched and an entry's connections are
-cut.  At the end what callers were told is held against the starts that the
-stand-in workers counted by themselves.
+Two entries, agents in three zones, stand-in workers and a stand-in table
+service run over real sockets.  Callers submit jobs over HTTP while a zone is
+taken out of service and returned, the preset is switched, and the connections
+of an entry are cut.  At the end the answers to callers are compared with the
+starts that the stand-in workers counted.
 """
 
 import asyncio
@@ -39,35 +39,36 @@
     workers=6,
 )
 LEAVING_ZONE = 'curico'
-LOAD = 0.4
-"""Share of all slots that are busy: two thirds of the workers, which is what
-is left while a zone is out, can do it all."""
+SLOT_LOAD_SHARE = 0.4
+"""Share of all slots that is busy.  The two thirds of the workers that remain
+while a zone is out of service can still handle this load."""
 SEED = 7
 SHORTEST_SECONDS = 15.0
 DRAIN_SECONDS = 30.0
 PROGRESS_SECONDS = 2.0
-CHECK_DELAY = 0.05
+CHECK_DELAY_SECONDS = 0.05
 
 
 @dataclasses.dataclass
-class Watch:
-    """What the demo saw of the configuration while it ran.
-
-    :param reverted: times that an entry went back to an older version.
-    :param act_failed: why an act of the demo could not be done.
-    :param apart: times that two entries had different versions in force,
-        although both had leases.
+class ConfigurationWatch:
+    """Observations of the configuration during the demo.
+
+    :param reversions: how often an entry went back to an older version.
+    :param operation_failure: why an operation of the demo failed; empty if all
+        succeeded.
+    :param divergences: how often two entries with leases had different
+        versions in force.
     """
 
-    reverted: int = 0
-    apart: int = 0
-    act_failed: str = ''
+    reversions: int = 0
+    divergences: int = 0
+    operation_failure: str = ''
     versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Measures:
-    """Figures of one demo; durations in seconds."""
+    """Measurements of one demo; durations are in seconds."""
 
     jobs: int
     complete: int
@@ -82,160 +83,174 @@
 
 
 class Demo:
-    """One run.
+    """One run of the demo.
 
-    :param say: takes a line for the person who watches.
+    :param print_line: prints a line of progress.
     """
 
     def __init__(
-        self, seconds: float, say: typing.Callable[[str], None]
+        self, seconds: float, print_line: typing.Callable[[str], None]
     ) -> None:
-        self._say = say
+        self._print_line = print_line
         self._seconds = max(seconds, SHORTEST_SECONDS)
         self._clock = clocks.ProcessClock.start()
-        self._book = bench_upstream.StartBook(self._clock)
+        self._start_book = bench_upstream.StartBook(self._clock)
         self._load = bench_arrivals.plan(
-            bench_plan.Pattern.STEADY, SEED, self._seconds, LOAD, DEPLOYMENT
+            bench_plan.Pattern.STEADY,
+            SEED,
+            self._seconds,
+            SLOT_LOAD_SHARE,
+            DEPLOYMENT,
         )
-        self._site = bench_cluster.Cluster(
-            self._load, DEPLOYMENT, self._clock, self._book
+        self._cluster = bench_cluster.Cluster(
+            self._load, DEPLOYMENT, self._clock, self._start_book
         )
         self._callers = bench_callers.Callers(
-            self._site,
-            self._book,
+            self._cluster,
+            self._start_book,
             DEPLOYMENT.client_latency,
             random.Random(SEED),
         )
         self._departures: list[bench_evidence.Departure] = []
-        self._watch = Watch()
+        self._watch = ConfigurationWatch()
 
-    async def run(self) -> tuple[bench_evidence.Evidence, Watch]:
-        """Play everything; returns what it left behind."""
-        self._say(
+    async def run(self) -> tuple[bench_evidence.Evidence, ConfigurationWatch]:
+        """Run the demo and return its evidence and observations."""
+        self._print_line(
             f'starting {DEPLOYMENT.entries} entries and '
             f'{DEPLOYMENT.workers} agents in {len(DEPLOYMENT.zones)} zones, '
             f'a table service and {DEPLOYMENT.total_slots} worker slots'
         )
         try:
-            await self._site.start()
-            before = self._site.traffic()
-            self._book.begin()
-            self._tell(f'sending {len(self._load.jobs)} jobs')
-            await self._play()
-            traffic = self._site.evidence_traffic(before)
+            await self._cluster.start()
+            before = self._cluster.traffic()
+            self._start_book.begin()
+            self._print_event(f'sending {len(self._load.jobs)} jobs')
+            await self._run_load()
+            traffic = self._cluster.evidence_traffic(before)
         finally:
             self._callers.close()
-            await self._site.stop()
-        silent = [
-            bench_evidence.Reply(number, key, 0.0, self._book.now(), None)
+            await self._cluster.stop()
+        open_replies = [
+            bench_evidence.Reply(
+                number, key, 0.0, self._start_book.now(), None
+            )
             for number, key in self._callers.open.items()
         ]
         evidence = bench_evidence.Evidence(
             self._load,
             DEPLOYMENT,
-            (*self._callers.replies, *silent),
-            tuple(self._book.runs),
+            (*self._callers.replies, *open_replies),
+            tuple(self._start_book.runs),
             traffic,
             tuple(self._departures),
         )
         return evidence, self._watch
 
-    async def _play(self) -> None:
+    async def _run_load(self) -> None:
         jobs = [
             asyncio.create_task(self._send(job)) for job in self._load.jobs
         ]
-        telling = asyncio.create_task(self._progress())
-        acts = asyncio.create_task(self._acts())
-        left = self._seconds + DRAIN_SECONDS - self._book.now()
-        _, late = await asyncio.wait([*jobs, acts], timeout=left)
-        telling.cancel()
+        progress = asyncio.create_task(self._report_progress())
+        operations = asyncio.create_task(self._run_operations())
+        left = self._seconds + DRAIN_SECONDS - self._start_book.now()
+        _, late = await asyncio.wait([*jobs, operations], timeout=left)
+        progress.cancel()
         for task in late:
             task.cancel()
-        await asyncio.gather(*jobs, acts, telling, return_exceptions=True)
-        if acts.cancelled():
-            self._watch.act_failed = 'not done in time'
-        elif acts.exception() is not None:
-            self._watch.act_failed = repr(acts.exception())
+        await asyncio.gather(
+            *jobs, operations, progress, return_exceptions=True
+        )
+        if operations.cancelled():
+            self._watch.operation_failure = 'not completed in time'
+        elif operations.exception() is not None:
+            self._watch.operation_failure = repr(operations.exception())
 
     async def _send(self, job: bench_arrivals.JobPlan) -> None:
-        await asyncio.sleep(job.at - self._book.now())
+        await asyncio.sleep(job.at - self._start_book.now())
         await self._callers.submit(job)
 
-    async def _acts(self) -> None:
-        await self._at(0.1)
-        out = await self._change(cluster.ZoneOut(LEAVING_ZONE))
-        gone = bench_evidence.Departure(
+    async def _run_operations(self) -> None:
+        await self._sleep_until_share(0.1)
+        removal = await self._change(cluster.ZoneOut(LEAVING_ZONE))
+        departure = bench_evidence.Departure(
             LEAVING_ZONE,
-            self._book.now(),
-            self._book.now(),
-            self._book.seconds_at(out.in_force_at),
+            self._start_book.now(),
+            self._start_book.now(),
+            self._start_book.seconds_at(removal.in_force_at),
             float('inf'),
         )
-        self._departures.append(gone)
-        await self._at(0.4)
-        back = await self._change(cluster.ZoneIn(LEAVING_ZONE))
-        returned = self._book.seconds_at(back.in_force_at)
-        self._departures[0] = dataclasses.replace(gone, returned=returned)
-        await self._at(0.6)
+        self._departures.append(departure)
+        await self._sleep_until_share(0.4)
+        restoration = await self._change(cluster.ZoneIn(LEAVING_ZONE))
+        returned = self._start_book.seconds_at(restoration.in_force_at)
+        self._departures[0] = dataclasses.replace(departure, returned=returned)
+        await self._sleep_until_share(0.6)
         await self._change(cluster.PresetUse('peak'))
-        await self._at(0.8)
-        self._cut(self._site.entries[0])
+        await self._sleep_until_share(0.8)
+        self._cut_connections(self._cluster.entries[0])
         await self._change(cluster.PresetUse('ordinary'))
 
     async def _change(self, change: cluster.Change) -> cluster.Proposed:
-        what = _words(change)
-        self._tell(f'operator: {what}')
-        verdict = await self._site.change(change)
-        in_force = self._book.seconds_at(verdict.in_force_at)
-        self._tell(
+        what = _describe_change(change)
+        self._print_event(f'operator: {what}')
+        verdict = await self._cluster.change(change)
+        in_force = self._start_book.seconds_at(verdict.in_force_at)
+        self._print_event(
             f'accepted as version {verdict.version}, in force everywhere at '
             f'{in_force:.1f} s'
         )
-        await asyncio.sleep(in_force - self._book.now() + CHECK_DELAY)
-        self._tell(f'in force: {what}')
+        await asyncio.sleep(
+            in_force - self._start_book.now() + CHECK_DELAY_SECONDS
+        )
+        self._print_event(f'in force: {what}')
         return verdict
 
-    def _cut(self, entry: bench_cluster.EntrySite) -> None:
+    def _cut_connections(self, entry: bench_cluster.EntrySite) -> None:
         peers = entry.process.links.connected()
         for peer in peers:
             entry.process.links.cut(peer)
-        self._tell(f'{entry.process.name}: {len(peers)} connections cut')
+        self._print_event(
+            f'{entry.process.name}: {len(peers)} connections cut'
+        )
 
-    async def _at(self, share: float) -> None:
-        await asyncio.sleep(share * self._seconds - self._book.now())
+    async def _sleep_until_share(self, share: float) -> None:
+        await asyncio.sleep(share * self._seconds - self._start_book.now())
 
-    async def _progress(self) -> None:
+    async def _report_progress(self) -> None:
         while True:
             await asyncio.sleep(PROGRESS_SECONDS)
-            self._look()
-            starts = collections.Counter(run.zone for run in self._book.runs)
+            self._check_versions()
+            starts = collections.Counter(
+                run.zone for run in self._start_book.runs
+            )
             zones = ', '.join(
                 f'{zone} {starts[zone]}' for zone in DEPLOYMENT.zones
             )
-            self._tell(
+            self._print_event(
                 f'{len(self._callers.replies)} of {len(self._load.jobs)} '
                 f'jobs answered; tasks started: {zones}'
             )
 
-    def _look(self) -> None:
-        """Look at the version in force at each entry."""
+    def _check_versions(self) -> None:
+        """Compare the versions in force at the entries."""
         now = self._clock.now()
         versions = set()
-        for site in self._site.entries:
+        for site in self._cluster.entries:
             name = site.process.name
             version = site.process.entry.configuration.in_force(now).version
             if version < self._watch.versions.get(name, 0):
-                self._watch.reverted += 1
+                self._watch.reversions += 1
             self._watch.versions[name] = version
             if site.process.entry.configuration.lease_until(now) > now:
                 versions.add(version)
-        self._watch.apart += len(versions) > 1
+        self._watch.divergences += len(versions) > 1
 
-    def _tell(self, text: str) -> None:
-        self._say(f'{self._book.now():6.1f} s  {text}')
+    def _print_event(self, text: str) -> None:
+        self._print_line(f'{self._start_book.now():6.1f} s  {text}')
 
 
-def _words(change: cluster.Change) -> str:
+def _describe_change(change: cluster.Change) -> str:
     match change:
         case cluster.ZoneOut(zone):
             return f'zone {zone} out of service'
@@ -246,18 +261,20 @@
     return cluster.subject(change)
 
 
-def broken(evidence: bench_evidence.Evidence, watch: Watch) -> dict[str, int]:
-    """How often each promise was broken."""
+def count_violations(
+    evidence: bench_evidence.Evidence, watch: ConfigurationWatch
+) -> dict[str, int]:
+    """Return the number of violations of each promise."""
     truth = bench_truth.judge(evidence)
     return {
         **dataclasses.asdict(truth),
-        'reverted_configurations': watch.reverted,
-        'configurations_apart': watch.apart,
+        'reverted_configurations': watch.reversions,
+        'configurations_apart': watch.divergences,
     }
 
 
-def measures(evidence: bench_evidence.Evidence) -> Measures:
-    """The figures of a run."""
+def compute_measures(evidence: bench_evidence.Evidence) -> Measures:
+    """Return the measurements of a run."""
     by_run = collections.Counter(
         'none' if one.answer is None else one.answer.status.value
         for one in evidence.replies
@@ -288,22 +305,22 @@
     )
 
 
-def report(found: Measures, promises: dict[str, int]) -> list[str]:
-    """The end of the story, for a person."""
+def format_report(measured: Measures, promises: dict[str, int]) -> list[str]:
+    """Return the lines of the final report."""
     zones = ', '.join(
-        f'{zone} {count}' for zone, count in found.starts_by_zone.items()
+        f'{zone} {count}' for zone, count in measured.starts_by_zone.items()
     )
     return [
         '',
-        f'jobs: {found.jobs}, of which complete {found.complete}, '
-        f'not run {found.refused}, failed {found.failed}, '
-        f'without an answer {found.unanswered}',
-        f'tasks started, counted by the workers: {found.tasks_started} '
+        f'jobs: {measured.jobs}, of which complete {measured.complete}, '
+        f'not run {measured.refused}, failed {measured.failed}, '
+        f'without an answer {measured.unanswered}',
+        f'tasks started, counted by the workers: {measured.tasks_started} '
         f'({zones})',
-        f'response of complete jobs: mean {found.mean_seconds * 1000:.0f} '
-        f'ms, longest {found.longest_seconds * 1000:.0f} ms',
+        f'response of complete jobs: mean {measured.mean_seconds * 1000:.0f} '
+        f'ms, longest {measured.longest_seconds * 1000:.0f} ms',
         f'messages between processes for each task: '
-        f'{found.messages_per_task:.2f}',
+        f'{measured.messages_per_task:.2f}',
         '',
         *[f'{name}: {count}' for name, count in promises.items()],
         f'promises broken: {sum(promises.values())}',
@@ -313,19 +330,21 @@
 def run_command(seconds: float, as_json: bool) -> commands.Output:
     """Run the demo; the exit status is 1 if a promise was broken."""
 
-    def say(line: str) -> None:
+    def print_line(line: str) -> None:
         print(line, file=sys.stderr if as_json else sys.stdout, flush=True)
 
-    evidence, watch = asyncio.run(Demo(seconds, say).run())
-    if watch.act_failed:
+    evidence, watch = asyncio.run(Demo(seconds, print_line).run())
+    if watch.operation_failure:
         raise exceptions.AgatepickError(
-            f'an act of the demo could not be carried out: {watch.act_failed}',
+            f'an operation of the demo failed: {watch.operation_failure}',
             step='demo',
         )
-    promises = broken(evidence, watch)
-    found = measures(evidence)
+    promises = count_violations(evidence, watch)
+    measured = compute_measures(evidence)
     status = 1 if sum(promises.values()) else 0
     if as_json:
-        data = {**dataclasses.asdict(found), 'promises': promises}
+        data = {**dataclasses.asdict(measured), 'promises': promises}
         return commands.Output(json.dumps(data), status)
-    return commands.Output('\n'.join(report(found, promises)), status)
+    return commands.Output(
+        '\n'.join(format_report(measured, promises)), status
+    )
--- a/src/agatepick/cmd/draining.py
+++ b/src/agatepick/cmd/draining.py
@@ -1,4 +1,4 @@
-"""Waiting at the operator's shell until a zone that was taken out is empty."""
+"""Waiting for a zone to drain after it was taken out of service."""
 
 import asyncio
 import dataclasses
@@ -12,12 +12,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """How a zone's departure ended.
+    """Result of draining a zone.
 
     :param last_start_after_acceptance: seconds from the acceptance of the
-        change to the last start in the zone; ``None`` if none came after it.
-    :param entries_asked: entries whose work was counted.
-    :param entries_listed: entries that there are.
+        change to the last start in the zone; ``None`` if no task started
+        after the acceptance.
+    :param entries_asked: number of entries whose tasks were counted.
+    :param entries_listed: number of entries in the configuration.
     """
 
     zone: str
@@ -27,7 +28,7 @@
     entries_listed: int
 
     def show(self) -> str:
-        """For a person."""
+        """Return the result as a line of text."""
         when = 'none started after acceptance'
         if self.last_start_after_acceptance is not None:
             when = (
@@ -46,42 +47,46 @@
         return text
 
 
-async def until_empty(
+async def wait_until_empty(
     clients: list[operator_client.OperatorClient],
     zone: str,
     version: int,
     accepted_at: float,
-    patience: float,
+    timeout_seconds: float,
 ) -> Drained:
-    """Wait until no entry has a task running in a zone.
+    """Wait until no entry has a running task in a zone.
 
-    :param accepted_at: when the change was accepted, by the entries' clock.
-    :raises agatepick.exceptions.OutcomeUnknown: if that takes longer than
-        ``patience`` seconds.
+    :param accepted_at: acceptance time of the change, by the entries' clock.
+    :raises agatepick.exceptions.OutcomeUnknown: if tasks still run after
+        ``timeout_seconds``.
     """
-    for _ in range(int(patience / POLL_SECONDS)):
-        answers = [await one.get('/v1/status') for one in clients]
-        found = [_work(answer.data, zone) for answer in answers]
-        if not sum(one['running'] for one in found):
-            last = max(one['last_start_at'] for one in found) - accepted_at
+    for _ in range(int(timeout_seconds / POLL_SECONDS)):
+        answers = [await client.get('/v1/status') for client in clients]
+        zone_work = [_get_zone_work(answer.data, zone) for answer in answers]
+        if not sum(work['running'] for work in zone_work):
+            last = (
+                max(work['last_start_at'] for work in zone_work) - accepted_at
+            )
             listed = answers[0].data['configuration']['entries']
             return Drained(
                 zone,
                 version,
                 round(last, 3) if last > 0 else None,
                 len(clients),
-                len([one for one in listed if not one['removed_at']]),
+                len([entry for entry in listed if not entry['removed_at']]),
             )
         await asyncio.sleep(POLL_SECONDS)
     raise exceptions.OutcomeUnknown(
-        f'version {version} is in force, and tasks still run in {zone} after '
-        f'{patience:g} s',
+        f'version {version} is in force, but tasks still run in {zone} after '
+        f'{timeout_seconds:g} s',
         step='drain',
     )
 
 
-def _work(status: dict[str, typing.Any], zone: str) -> dict[str, float]:
-    for one in status['zone_work']:
-        if one['zone'] == zone:
-            return typing.cast(dict[str, float], one)
+def _get_zone_work(
+    status: dict[str, typing.Any], zone: str
+) -> dict[str, float]:
+    for work in status['zone_work']:
+        if work['zone'] == zone:
+            return typing.cast(dict[str, float], work)
     return {'running': 0, 'last_start_at': 0.0}
--- a/src/agatepick/cmd/explain.py
+++ b/src/agatepick/cmd/explain.py
@@ -1,8 +1,8 @@
-"""Tells the story of one request from the logs of all processes.
+"""History of one request from the logs of all processes.
 
-``agatepick explain ID FILE...`` reads lines of key=value pairs, mixed as
-they come, and prints those that name the request, in order of time, with a
-line that names the cause of its end.
+``agatepick explain ID FILE...`` reads log lines of key=value pairs in any
+order and prints those of the request, sorted by time, followed by a line with
+the cause of its outcome.
 """
 
 import dataclasses
@@ -16,39 +16,39 @@
 
 _PAIR = re.compile(r'([A-Za-z_][\w.]*)=("(?:[^"\\]|\\.)*"|\S*)')
 
-ENDS = ('job_ended', 'job_refused')
+END_EVENTS = ('job_ended', 'job_refused')
 
-CAUSES = {
-    'overloaded': 'more work waited than could start in its time',
-    'waited_too_long': 'no worker had room before its latest start',
+REASON_TEXTS = {
+    'overloaded': 'more work waited than could start in time',
+    'waited_too_long': 'no worker had capacity before its latest start',
     'no_worker': 'no known worker is large enough or has its label',
     'cut_off': 'the entry reached no agent',
     'stopping': 'the entry was stopping and the job would not have ended',
-    'deadline': "its caller's time was over",
+    'deadline': 'its deadline expired',
     'caller_left': 'its caller closed the connection',
     'cancelled': 'a caller cancelled it',
     'task_failed': 'a task failed as often as its queue allows',
-    'done': 'all tasks ended well',
+    'done': 'all tasks completed',
 }
-"""What each reason in the log means, for people."""
+"""Explanation of each ``reason`` in the log."""
 
-DELAYS = {
+DELAY_TEXTS = {
     'run_failed': 'a task failed and ran again elsewhere',
     'run_stuck': 'a task took too long at a worker and was moved',
-    'start_unanswered': 'a worker left a start without an answer',
-    'run_over': 'a run ended without its own doing and was done again',
-    'run_unrenewed': 'its entry renewed too late, and runs were ended',
+    'start_unanswered': 'a worker did not answer a start request',
+    'run_over': 'a run ended through no fault of its own and was repeated',
+    'run_unrenewed': 'its entry renewed the lease too late; runs were ended',
 }
-"""Events that hold a job up that ends well all the same."""
+"""Events that delay a job which still completes."""
 
-_ORPHANED = ('run_unrenewed', 'run_abandoned')
+_RUNS_ENDED_BY_AGENT = ('run_unrenewed', 'run_abandoned')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One line of a log.
+    """One event of a log.
 
-    :param at: seconds since the epoch, by the clock of its process.
+    :param at: time of the process clock, in seconds since the epoch.
     """
 
     at: float
@@ -57,14 +57,14 @@
     fields: dict[str, str]
 
     def show(self, start: float) -> str:
-        """The line for a person."""
+        """Return the event as a line, with its time relative to ``start``."""
         pairs = ' '.join(f'{key}={val}' for key, val in self.fields.items())
         return f'{self.at - start:+9.3f} s {self.process} {self.event} {pairs}'
 
 
 def parse(text: str) -> Line | None:
-    """A line of a log; ``None`` for what isn't an event."""
-    pairs = {key: _plain(value) for key, value in _PAIR.findall(text)}
+    """Return the event in a log line; ``None`` if it isn't an event."""
+    pairs = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     try:
         at = float(pairs.pop('time'))
         process, event = pairs.pop('process'), pairs.pop('event')
@@ -74,30 +74,35 @@
     return Line(at, process, event, pairs)
 
 
-def story(lines: typing.Iterable[str], job: str) -> list[Line]:
-    """What was logged about a request, in order of time."""
+def collect_lines(lines: typing.Iterable[str], job: str) -> list[Line]:
+    """Return the events of a request, sorted by time."""
     needle = f'job={job}'
     parsed = [parse(text) for text in lines if needle in text]
-    found = [line for line in parsed if line and line.fields.get('job') == job]
-    return sorted(found, key=lambda line: line.at)
+    matching = [
+        line for line in parsed if line and line.fields.get('job') == job
+    ]
+    return sorted(matching, key=lambda line: line.at)
 
 
-def cause(found: list[Line]) -> str:
-    """Why the request ended as it did, or ended late."""
-    ends = [line for line in found if line.event in ENDS]
+def find_cause(lines: list[Line]) -> str:
+    """Return the cause of a request's outcome, or of its delay."""
+    ends = [line for line in lines if line.event in END_EVENTS]
     if not ends:
-        return _lost(found)
+        return _describe_lost(lines)
     end = ends[-1].fields
     reason = end.get('reason', '')
-    if end.get('verdict') == 'complete' and number(ends[-1], 'late') > 0.0:
-        return f'late by {end["late"]} s: {delay(found, ends[-1]).text}'
-    known = CAUSES.get(reason, 'not a reason known here')
+    if (
+        end.get('verdict') == 'complete'
+        and parse_number(ends[-1], 'late') > 0.0
+    ):
+        return f'late by {end["late"]} s: {find_delay(lines, ends[-1]).text}'
+    known = REASON_TEXTS.get(reason, 'unknown reason')
     return f'{reason}: {known}'
 
 
-def _lost(found: list[Line]) -> str:
+def _describe_lost(lines: list[Line]) -> str:
     text = 'no end was logged: its entry was lost, or the log is cut off'
-    ended = [line for line in found if line.event in _ORPHANED]
+    ended = [line for line in lines if line.event in _RUNS_ENDED_BY_AGENT]
     if not ended:
         return text
     agents = ', '.join(sorted({line.process for line in ended}))
@@ -106,40 +111,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delay:
-    """What held a job up that ended well.
+    """Cause of the delay of a completed job.
 
-    :param word: for programs.
-    :param text: for people.
+    :param code: name of the cause, for programs.
+    :param text: explanation, for people.
     """
 
-    word: str
+    code: str
     text: str
 
 
-def delay(found: list[Line], end: Line) -> Delay:
-    """What held a job up that ended well."""
-    for line in found:
-        if line.event in DELAYS:
-            # An agent's peer is the entry; an entry's is the agent.
+def find_delay(lines: list[Line], end: Line) -> Delay:
+    """Return the cause of the delay of a completed job."""
+    for line in lines:
+        if line.event in DELAY_TEXTS:
+            # The entry logs run_stuck; agents log the other events.
             stuck = line.event == 'run_stuck'
             where = line.fields.get('peer', '') if stuck else line.process
-            text = f'{line.event} ({where}): {DELAYS[line.event]}'
+            text = f'{line.event} ({where}): {DELAY_TEXTS[line.event]}'
             return Delay(line.event, text)
-    begun = [line for line in found if line.event == 'job_admitted']
-    slack = number(begun[-1], 'slack') if begun else 0.0
-    for field, word, what in (
+    admissions = [line for line in lines if line.event == 'job_admitted']
+    slack = parse_number(admissions[-1], 'slack') if admissions else 0.0
+    for field, code, what in (
         ('began', 'waited', 'it'),
         ('all_began', 'waited_for_last', 'its last task'),
     ):
-        if number(end, field) > slack:
+        if parse_number(end, field) > slack:
             waited = end.fields[field]
             text = f'{what} waited {waited} s for room, its slack was'
-            return Delay(word, f'{text} {slack} s')
+            return Delay(code, f'{text} {slack} s')
     return Delay('slow', 'its tasks took longer than expected')
 
 
-def number(line: Line, name: str) -> float:
-    """A field of a line as a number; 0 if it has none."""
+def parse_number(line: Line, name: str) -> float:
+    """Return a field as a number; 0 if it is missing or not a number."""
     try:
         return float(line.fields.get(name, ''))
     except ValueError:
@@ -147,20 +152,20 @@
 
 
 def explain(job: str, files: tuple[str, ...]) -> commands.Output:
-    """The story of a request, from files or standard input."""
-    found = story(read(files), job)
-    if not found:
+    """Return the history of a request, from files or standard input."""
+    lines = collect_lines(read_lines(files), job)
+    if not lines:
         raise exceptions.BadUsage(
-            f'no line names the request {job}', step='explain'
+            f'no log line has the request {job}', step='explain'
         )
-    text = [line.show(found[0].at) for line in found]
-    return commands.Output('\n'.join([*text, f'cause: {cause(found)}']))
+    text = [line.show(lines[0].at) for line in lines]
+    return commands.Output('\n'.join([*text, f'cause: {find_cause(lines)}']))
 
 
-def read(files: tuple[str, ...]) -> typing.Iterator[str]:
-    """The lines of some files; of standard input if none is named.
+def read_lines(files: tuple[str, ...]) -> typing.Iterator[str]:
+    """Yield the lines of the files, or of standard input without files.
 
-    :raises agatepick.exceptions.BadUsage: if one can't be read.
+    :raises agatepick.exceptions.BadUsage: if a file can't be read.
     """
     if not files:
         yield from sys.stdin
@@ -174,7 +179,7 @@
             ) from exc
 
 
-def _plain(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
--- a/src/agatepick/cmd/operator_client.py
+++ b/src/agatepick/cmd/operator_client.py
@@ -1,4 +1,4 @@
-"""A client of an entry's operators' side; what the commands use."""
+"""Client of the operators' API of an entry, for the commands."""
 
 import dataclasses
 import ssl
@@ -10,15 +10,15 @@
 
 from agatepick import exceptions
 
-CONNECT_TIMEOUT = 2.0
-REQUEST_TIMEOUT = 20.0
-"""A change is answered once the table service has answered, which under an
-outage takes several of its timeouts."""
+CONNECT_TIMEOUT_SECONDS = 2.0
+REQUEST_TIMEOUT_SECONDS = 20.0
+"""The entry answers a change after the table service has answered, which
+takes several table service timeouts during an outage."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer: its JSON, and the configuration's version if it has one."""
+    """JSON of a response, with the configuration version in its ``ETag``."""
 
     status: int
     data: typing.Any
@@ -26,11 +26,11 @@
 
 
 class OperatorClient:
-    """Talks to one entry.
+    """HTTP client of one entry.
 
-    :param url: such as ``http://127.0.0.1:8080``.
-    :param token: the operators' bearer token.
-    :param tls: for ``https``, whom to trust.
+    :param url: URL of the entry, such as ``http://127.0.0.1:8080``.
+    :param token: bearer token of the operators.
+    :param tls: trusted certificates for ``https``.
     """
 
     def __init__(
@@ -46,17 +46,17 @@
         self._http.close()
 
     async def get(self, path: str, **query: str) -> Answer:
-        """Read one resource."""
+        """Get a resource."""
         if query:
             path = f'{path}?{urllib.parse.urlencode(query)}'
-        return self._read(await self._fetch('GET', path, None, None))
+        return self._parse_response(await self._fetch('GET', path, None, None))
 
-    async def lines(self, path: str, **query: str) -> bytes:
-        """Read a resource that is lines of JSON."""
+    async def get_lines(self, path: str, **query: str) -> bytes:
+        """Get a resource in JSON lines."""
         path = f'{path}?{urllib.parse.urlencode(query)}'
         response = await self._fetch('GET', path, None, None)
         if response.code != 200:
-            self._read(response)
+            self._parse_response(response)
         return response.body
 
     async def change(
@@ -64,11 +64,11 @@
     ) -> Answer:
         """Propose a change.
 
-        :param based_on: version that was seen; ``None`` for any.
+        :param based_on: expected current version; ``None`` for any.
         """
         data = msgspec.json.encode(body)
         response = await self._fetch(method, path, data, based_on)
-        return self._read(response)
+        return self._parse_response(response)
 
     async def _fetch(
         self, method: str, path: str, body: bytes | None, based_on: int | None
@@ -81,34 +81,36 @@
             method=method,
             headers=headers,
             body=body,
-            connect_timeout=CONNECT_TIMEOUT,
-            request_timeout=REQUEST_TIMEOUT,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
+            request_timeout=REQUEST_TIMEOUT_SECONDS,
             ssl_options=self._tls,
         )
         try:
             return await self._http.fetch(req, raise_error=False)
-        # The client raises the socket's own errors beside HTTP ones.
+        # The HTTP client raises socket errors as well as HTTP errors.
         except (OSError, tornado.httpclient.HTTPError) as exc:
             raise exceptions.Unreachable(
                 f'no answer: {exc}', step='request', peer=self.url
             ) from exc
 
-    def _read(self, response: tornado.httpclient.HTTPResponse) -> Answer:
+    def _parse_response(
+        self, response: tornado.httpclient.HTTPResponse
+    ) -> Answer:
         try:
             data = msgspec.json.decode(response.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
             raise exceptions.Unreachable(
-                f'HTTP {response.code} without an answer of agatepick',
+                f'HTTP {response.code}: the response is not from agatepick',
                 step='request',
                 peer=self.url,
             ) from exc
         if response.code != 200:
-            raise self._error(response.code, data)
+            raise self._make_error(response.code, data)
         tag = response.headers.get('ETag', '').strip('"')
         version = int(tag) if tag.isdigit() else None
         return Answer(response.code, data, version)
 
-    def _error(
+    def _make_error(
         self, status: int, data: dict[str, typing.Any]
     ) -> exceptions.AgatepickError:
         kind: type[exceptions.AgatepickError] = exceptions.Rejected
--- a/src/agatepick/cmd/summary.py
+++ b/src/agatepick/cmd/summary.py
@@ -1,8 +1,7 @@
-"""What went wrong with which requests, over whole logs.
+"""Summary of rejected, late and failed requests in logs.
 
-``agatepick explain --summary FILE...`` counts the requests that were refused,
-ended late or failed, by second of their arrival, queue and cause, so that one
-sees at which moments and for what reason callers lose the most.
+``agatepick explain --summary FILE...`` counts these requests by second of
+arrival, queue and cause, to show when and why most requests fail.
 """
 
 import collections
@@ -12,22 +11,24 @@
 from agatepick.cmd import commands
 from agatepick.cmd import explain
 
-_OUTCOMES = {
+_OUTCOME_BY_VERDICT = {
     'complete': 'late',
     'failed': 'failed',
     'not_run': 'refused',
     'cancelled': 'cancelled',
     'given_up': 'given_up',
 }
-"""What became of a request, by its verdict in the log."""
+"""Outcome of a request by its ``verdict`` in the log."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Kind:
-    """Requests that are counted together.
+class FailureGroup:
+    """Group of requests that are counted together.
 
-    :param second: of their first line, counted from that of the whole log.
-    :param outcome: one of :data:`_OUTCOMES`, or ``lost`` without an end.
+    :param second: time of the first event of a request, relative to the first
+        event of the log, in whole seconds.
+    :param outcome: one of :data:`_OUTCOME_BY_VERDICT`, or ``lost`` if no end
+        is logged.
     """
 
     second: int
@@ -36,60 +37,69 @@
     cause: str
 
 
-def kinds(
+def count_failures(
     lines: typing.Iterable[str],
-) -> tuple[collections.Counter[Kind], int]:
-    """Counts of requests that went wrong, and the number of all."""
-    stories: dict[str, list[explain.Line]] = {}
+) -> tuple[collections.Counter[FailureGroup], int]:
+    """Return failed requests by group, and the number of all requests."""
+    lines_by_job: dict[str, list[explain.Line]] = {}
     for text in lines:
         line = explain.parse(text) if ' job=' in text else None
         if line is not None:
-            stories.setdefault(line.fields['job'], []).append(line)
-    found: collections.Counter[Kind] = collections.Counter()
-    if not stories:
-        return found, 0
-    start = min(line.at for story in stories.values() for line in story)
-    for story in stories.values():
-        story.sort(key=lambda line: line.at)
-        kind = _kind(story, start)
-        if kind is not None:
-            found[kind] += 1
-    return found, len(stories)
+            lines_by_job.setdefault(line.fields['job'], []).append(line)
+    counts: collections.Counter[FailureGroup] = collections.Counter()
+    if not lines_by_job:
+        return counts, 0
+    start = min(
+        line.at for job_lines in lines_by_job.values() for line in job_lines
+    )
+    for job_lines in lines_by_job.values():
+        job_lines.sort(key=lambda line: line.at)
+        group = _classify(job_lines, start)
+        if group is not None:
+            counts[group] += 1
+    return counts, len(lines_by_job)
 
 
-def _kind(story: list[explain.Line], start: float) -> Kind | None:
-    """How a request went wrong; ``None`` if it was answered in time."""
-    second = int(story[0].at - start)
-    queues = [line.fields.get('queue', '') for line in story]
-    queue = next((one for one in queues if one), '')
-    ends = [line for line in story if line.event in explain.ENDS]
+def _classify(
+    job_lines: list[explain.Line], start: float
+) -> FailureGroup | None:
+    """Return the group of a request; ``None`` if answered in time."""
+    second = int(job_lines[0].at - start)
+    queues = [line.fields.get('queue', '') for line in job_lines]
+    queue = next((queue_name for queue_name in queues if queue_name), '')
+    ends = [line for line in job_lines if line.event in explain.END_EVENTS]
     if not ends:
-        return Kind(second, queue, 'lost', 'no_end_logged')
+        return FailureGroup(second, queue, 'lost', 'no_end_logged')
     end = ends[-1]
     outcome = 'refused'
     if end.event == 'job_ended':
-        outcome = _OUTCOMES.get(end.fields.get('verdict', ''), 'failed')
+        outcome = _OUTCOME_BY_VERDICT.get(
+            end.fields.get('verdict', ''), 'failed'
+        )
     if outcome == 'late':
-        if explain.number(end, 'late') <= 0.0:
+        if explain.parse_number(end, 'late') <= 0.0:
             return None
-        return Kind(second, queue, outcome, explain.delay(story, end).word)
-    return Kind(second, queue, outcome, end.fields.get('reason', ''))
+        return FailureGroup(
+            second, queue, outcome, explain.find_delay(job_lines, end).code
+        )
+    return FailureGroup(second, queue, outcome, end.fields.get('reason', ''))
 
 
 def show(files: tuple[str, ...]) -> commands.Output:
-    """The table, with a line for each cause in all before it."""
-    found, number = kinds(explain.read(files))
+    """Return the table of groups, preceded by the total of each cause."""
+    counts, number = count_failures(explain.read_lines(files))
     causes: collections.Counter[tuple[str, str]] = collections.Counter()
-    for kind, count in found.items():
-        causes[kind.outcome, kind.cause] += count
-    text = [f'{number} requests, {sum(found.values())} of them went wrong']
+    for group, count in counts.items():
+        causes[group.outcome, group.cause] += count
+    text = [f'{number} requests, {sum(counts.values())} of them went wrong']
     text += [
         f'{count:6} {outcome} {cause}'
         for (outcome, cause), count in causes.most_common()
     ]
     text.append('second  count queue outcome cause')
     text += [
-        f'{kind.second:6} {count:6} {kind.queue} {kind.outcome} {kind.cause}'
-        for kind, count in sorted(found.items())
+        f'{group.second:6} {count:6} {group.queue} {group.outcome} '
+        f'{group.cause}'
+        for group, count in sorted(counts.items())
     ]
     return commands.Output('\n'.join(text))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,9 +22,9 @@
 
 @pytest.fixture
 def entry(front, monkeypatch):
-    """A served entry over a fake reducer; gives its URL.
+    """Starts an HTTP server with a fake reducer as the default entry.
 
-    It runs on a thread, since a command starts an event loop of its own.
+    The server runs in a thread, because commands start their own event loop.
     """
     started = []
     done = []
@@ -80,19 +80,19 @@
     ],
 )
 def test_an_error_is_one_line_that_says_where(capsys, line, status, words):
-    """A user mistypes a command, or nobody listens at the address.
+    """A user mistypes a command, or the entry's address refuses connections.
 
-    One line says what was wrong and where; no traceback is shown.
+    The output is one line with the error and its place, and no traceback.
     """
     assert cli.main(line.split()) == status
-    shown = capsys.readouterr()
-    assert shown.out == ''
-    (error,) = shown.err.splitlines()
+    output = capsys.readouterr()
+    assert output.out == ''
+    (error,) = output.err.splitlines()
     assert words in error
 
 
 def test_every_fault_of_a_file_has_its_line(capsys, tmp_path):
-    """An operator starts a program with a file that has several faults."""
+    """An operator starts a program with several faults in its settings."""
     path = tmp_path / 'agent.toml'
     path.write_text('[entries]\nseeds = 3\n[upstream]\nlisten = "here"\n')
     assert cli.main(['agent', f'--config={path}']) == 2
@@ -104,7 +104,7 @@
 
 
 def test_an_address_in_use_is_named(capsys, tmp_path):
-    """An operator starts an agent where another process listens."""
+    """An operator starts an agent on an address that is already in use."""
     (sock,) = conftest.bound()
     address = '127.0.0.1:%d' % sock.getsockname()[1]
     path = tmp_path / 'agent.toml'
@@ -127,7 +127,7 @@
     'run, status',
     [('complete', 0), ('not_run', 3), ('failed', 4)],
 )
-def test_the_exit_status_tells_what_became_of_a_job(
+def test_the_exit_status_depends_on_the_job_status(
     capsys, entry, tmp_path, run, status
 ):
     outcome = {'complete': 'finished'}.get(run, run)
@@ -142,33 +142,36 @@
     path = tmp_path / 'job.json'
     path.write_text(json.dumps(JOB))
     assert cli.main(['submit', str(path), '--json']) == status
-    shown = json.loads(capsys.readouterr().out)
-    assert (shown['run'], shown['tasks'][0]['body']) == (run, {'slot': 4})
+    output = json.loads(capsys.readouterr().out)
+    assert (output['run'], output['tasks'][0]['body']) == (run, {'slot': 4})
     assert cli.main(['submit', str(path)]) == status
     assert f'a: {outcome}' in capsys.readouterr().out
 
 
 def test_a_change_is_based_on_the_version_that_the_entry_knows(capsys, entry):
-    """Two operators change the same zone; the second one loses.
+    """Two operators change the same zone, and the second change conflicts.
 
-    Its command ends with a status of its own and names the version.
+    The second command has a distinct exit status and names the version.
     """
-    seen = []
+    events = []
 
     def answer(event):
         if isinstance(event, calls.StatusAsked):
             return test_operators.Status()
-        seen.append(event)
-        verdict = 'accepted' if len(seen) == 1 else 'conflict'
+        events.append(event)
+        verdict = 'accepted' if len(events) == 1 else 'conflict'
         return cluster.Proposed(event.call, verdict, 8, 12.5)
 
     entry(answer)
     assert cli.main(['zone', 'out', 'talca']) == 0
     assert capsys.readouterr().out == 'accepted: version 8\n'
-    assert (seen[0].change, seen[0].based_on) == (cluster.ZoneOut('talca'), 7)
+    assert (events[0].change, events[0].based_on) == (
+        cluster.ZoneOut('talca'),
+        7,
+    )
     assert cli.main(['zone', 'in', '1', '--based_on=3']) == 7
     assert 'at version 8' in capsys.readouterr().err
-    assert (seen[1].change, seen[1].based_on) == (cluster.ZoneIn('1'), 3)
+    assert (events[1].change, events[1].based_on) == (cluster.ZoneIn('1'), 3)
     assert cli.main(['zone', 'list']) == 0
     assert 'zones[talca].accepted = "out"' in capsys.readouterr().out
 
@@ -187,14 +190,14 @@
     assert json.loads(capsys.readouterr().out)['version']
 
 
-def test_what_config_set_means():
-    assert command_tree.named_change('quota.talca', '5') == cluster.QuotaSet(
+def test_config_set_parses_names_and_values():
+    assert command_tree.parse_change('quota.talca', '5') == cluster.QuotaSet(
         'talca', 5
     )
-    assert command_tree.named_change('color', 'none') == cluster.SettingSet(
+    assert command_tree.parse_change('color', 'none') == cluster.SettingSet(
         'color', None
     )
-    leaving = command_tree.named_change('upstream.agent-1', 'leaving')
+    leaving = command_tree.parse_change('upstream.agent-1', 'leaving')
     assert leaving == cluster.UpstreamLeaving('agent-1')
     with pytest.raises(exceptions.BadUsage):
-        command_tree.named_change('upstream.agent-1', 'gone')
+        command_tree.parse_change('upstream.agent-1', 'gone')
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -19,26 +19,28 @@
 
 def submit(serve, answer, entries=()):
     async def scenario(site):
-        found = client.Client([*entries, site.url], rng=random.Random(1))
-        found._next = 0
+        caller_client = client.Client(
+            [*entries, site.url], rng=random.Random(1)
+        )
+        caller_client._next_entry = 0
         try:
-            return await found.submit(JOB)
+            return await caller_client.submit(JOB)
         finally:
-            found.close()
+            caller_client.close()
 
     return serve(answer, scenario)
 
 
 def test_a_job_comes_back_with_the_upstreams_values(serve):
-    found = submit(serve, complete)
-    assert found.complete
-    assert found.tasks[0].body == {'ok': True}
+    job_result = submit(serve, complete)
+    assert job_result.complete
+    assert job_result.tasks[0].body == {'ok': True}
 
 
-def test_a_refusal_that_says_when_is_tried_again_under_a_new_key(serve):
-    """An entry in a burst refuses a job as not run, for some seconds.
+def test_a_refusal_with_a_retry_delay_is_retried_with_a_new_key(serve):
+    """An overloaded entry rejects a job as not run, with a retry delay.
 
-    The refusal of that key stands, so the caller's job runs under another.
+    The rejection of the key is final, so the client retries with a new key.
     """
     keys = []
 
@@ -53,15 +55,15 @@
             )
         return complete(event)
 
-    found = submit(serve, answer)
-    assert (found.complete, found.tries) == (True, 2)
+    job_result = submit(serve, answer)
+    assert (job_result.complete, job_result.tries) == (True, 2)
     assert len(set(keys)) == 2
 
 
 def test_a_pending_job_is_joined_under_its_own_key(serve):
-    """The entry that owned a job is lost while the caller waits.
+    """The entry that owns a job is lost while the caller waits.
 
-    A new key would run the job twice; the same one joins it.
+    A new key would run the job twice; the same key joins the job.
     """
     keys = []
 
@@ -77,55 +79,57 @@
     assert len(set(keys)) == 1 and len(keys) == 2
 
 
-def test_an_entry_that_is_gone_is_passed_over(serve):
+def test_an_unreachable_entry_is_skipped(serve):
     """One of the entries refuses connections.
 
-    The caller's job goes to the next one.
+    The client submits the job to the next entry.
     """
-    found = submit(serve, complete, ['http://127.0.0.1:9'])
-    assert (found.complete, found.tries) == (True, 2)
+    job_result = submit(serve, complete, ['http://127.0.0.1:9'])
+    assert (job_result.complete, job_result.tries) == (True, 2)
 
 
-def test_what_a_retry_cannot_mend_is_the_answer(serve):
+def test_a_permanent_rejection_is_not_retried(serve):
     def answer(event):
         return types.JobAnswer(
             event.job.key, types.JobStatus.NOT_RUN, code='never_fits'
         )
 
-    found = submit(serve, answer)
-    assert (found.code, found.tries) == ('never_fits', 1)
+    job_result = submit(serve, answer)
+    assert (job_result.code, job_result.tries) == ('never_fits', 1)
 
 
 def test_a_wrong_token_is_not_tried_again(serve):
-    """A team's token was renewed, and a caller still has the old one.
+    """A team's token was replaced, and a caller still has the old one.
 
-    It learns so at once, instead of at its job's deadline.
+    The client returns the error immediately instead of at the job's deadline.
     """
 
     async def scenario(site):
-        found = client.Client([site.url], token='x' * 16)
+        caller_client = client.Client([site.url], token='x' * 16)
         try:
-            return await found.submit(JOB)
+            return await caller_client.submit(JOB)
         finally:
-            found.close()
+            caller_client.close()
 
-    found = serve(pytest.fail, scenario, teams={'talca': 'y' * 16})
-    assert (found.code, found.tries) == ('bad_token', 1)
-    assert found.run == types.JobStatus.PENDING
+    job_result = serve(pytest.fail, scenario, teams={'talca': 'y' * 16})
+    assert (job_result.code, job_result.tries) == ('bad_token', 1)
+    assert job_result.run == types.JobStatus.PENDING
 
 
 def test_no_entry_at_all_is_an_error_that_names_it():
-    """No entry listens any more.
+    """No entry is running.
 
-    The caller learns that nobody answered, not that the job didn't run.
+    The error reports that no entry answered, not that the job didn't run.
     """
 
     async def scenario():
-        found = client.Client(['http://127.0.0.1:9'], rng=random.Random(1))
+        caller_client = client.Client(
+            ['http://127.0.0.1:9'], rng=random.Random(1)
+        )
         try:
-            await found.ask('k')
+            await caller_client.ask('k')
         finally:
-            found.close()
+            caller_client.close()
 
     with pytest.raises(exceptions.Unreachable) as caught:
         asyncio.run(scenario())
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -14,7 +14,7 @@
 
 
 def evidence(runs=(), departures=()):
-    """One job of the load, complete, with the starts that it needs."""
+    """Return the evidence of one complete job, with its starts."""
     job = LOAD.jobs[0]
     names = [bench_truth.task_id(place) for place in range(len(job.tasks))]
     tasks = tuple(
@@ -37,27 +37,29 @@
     )
 
 
-def test_a_whole_run_breaks_nothing_and_is_measured():
-    found = evidence()
-    promises = demo.broken(found, demo.Watch())
+def test_a_correct_run_has_no_violations_and_is_measured():
+    run_evidence = evidence()
+    promises = demo.count_violations(run_evidence, demo.ConfigurationWatch())
     assert set(promises.values()) == {0}
-    measured = demo.measures(found)
+    measured = demo.compute_measures(run_evidence)
     assert (measured.complete, measured.longest_seconds) == (1, 1.0)
     assert measured.messages_per_task == 4 / measured.tasks_started
-    assert demo.report(measured, promises)[-1] == 'promises broken: 0'
+    assert demo.format_report(measured, promises)[-1] == 'promises broken: 0'
 
 
 def test_each_broken_promise_is_counted():
-    """A task runs twice, in a zone that is out, and an entry goes back.
+    """A task runs twice, in a zone out of service, and an entry reverts.
 
-    Whoever runs the demo must see it, and its exit status follows.
+    The report must count each violation, since it sets the exit status.
     """
-    again = bench_evidence.Run(KEY, 't0', 3, 'curico', 1.2, 1.3)
-    gone = bench_evidence.Departure('curico', 0.1, 0.2, 1.0, 9.0)
-    found = evidence([again], [gone])
-    promises = demo.broken(found, demo.Watch(reverted=1))
+    second_run = bench_evidence.Run(KEY, 't0', 3, 'curico', 1.2, 1.3)
+    departure = bench_evidence.Departure('curico', 0.1, 0.2, 1.0, 9.0)
+    run_evidence = evidence([second_run], [departure])
+    promises = demo.count_violations(
+        run_evidence, demo.ConfigurationWatch(reversions=1)
+    )
     assert promises['duplicate_starts'] == 1
     assert promises['starts_after_fence'] == 1
     assert promises['reverted_configurations'] == 1
-    report = demo.report(demo.measures(found), promises)
+    report = demo.format_report(demo.compute_measures(run_evidence), promises)
     assert report[-1] == 'promises broken: 3'
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize(
     'path', FILES, ids=lambda path: str(path.relative_to(EXAMPLES))
 )
-def test_each_settings_file_is_sound(path, tmp_path):
-    """A newcomer starts from an example, after putting certificates there."""
+def test_each_settings_file_is_valid(path, tmp_path):
+    """New users start with an example file after adding certificates."""
     text = path.read_text()
     for name in re.findall(r'"(certificates/[^"]+)"', text):
         (tmp_path / name).parent.mkdir(exist_ok=True)
@@ -27,7 +27,7 @@
     settings_files.load_any(copy)
 
 
-def test_the_example_job_is_one():
+def test_the_example_job_is_valid():
     job = client.decode((EXAMPLES / 'job.json').read_bytes())
     assert [task.id for task in job.tasks] == ['club-7', 'club-9']
     assert len(FILES) == 8
@@ -43,7 +43,7 @@
 
 def test_the_platform_s_path_runs_on_stand_ins(capsys):
     assert platform_path.main() == 0
-    told = capsys.readouterr().out.splitlines()
-    assert told[-1] == 'promises broken: 0'
-    assert 'job_admitted' in told[0]
-    assert any(line.startswith('cause: ') for line in told)
+    lines = capsys.readouterr().out.splitlines()
+    assert lines[-1] == 'promises broken: 0'
+    assert 'job_admitted' in lines[0]
+    assert any(line.startswith('cause: ') for line in lines)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -20,7 +20,7 @@
 
 
 def test_a_request_s_lines_come_in_order_of_all_processes():
-    found = explain.story([*ENTRY, *AGENT], 'a1')
+    found = explain.collect_lines([*ENTRY, *AGENT], 'a1')
     assert [line.event for line in found] == [
         'job_admitted',
         'run_failed',
@@ -38,13 +38,13 @@
     ],
 )
 def test_the_cause_of_three_kinds_of_failure_is_named(job, text):
-    """Refused at admission, failed on bad workers, lost with its entry."""
-    found = explain.story([*ENTRY, *AGENT], job)
-    assert explain.cause(found).startswith(text)
+    """Jobs are rejected, fail on faulty workers or are lost with an entry."""
+    found = explain.collect_lines([*ENTRY, *AGENT], job)
+    assert explain.find_cause(found).startswith(text)
 
 
 def late(began, *more):
-    """A job that ended well, and what was logged besides."""
+    """Return the log lines of a late job, with additional lines."""
     return [
         'time=1.0 level=info process=e event=job_admitted job=d4 slack=0.1\n',
         *more,
@@ -67,8 +67,8 @@
     ],
 )
 def test_the_cause_of_a_late_answer_is_named(lines, text):
-    """All tasks ended well, but the caller waited in vain."""
-    found = explain.cause(explain.story(lines, 'd4'))
+    """All tasks complete, but the answer misses the deadline."""
+    found = explain.find_cause(explain.collect_lines(lines, 'd4'))
     assert found.startswith('late by 0.3 s: ')
     assert text in found
 
@@ -78,7 +78,7 @@
         *ENTRY,
         'time=11.0 level=info process=w event=run_abandoned job=c3 index=0\n',
     ]
-    found = explain.cause(explain.story(lines, 'c3'))
+    found = explain.find_cause(explain.collect_lines(lines, 'c3'))
     assert found.endswith('its runs were ended by w')
 
 
@@ -92,7 +92,7 @@
     assert text[-1].startswith('cause: task_failed')
 
 
-def test_a_request_that_no_log_names_is_told(tmp_path, capsys):
+def test_a_request_that_is_in_no_log_is_an_error(tmp_path, capsys):
     (tmp_path / 'e.log').write_text(''.join(ENTRY))
     assert cli.main(['explain', 'zz', str(tmp_path / 'e.log')]) == 2
     assert 'zz' in capsys.readouterr().err
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -10,11 +10,11 @@
 )
 
 BUILT = {'run_failed', 'run_over', 'lines_dropped'}
-"""Events whose names the code puts together or writes by itself."""
+"""Events with a composed name, or written without a log function."""
 
 
 def test_the_page_lists_each_event_that_the_programs_log():
-    """An engineer looks an event up and must find it, and no dead one."""
+    """Engineers look events up there; it lists exactly the logged events."""
     found = set(BUILT)
     for package in ('repeatable', 'platform'):
         for path in (ROOT / 'src' / 'agatepick' / package).glob('*.py'):
--- a/tests/test_summary.py
+++ b/tests/test_summary.py
@@ -35,11 +35,9 @@
         (2, 'lost', 'no_end_logged'),
     ],
 )
-def test_what_went_wrong_is_counted_by_second_and_cause(
-    second, outcome, cause
-):
-    found, number = summary.kinds(['noise that is no event\n', *TEXT])
-    assert found[summary.Kind(second, 'q', outcome, cause)] == 1
+def test_failures_are_counted_by_second_and_cause(second, outcome, cause):
+    found, number = summary.count_failures(['noise that is no event\n', *TEXT])
+    assert found[summary.FailureGroup(second, 'q', outcome, cause)] == 1
     assert sum(found.values()) == 6
     assert number == 7
 
@@ -53,12 +51,12 @@
     assert '     1      1 q refused overloaded' in printed
 
 
-def test_neither_a_request_nor_a_summary_is_a_mistake(capsys):
+def test_explain_needs_a_request_or_a_summary(capsys):
     assert cli.main(['explain']) != 0
     assert 'name a request' in capsys.readouterr().err
 
 
-def test_a_log_without_requests_is_told(tmp_path, capsys):
+def test_a_log_without_requests_is_reported_as_empty(tmp_path, capsys):
     path = tmp_path / 'empty.log'
     path.write_text('')
     assert cli.main(['explain', '--summary', str(path)]) == 0
