--- a/src/agatepick/api/callers.py
+++ b/src/agatepick/api/callers.py
@@ -109,7 +109,7 @@
         if not teams:
             return None
         token = web.get_bearer_token(self.request)
-        # Comparing every token keeps the response time constant.
+        # All tokens are compared, so that timing reveals no match.
         teams_of_token = [
             team
             for team, known in teams.items()
--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -166,7 +166,7 @@
         length = self.request.headers.get('Content-Length', '0')
         if length.isdigit() and int(length) > limits.max_body_bytes:
             self._close_after_response()
-            raise self._make_too_large(int(length))
+            raise self._make_body_rejection(int(length))
         self._idle_timer = asyncio.get_running_loop().call_later(
             limits.idle_seconds, self._refuse_late_body
         )
@@ -184,7 +184,7 @@
         :raises Refused: if the body is over the limit.
         """
         if self._body_over_limit:
-            raise self._make_too_large(None)
+            raise self._make_body_rejection(None)
         return self.body
 
     def on_finish(self) -> None:
@@ -284,7 +284,7 @@
             peer=peer,
         )
 
-    def _make_too_large(self, length: int | None) -> Refused:
+    def _make_body_rejection(self, length: int | None) -> Refused:
         subject = 'the body is' if length is None else f'{length} bytes is'
         return self.make_rejection(
             413,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -248,7 +248,7 @@
     assert b'"run":"not_run"' in answer
 
 
-def test_a_key_that_is_no_uuid7_is_refused(serve):
+def test_a_key_that_is_not_a_uuid7_is_refused(serve):
     async def scenario(site):
         return await site.fetch(
             'POST', '/v1/jobs', JOB, Idempotency_Key=str(uuid.UUID(int=4))
