--- a/src/agatepick/repeatable/__init__.py
+++ b/src/agatepick/repeatable/__init__.py
@@ -1,8 +1,8 @@
-"""Jobs whose tasks may run again once an earlier run is known to be over.
+"""Jobs whose tasks may run again once an earlier run has ended.
 
-An entry owns the jobs that its callers hand in and keeps a lease on each of
-their runs; an agent beside a worker starts runs there and ends those whose
-lease isn't renewed.  At no time does a task have two runs.
+An entry owns the jobs that its callers submit and holds a lease on each of
+their runs. An agent beside each worker starts runs there and stops those whose
+lease isn't renewed. A task never has two runs at the same time.
 """
 
 from agatepick.repeatable import agent
--- a/src/agatepick/repeatable/admitting.py
+++ b/src/agatepick/repeatable/admitting.py
@@ -1,17 +1,19 @@
-"""Whether a job is let in, and when its caller should come back.
-
-Load pattern: more work than the workers can do, for seconds or for good.
-Without this every job waits until most end after their objective: callers
-wait in vain, and the workers are busy with answers that come too late.
-
-What a job waits for is cores.  The wait is predicted from the cores that all
-before it need beyond those that are free, and from the cores that come free a
-second: this entry's share of the workers over the usual run time, or what its
-own runs freed of late if that is more.  A job that would start too late is
-refused at once; where nothing waits before it, it never is.  What is too
-late is learnt from those that were let in (:class:`Margin`).  One that was let
-in and sees its latest start pass before any task began is refused too: the
-prediction was wrong, and an answer now lets its caller go elsewhere.
+"""Admission control: which jobs are accepted, and when to retry others.
+
+Load pattern: more work than the workers can do, for seconds or permanently.
+Without admission control every job queues until most miss their objective:
+callers wait in vain, and the workers spend their time on answers that come too
+late.
+
+Jobs wait for cores. The wait is predicted from the cores that all earlier jobs
+need beyond those that are free, and from the rate at which cores are released:
+this entry's share of the workers divided by the mean run time, or the recent
+release rate of its own runs if that is higher. A job that would start too late
+is refused at once; where nothing is queued, no job is refused. The accepted
+wait is adjusted by the outcome of admitted jobs (:class:`Margin`). An admitted
+job whose latest start passes before any of its tasks started is refused as
+well: the prediction was wrong, and an early answer lets its caller try
+elsewhere.
 """
 
 import dataclasses
@@ -25,54 +27,57 @@
 from agatepick.repeatable import pool
 
 RATE_SECONDS = 1.0
-"""Time constant of the rate at which cores come free: some run times, and
-shorter than a burst."""
+"""Time constant of the release rate: several run times long, and shorter than
+a burst."""
 
 USED_SHARE = 0.92
-"""Part of the workers' cores that tasks fill; what is left over at each is
-too small for another."""
+"""Share of the workers' cores that tasks can fill; the rest of each worker is
+too small for another task."""
 
 USUAL_SECONDS = 0.33
-"""Run time that is assumed while none has ended of late."""
+"""Mean run time that is assumed while no run has ended recently."""
 
 LEAST_USUAL_SECONDS = 0.02
-"""Shorter run times are lost in the time that messages take."""
+"""Lower bound of the mean run time; message delays hide shorter times."""
 
 MOST_SHARE = 0.7
-"""Part of a job's slack that its predicted wait may take up, while jobs that
-wait begin in time.  Its own run time is known to within a third."""
+"""Largest share of a job's slack that its predicted wait may take up, while
+queued jobs start in time. The job's own run time is known to within a third.
+Largest share of a job's slack that its predicted wait may take up, while
+queued jobs start in time. The job's own run time is known to within a
+third."""
 
 LEAST_SHARE = 0.05
-"""The same while they don't, however long: then only what starts almost at
-once is let in."""
+"""Smallest such share, reached while admitted jobs start late: then only jobs
+that start almost at once are admitted."""
 
 RAISE = 1.02
 CUT = 0.7
-"""Factors on that part after a job that began in time, and after one that
-didn't.  They balance at one late start in nineteen, whatever the part is:
-fewer would cost many refusals, and to callers a refusal is worse than a late
-answer."""
+"""Factors on the share after a job that started in time, and after one that
+started late. They balance at one late start in nineteen, whatever the share
+is: fewer late starts would cost many refusals, and to callers a refusal is
+worse than a late answer."""
 
 CUT_OFF_SECONDS = 0.8
-"""Time without any agent after which jobs are refused at once: a broken
-connection is replaced within 0.1 s, a silent one within 1.2 s."""
+"""Time without any reachable agent after which jobs are refused at once: a
+broken connection is replaced within 0.1 s, a silent one within 1.2 s."""
 
 START_SECONDS = 2.0
-"""Time given to agents to come after the start of this process: they find it
-in the store within 0.3 s, and a worker announces itself every 1.5 s."""
+"""Time for agents to connect after this process started: they find it in the
+store within 0.3 s, and a worker announces itself every 1.5 s."""
 
 MIN_RETRY_SECONDS = 1.0
-"""Retry-After is told in whole seconds."""
+"""The Retry-After header holds whole seconds."""
 
 MAX_RETRY_SECONDS = 10.0
 
 RETRY_SPREAD_SECONDS = 2.0
-"""Callers that were refused together come back spread over this, or they
-would be refused together again."""
+"""Range over which the retries of callers that were refused together are
+spread; otherwise they would be refused together again."""
 
 
 class FreedRate:
-    """Cores that come free a second, as this entry's runs end."""
+    """Rate at which this entry's runs release cores, and their run times."""
 
     def __init__(self) -> None:
         self._cores = 0.0
@@ -81,7 +86,11 @@
         self._at = 0.0
 
     def add(self, cores: float, seconds: float, now: float) -> None:
-        """A run ended that held some cores for some seconds."""
+        """Record a run that ended.
+
+        :param cores: cores that the run held.
+        :param seconds: its run time.
+        """
         kept = self._kept(now)
         self._cores = self._cores * kept + cores
         self._seconds = self._seconds * kept + seconds
@@ -89,11 +98,11 @@
         self._at = now
 
     def a_second(self, now: float) -> float:
-        """Cores freed a second of late."""
+        """Return the recent rate of released cores per second."""
         return self._cores * self._kept(now) / RATE_SECONDS
 
     def usual_seconds(self) -> float:
-        """Mean run time of late."""
+        """Return the recent mean run time in seconds."""
         if self._count < 1.0:
             return USUAL_SECONDS
         return max(self._seconds / self._count, LEAST_USUAL_SECONDS)
@@ -104,14 +113,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a new job would meet.
+    """Queue and capacity that a new job meets.
 
     :param needed: cores of the tasks that start before it.
     :param free: cores that are free for them now.
-    :param rate: cores that come free a second.
-    :param trip: seconds that an order takes to an agent and back: long while
-        the entry's link or processor is full, when more jobs would only make
-        all wait longer.
+    :param rate: cores that are released per second.
+    :param trip: round trip of a message to an agent in seconds. It is long
+        while the entry's link or processor is saturated, when more jobs would
+        only make all of them wait longer.
     """
 
     needed: float
@@ -120,21 +129,21 @@
     trip: float = 0.0
 
     def wait(self) -> float:
-        """Seconds until the job starts."""
+        """Return the predicted seconds until the job starts."""
         return self.queue() + self.trip
 
     def queue(self) -> float:
-        """Seconds of them that it waits for cores."""
+        """Return the part of the wait during which the job waits for cores."""
         return max(0.0, self.needed - self.free) / max(self.rate, 0.001)
 
 
 def in_time(load: Load, slack: float, share: float) -> bool:
-    """Whether a job starts soon enough.
+    """Return whether a job starts soon enough.
 
-    :param slack: seconds until it should have started.
-    :param share: part of them that the wait for cores may take up.  The round
-        trip isn't held to it: an entry whose share is low, and whose orders
-        take a while, would let nobody in and learn nothing any more.
+    :param slack: seconds until its latest start.
+    :param share: share of the slack that the wait for cores may take up. The
+        round trip isn't part of that limit: an entry with a low share and slow
+        round trips would admit no job, and the share could never recover.
     """
     slack = max(slack, 0.0)
     in_queue = load.queue() <= share * slack
@@ -142,29 +151,29 @@
 
 
 class Margin:
-    """How much of its slack a job may be let in to wait, by what it led to.
+    """Share of its slack that an admitted job may wait, adjusted by outcome.
 
-    Load pattern: more work than the workers can do, for seconds.  The wait
-    of a job is predicted from what is before it, but more urgent jobs come
-    later and pass it, and its own tasks need several places.  How much that
-    adds depends on the load and on the mix, so it is learnt: each job that
-    began too late through waiting makes the next ones be refused sooner, as
-    then their callers at least know at once.
+    Load pattern: more work than the workers can do, for seconds. A job's wait
+    is predicted from the queue before it, but more urgent jobs arrive later
+    and overtake it, and its own tasks need several slots. The additional wait
+    depends on the load and on the mix of jobs, so it is learnt from outcomes:
+    each job that waited until it started too late lowers the share, so that
+    later callers are refused at once instead of late.
 
-    :ivar share: part of the slack.
+    :ivar share: share of the slack, between 0 and 1.
     """
 
     def __init__(self) -> None:
         self.share = MOST_SHARE
 
     def began(self, in_time: bool) -> None:
-        """A job that was let in has begun, in time or too late."""
+        """Record whether an admitted job started in time."""
         factor = RAISE if in_time else CUT
         self.share = min(MOST_SHARE, max(LEAST_SHARE, self.share * factor))
 
 
 def retry_after(load: Load, slack: float, rng: random.Random) -> float:
-    """Seconds after which the wait will be short enough, spread."""
+    """Return the seconds until the wait is short enough, randomly spread."""
     late = max(load.wait() - slack, MIN_RETRY_SECONDS)
     spread = rng.uniform(0.0, RETRY_SPREAD_SECONDS)
     return min(late + spread, MAX_RETRY_SECONDS)
@@ -172,11 +181,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a job isn't let in.
+    """Reason why a job isn't admitted.
 
-    :param reason: a word for programs and logs.
-    :param retry_after: seconds.
-    :param load: what decided it, where the queue did.
+    :param reason: reason code for programs and logs.
+    :param retry_after: seconds until the caller may retry.
+    :param load: load that led to the refusal, if the queue caused it.
     """
 
     reason: str
@@ -185,9 +194,9 @@
 
 
 class Admission:
-    """Judges the jobs that come to one entry.
+    """Admission control of one entry.
 
-    :ivar freed: cores that this entry's runs free.
+    :ivar freed: rate at which this entry's runs release cores.
     """
 
     def __init__(
@@ -207,7 +216,7 @@
         self._margin = Margin()
 
     def advance(self, now: float) -> None:
-        """Note whether any agent can be reached."""
+        """Update since when any agent has been reachable."""
         if any(worker.usable(now) for worker in self._pool):
             self._reached_at = now
             self._reached_since = min(self._reached_since, now)
@@ -217,11 +226,11 @@
             self._reached_at = now + START_SECONDS
 
     def latest(self, spec: jobs.Job, now: float) -> float:
-        """Instant at which a job must begin to end in its objective."""
+        """Return the latest start at which a job still meets its objective."""
         return now + spec.route.slack(self._estimator.longest(spec))
 
     def refusal(self, spec: jobs.Job, now: float) -> Refusal | None:
-        """Why a job isn't let in, and when to come back."""
+        """Return why a job isn't admitted, or ``None`` if it is."""
         if not self._fits_anywhere(spec, now):
             return Refusal('no_worker', self.spread_retry())
         if now > self._reached_at + CUT_OFF_SECONDS:
@@ -234,23 +243,28 @@
         return None
 
     def began(self, arrived_at: float, in_time: bool) -> None:
-        """A job that was let in has begun in time, or too late, or never.
+        """Record whether an admitted job started in time.
 
-        Jobs that came before any worker was there tell nothing of the load:
-        after a loss of power they would make a calm entry refuse others.
+        A job that never started counts as late. Jobs that arrived before any
+        worker was reachable don't count: after a power loss they would make an
+        entry without load refuse other jobs.
         """
         if arrived_at >= self._reached_since:
             self._margin.began(in_time)
 
     def spread_retry(self) -> float:
-        """Seconds until a caller may come back, when no queue tells them."""
+        """Return a random retry delay in seconds for other refusals.
+
+        It is used where no queue determines the delay.
+        """
         return 1.0 + self._rng.uniform(0.0, RETRY_SPREAD_SECONDS)
 
     def _fits_anywhere(self, spec: jobs.Job, now: float) -> bool:
-        """Whether any known worker is large enough for each task.
+        """Return whether each task fits on some known worker.
 
-        Just after the start, and while a cut heals, agents come one by one:
-        a job waits for them as long as it would for room.
+        Just after the start, and while a network partition heals, agents
+        connect one by one: a job waits for them as long as it would for free
+        capacity.
         """
         rooms = [
             worker.room
@@ -269,8 +283,8 @@
         )
 
     def _load(self, spec: jobs.Job, latest: float, now: float) -> Load:
-        # The job's own cores don't count: with them, wide urgent jobs would
-        # be refused while they could get all that comes free.
+        # The job's own cores aren't counted: otherwise wide urgent jobs would
+        # be refused although they could get all cores that are released.
         needed = 0.0
         for job in self._waiting.in_order():
             if not job.begun and job.latest > latest:
--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -1,8 +1,8 @@
-"""The agent's reducer: every run at its worker passes through it.
+"""Reducer of an agent, which controls all runs at its worker.
 
-It shares the worker's room among the entries, starts their runs, extends the
-worker's lease as long as entries renew theirs, ends what nobody renews, and
-reports how each run ended.
+The agent divides the worker's free capacity among the entries, starts their
+runs, extends the worker's lease as long as the entries renew theirs, stops
+runs whose lease isn't renewed, and reports how each run ended.
 """
 
 import dataclasses
@@ -25,13 +25,14 @@
 ROLE_ENTRY = 'entry'
 
 STOP_RUNS_SECONDS = 4.0
-"""A stopping agent ends what still runs after this, so that its entries
-learn of it and start it elsewhere before the process is gone (6 s)."""
+"""Time after which a stopping agent stops the remaining runs, so that its
+entries receive the reports and restart the tasks elsewhere before the process
+is killed (6 s)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AgentConfig:
-    """What an agent needs of its settings."""
+    """Settings that an agent needs."""
 
     name: types.PeerName
     zone: str
@@ -55,9 +56,9 @@
             self._room, self._health, self._reports, self._telling.emptied
         )
         self._serving = serving.Serving(cfg.name)
-        # None until the operator's rows were read: an agent that starts
-        # while the store is away doesn't know whether its zone is closed.
-        # It would start tasks in a zone that was taken out long ago.
+        # None until the operator's rows are read: an agent that starts while
+        # the store is unavailable can't tell whether its zone is closed, and
+        # would start tasks in a zone that operators closed long ago.
         self._closed: frozenset[str] | None = None
         self._stopping_at: float | None = None
         self._renewed_at = 0.0
@@ -86,18 +87,19 @@
 
     @classmethod
     def from_config(cls, cfg: AgentConfig, incarnation: int) -> 'Agent':
-        """An agent that has just started.
+        """Return an agent that has just started.
 
-        :param incarnation: differs from that of every earlier life.
+        :param incarnation: number that no earlier process of this agent had.
         """
         return cls(cfg, incarnation)
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event; the effects to carry out, in order."""
+        """Handle one event and return the effects to carry out, in order."""
         handler = self._handlers.get(type(event))
         if handler is None:
             return [core.note('unexpected_event', kind=type(event).__name__)]
-        # Before the event: a renewal must not revive what had run out.
+        # Expired leases are enforced before the event, so that a late renewal
+        # can't revive them.
         effects = self._orders.enforce(now)
         effects += handler(event, now)
         effects += self._orders.watch(now)
@@ -113,7 +115,7 @@
         return effects
 
     def figures(self, now: float) -> dict[str, float]:
-        """What it knows and has at this moment; see ``measures.FIGURES``."""
+        """Return the agent's gauges by name; see ``measures.FIGURES``."""
         return {
             'runs': len(self._orders.runs),
             'entries': sum(one.connected for one in self._owners.values()),
@@ -130,7 +132,7 @@
         return effects + self._review_entries(now)
 
     def _review_entries(self, now: float) -> list[object]:
-        """Serve the entries that are this agent's, and no others."""
+        """Connect the entries that this agent serves, and leave the others."""
         connected = {
             one.name for one in self._owners.values() if one.connected
         }
@@ -180,7 +182,8 @@
         if owner is None or event.incarnation not in (0, owner.incarnation):
             return []
         if event.incarnation == 0 and owner.connected:
-            # A second dial to a connected entry failed.
+            # This is the failure of a second dial to an entry that is
+            # connected.
             return []
         was_connected, owner.connected = owner.connected, False
         self._room.leave(event.peer)
@@ -253,7 +256,7 @@
         if not self._open(now):
             return 'closed'
         if owner.valid_until <= now:
-            # Held up on the way: its owner may have given it up meanwhile.
+            # The message was delayed: its owner may have requeued the task.
             return 'lease'
         if spec.name in self._orders.runs:
             return 'busy'
@@ -275,7 +278,7 @@
     def _abandon(
         self, owner: runs.Owner, reason: str, now: float
     ) -> list[object]:
-        """End all runs of an entry that is gone."""
+        """Stop all runs of an entry that has gone."""
         owner.valid_until = 0.0
         effects: list[object] = []
         for run in list(self._orders.runs.values()):
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -1,8 +1,9 @@
-"""The entry's reducer for repeatable jobs.
+"""Reducer of an entry for repeatable jobs.
 
-It owns the jobs that its callers hand in, places their tasks on workers with
-room, keeps the lease on each run through the agents, tries again what is
-known to be over, and answers when the last task has ended.
+The entry owns the jobs that its callers submit, places their tasks on workers
+with free capacity, holds the lease on each run through the agents, retries
+tasks whose runs have ended without a result, and answers when the last task
+has ended.
 """
 
 import dataclasses
@@ -27,19 +28,21 @@
 ROLE_AGENT = 'agent'
 
 WATCH_SECONDS = 0.05
-"""How often runs are looked at that take too long, and jobs that wait."""
+"""Pause between checks for stuck runs and for jobs that have waited too long.
+Pause between checks for stuck runs and for jobs that have waited too long."""
 
 PLACE_SECONDS = 0.05
-"""How often waiting tasks are looked at though neither a job nor room came:
-a worker may have become fresh again, and wants are repeated."""
+"""Longest pause between placement rounds while tasks wait, even if neither a
+job nor capacity arrived: a worker may have become usable again, and capacity
+requests have to be repeated."""
 
 GONE_SECONDS = 10.0
-"""An agent away for so long is forgotten."""
+"""Time after which a disconnected agent is forgotten."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryConfig:
-    """What an entry needs of its settings."""
+    """Settings that an entry needs."""
 
     name: types.PeerName
     zone: str
@@ -95,36 +98,38 @@
 
     @classmethod
     def from_config(cls, cfg: EntryConfig, rng: random.Random) -> 'Entry':
-        """An entry that knows no worker and no queue yet."""
+        """Return an entry without workers and queues."""
         return cls(cfg, rng)
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event; the effects to carry out, in order."""
+        """Handle one event and return the effects to carry out, in order."""
         handler = self._handlers.get(type(event))
         if handler is None:
             return [core.note('unexpected_event', kind=type(event).__name__)]
         effects: list[object] = handler(event, now)
         if self._changed and self._may_place():
-            # Placed once all that has come by now is taken: a busy entry
-            # takes hundreds of messages in a turn of its loop.
+            # Tasks are placed after all events that have arrived so far: a
+            # busy entry handles hundreds of messages in one iteration of its
+            # event loop.
             effects.append(core.WakeAt(now))
         elif self._calls:
             effects.append(core.WakeAt(now + WATCH_SECONDS))
         return effects
 
     def _may_place(self) -> bool:
-        """Whether a round of placing could send anything.
+        """Return whether a placement round could send anything.
 
-        Most news and reports come while nothing waits; a calm entry would
-        spend a turn of its loop and a round on each.
+        Most capacity updates and reports arrive while no task waits; an entry
+        with little load would spend an iteration of its event loop and a round
+        on each.
         """
         return bool(self._waiting) or self._placing.owes_answer
 
     def ready(self, now: float) -> bool:
-        """Whether the balancer should send callers here.
+        """Return whether the load balancer should send callers to this entry.
 
-        An entry that is cut off from all workers can serve nobody, and its
-        callers would be better off at another.
+        An entry that can't reach any worker can't run jobs, so its callers
+        should use another entry.
         """
         if self.routes is None or self._stopping.begun:
             return False
@@ -132,23 +137,23 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the process was asked to stop."""
+        """Whether the process has been asked to stop."""
         return self._stopping.begun
 
     def knows(self, key: types.JobKey) -> bool:
-        """Whether a job is owned here and hasn't been answered."""
+        """Return whether this entry owns a job that isn't answered yet."""
         job = self._jobs.get(key)
         return job is not None and not job.answered
 
     def pending(self, route: str) -> int:
-        """Jobs of a queue of which no task has started."""
+        """Return the number of a queue's jobs of which no task has started."""
         return sum(
             job.spec.route.name == route and not job.begun
             for job in self._jobs.open()
         )
 
     def figures(self, now: float) -> dict[str, float]:
-        """What it knows and has at this moment; see ``measures.FIGURES``."""
+        """Return the entry's gauges by name; see ``measures.FIGURES``."""
         jobs_open = self._jobs.open()
         usable = [worker for worker in self._pool if worker.usable(now)]
         waits = [now - job.arrived_at for job in jobs_open if not job.begun]
@@ -168,8 +173,9 @@
         spec = event.job
         known = self._jobs.get(spec.key)
         if known is not None and not known.answered:
-            # The same caller again, whose first connection may have broken:
-            # the job goes on, and both requests get its answer.
+            # The caller submitted the job again, perhaps because its first
+            # connection broke: the job continues, and both requests get its
+            # answer.
             known.calls.append(event.call)
             self._calls[event.call] = known
             return [core.note('job_rejoined', job=spec.key)]
@@ -274,7 +280,7 @@
     def _end_job(
         self, job: owned.OwnedJob, answer: jobs.Answer, now: float
     ) -> list[object]:
-        """Answer a job's caller; runs that go on are stopped."""
+        """Answer a job's callers and stop the runs that remain."""
         if answer.verdict is jobs.Verdict.COMPLETE:
             in_time = not job.began_late()
             self._admission.began(job.arrived_at, in_time)
@@ -310,8 +316,9 @@
         self._gone_at.pop(hello.name, None)
         worker = self._pool.get(hello.name)
         if worker is None or worker.incarnation != hello.incarnation:
-            # Runs that its earlier life started go on until the worker's
-            # lease ends, and the new life knows nothing of them.
+            # Runs that the agent's previous incarnation started continue until
+            # the worker's lease expires, and the new incarnation has no record
+            # of them.
             if worker is not None:
                 self._past.append(worker)
             worker = pool.Worker(
@@ -349,8 +356,8 @@
         self, worker: pool.Worker, message: messages.Renewal, now: float
     ) -> list[object]:
         if worker.over(now) and worker.placed:
-            # Its lease may have run out: what was there is settled first,
-            # and only then may new runs be covered.
+            # The lease may have expired: the runs that it covered are requeued
+            # first, and only then may it cover new runs.
             effects = self._outcomes.all_over(worker, 'lease_over', now)
         else:
             effects = []
@@ -442,5 +449,5 @@
 
 
 def _passed(since: float, until: float | None) -> str:
-    """Seconds between two instants; ``never`` if there is no second one."""
+    """Return the seconds between two instants, or ``never`` without an end."""
     return 'never' if until is None else f'{until - since:.3f}'
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -1,9 +1,9 @@
-"""What a job is expected to take: run times, objective, latest start.
+"""Estimates of run times per task and job.
 
-Load pattern: callers' guesses are off by a factor either way, and tasks of
-one job resemble one another far more than those of two jobs.  So a run's
-expected time comes from the tasks of its job that have ended, if any has,
-and else from what was learnt of its queue.
+Load pattern: callers' estimates are wrong by a factor in either direction, and
+the tasks of one job resemble one another far more than those of two jobs. A
+run's estimate is therefore the median of the job's tasks that have ended, if
+there are any, and otherwise the learnt run time of its queue.
 """
 
 import statistics
@@ -14,21 +14,21 @@
 
 
 class Estimator:
-    """Expected run times by queue."""
+    """Run time estimates by queue."""
 
     def __init__(self) -> None:
         self._run_times = estimates.RunTimes()
 
     def observe(self, job: jobs.Job, task: jobs.Task, seconds: float) -> None:
-        """A task's run ended well after some seconds."""
+        """Record the run time of a task that finished successfully."""
         self._run_times.observe(_as_spec(job, task), seconds)
 
     def mean(self, job: jobs.Job, task: jobs.Task) -> float:
-        """Expected seconds of one run."""
+        """Return the expected run time of one task in seconds."""
         return self._run_times.mean(_as_spec(job, task))
 
     def longest(self, job: jobs.Job) -> float:
-        """Expected seconds of the longest chain of a job's steps."""
+        """Return the expected seconds of a job's longest chain of steps."""
         by_step = [0.0] * len(job.after)
         for task in job.tasks:
             by_step[task.step] = max(by_step[task.step], self.mean(job, task))
@@ -39,7 +39,7 @@
         return max(ends, default=0.0)
 
     def work(self, job: jobs.Job) -> float:
-        """Expected core-seconds of all tasks."""
+        """Return the expected core-seconds of all tasks of a job."""
         return sum(
             self.mean(job, task) * max(task.needs.cpu, 0.001)
             for task in job.tasks
@@ -48,7 +48,10 @@
     def of_run(
         self, job: jobs.Job, task: jobs.Task, siblings: list[float]
     ) -> float:
-        """Expected seconds of a run, given those of ended siblings."""
+        """Return the expected seconds of a run.
+
+        :param siblings: run times of the job's tasks that have ended.
+        """
         if siblings:
             return statistics.median(siblings)
         return self.mean(job, task)
--- a/src/agatepick/repeatable/events.py
+++ b/src/agatepick/repeatable/events.py
@@ -1,4 +1,4 @@
-"""What the reducers of entries and agents are told and tell, besides links."""
+"""Events and effects of entry and agent reducers, apart from connections."""
 
 import dataclasses
 
@@ -9,9 +9,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobArrived:
-    """Event: a caller hands in a job and waits for its end.
+    """Event: a caller submitted a job and waits for its answer.
 
-    :param call: numbers the caller's request.
+    :param call: number of the caller's request.
     """
 
     call: int
@@ -20,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """Event: the caller of a request no longer waits."""
+    """Event: the caller of a request closed its connection."""
 
     call: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """Event: a caller asks for a job's end."""
+    """Event: a caller cancelled a job."""
 
     key: types.JobKey
 
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZonesClosed:
-    """Event: the zones in which nothing may be started."""
+    """Event: the zones in which no run may be started."""
 
     zones: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listed:
-    """One entry in the list of those that are there."""
+    """One entry in the list of available entries."""
 
     name: types.PeerName
     address: str
--- a/src/agatepick/repeatable/jobs.py
+++ b/src/agatepick/repeatable/jobs.py
@@ -1,4 +1,4 @@
-"""Repeatable jobs as their callers hand them in, and what they are told."""
+"""Repeatable jobs as submitted by callers, and the answers to them."""
 
 import dataclasses
 import enum
@@ -11,10 +11,11 @@
 class Task:
     """One task.
 
-    :param name: its name at the worker.
+    :param name: name of the task at the worker.
     :param step: number of its step, from 0.
-    :param expected_seconds: the caller's guess of its run time; 0 is none.
-    :param label: a label that its worker must have; empty for none.
+    :param expected_seconds: the caller's estimate of its run time; 0 if there
+        is none.
+    :param label: label that the worker must have; empty for any worker.
     """
 
     name: str
@@ -26,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """Tasks handed in together.
+    """Tasks that are submitted together.
 
-    :param payload: what each task is given.
-    :param after: for each step, the steps that must have ended first.
+    :param payload: input that each task receives.
+    :param after: for each step, the steps that must end first.
     :param deadline: instant at which the caller stops waiting.
     """
 
@@ -42,10 +43,10 @@
 
 
 class Verdict(enum.StrEnum):
-    """How a request for a job ends.
+    """Outcome of a request for a job.
 
-    ``NOT_RUN`` promises that no task was started and none will be.
-    ``GIVEN_UP`` promises nothing: the job may be handed in again.
+    ``NOT_RUN`` guarantees that no task has started and none will start.
+    ``GIVEN_UP`` guarantees nothing: the job may be submitted again.
     """
 
     COMPLETE = 'complete'
@@ -57,11 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What the caller is told.
+    """Answer to a caller.
 
-    :param reason: a word for programs and logs, such as ``overloaded``.
-    :param retry_after: seconds after which asking again may help; 0 if
-        it won't.
+    :param reason: reason code for programs and logs, such as ``overloaded``.
+    :param retry_after: seconds after which a retry may succeed; 0 if it won't.
     """
 
     verdict: Verdict
--- a/src/agatepick/repeatable/leases.py
+++ b/src/agatepick/repeatable/leases.py
@@ -1,51 +1,54 @@
-"""How long a run may go on without its owner, and when it is surely over.
+"""Durations of the two leases that bound a run.
 
-What goes wrong without this: an entry dies, its caller hands the job in
-again elsewhere, and the new runs meet the old ones, which still go on.  The
-caller's quote is filed twice.
+Without them, an entry dies, its caller submits the job again elsewhere, and
+the new runs start while the old ones still run: the caller's quote is filed
+twice.
 
-Two leases in a row bound a run's life.  The agent holds a lease from the
-entry, renewed by a round trip and counted from when the agent asked; the
-worker holds one from the agent, counted on the worker's own clock.  The
-longest chain: the entry answers a renewal and dies; the agent renews at the
-worker just before its lease from the entry runs out, and dies too; the
-worker ends everything when its lease runs out.
+A run is bounded by two leases in sequence. The agent holds a lease from the
+entry, renewed by a round trip and counted from the time of the agent's
+request; the worker holds a lease from the agent, counted on the worker's own
+clock. In the longest sequence the entry answers a renewal and dies; the agent
+extends the worker's lease just before its lease from the entry expires, and
+dies too; the worker ends all runs when its lease expires.
 
     OWNER_SECONDS + WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
 
-is 1.17 s, and callers hand a job in again 1.3 s after they lost the answer.
+is 1.17 s, and callers submit a job again 1.3 s after they lost the connection.
 """
 
 OWNER_SECONDS = 0.45
-"""How long an agent goes on with an entry's runs after its last answered
-renewal was sent.  One renewal may be lost."""
+"""Duration of an agent's lease on an entry's runs, counted from the sending of
+the last renewal that was answered. One renewal may be lost."""
 
 RENEW_SECONDS = 0.2
 """Pause between an agent's renewals, a bit less than half of the lease."""
 
 WORKER_SECONDS = 0.65
-"""How far ahead an agent extends its worker's lease.  The worker's bound is
-1 s; less keeps the whole chain under the callers' 1.3 s."""
+"""Time by which an agent extends its worker's lease. The worker allows up to 1
+s; a shorter lease keeps the whole sequence below the callers' 1.3 s."""
 
 CLOCK_DRIFT = 1.02
-"""A worker's steady clock may be 2% slow, so its lease lasts 2% longer."""
+"""A worker's monotonic clock may be 2% slow, so its lease lasts 2% longer."""
 
 STOP_SECONDS = 0.05
-"""Longest time that a worker takes to end a run."""
+"""Longest time that a worker takes to stop a run."""
 
 SPARE_SECONDS = 0.05
-"""Turns of the event loops in between."""
+"""Allowance for event loop delays in between."""
 
 LONGEST_WORKER_SECONDS = 1.0
-"""To what the worker cuts any longer lease.  An order meant for a former life
-bears an instant of that life's clock, which may be hours ahead."""
+"""Upper bound to which the worker cuts any longer lease. A request meant for
+an earlier incarnation of the worker contains an instant of that incarnation's
+clock, which may be hours ahead."""
 
 WORKER_OVER_SECONDS = WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
-"""After the last extension of its lease a worker runs nothing any more."""
+"""Time after the last extension of its lease at which a worker runs nothing.
+Time after the last extension of its lease at which a worker runs nothing."""
 
 LONGEST_OVER_SECONDS = LONGEST_WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
-"""The same after an order that may have reached another life of a worker."""
+"""The same after a request that may have reached another incarnation of the
+worker."""
 
 OVER_SECONDS = OWNER_SECONDS + WORKER_OVER_SECONDS + SPARE_SECONDS
-"""After its last answer to an agent's renewal, an entry knows that nothing
-of its own runs at that agent's worker."""
+"""Time after an entry's last answer to an agent's renewal at which none of its
+runs is left at that agent's worker."""
--- a/src/agatepick/repeatable/measures.py
+++ b/src/agatepick/repeatable/measures.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of one process, as text for a scraper.
+"""Counters, gauges and histograms of one process in Prometheus format.
 
-What a reducer decides it also notes, so the notes are what is counted: one
-counter by event and reason, both from small fixed sets, and a histogram of
+A reducer emits a note for each decision, and the notes are what is counted:
+one counter by event and reason, both from small fixed sets, and a histogram of
 the time until an answer by verdict.
 """
 
@@ -14,10 +14,12 @@
 from agatepick import core
 
 SECONDS = (0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
-"""Upper edges of the buckets: most tasks take 50 ms to some seconds."""
+"""Upper bounds of the histogram buckets: most tasks take 50 ms to some
+seconds."""
 
 MAX_REASONS = 64
-"""Reasons counted apart; more would mean that one holds a free text."""
+"""Largest number of distinct reason labels; more would mean that a reason
+contains free text."""
 
 
 FIGURES = {
@@ -31,22 +33,22 @@
     'entries': 'entries that the agent is connected to',
     'worker_open': '1 while runs may be started at the worker',
 }
-"""Figures of the moment, by name: what each tells.  They are worked out when
-a scraper asks, so they cost nothing else."""
+"""Gauges and their help texts by name. The values are computed on each scrape
+only."""
 
 Figures = typing.Callable[[], dict[str, float]]
 Counts = typing.Callable[[], dict[tuple[str, str], int]]
 
 
 class _Reader(registry.Collector):
-    """Turns figures and counts of the moment into metrics."""
+    """Collector that turns gauges and store call counts into metrics."""
 
     def __init__(self, figures: Figures, store_calls: Counts):
         self._figures = figures
         self._store_calls = store_calls
 
     def collect(self) -> typing.Iterator[families.Metric]:
-        """One gauge for each figure, and the calls to the store."""
+        """Yield a metric for each gauge, and one for calls to the store."""
         for name, value in self._figures().items():
             yield families.GaugeMetricFamily(
                 f'agatepick_{name}', FIGURES[name], value
@@ -62,7 +64,7 @@
 
 
 class Measures:
-    """The metrics of one process."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
@@ -91,14 +93,14 @@
             self._answers.labels(verdict).observe(float(fields['seconds']))
 
     def read(self, figures: Figures, store_calls: Counts) -> None:
-        """Tell figures of the moment too, and the calls to the store.
+        """Export gauges and the calls to the store on each scrape.
 
-        :param store_calls: calls so far, by what was asked and the outcome.
+        :param store_calls: returns the calls so far by method and outcome.
         """
         self._registry.register(_Reader(figures, store_calls))
 
     def text(self) -> bytes:
-        """All metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def _bounded(self, reason: str) -> str:
--- a/src/agatepick/repeatable/orders.py
+++ b/src/agatepick/repeatable/orders.py
@@ -1,8 +1,9 @@
-"""The runs at one worker, each until it is known to be over.
+"""Runs at one worker, each until it has certainly ended.
 
-Orders may stay without an answer, or be carried out seconds later.  So
-starts and stops are sent again, a lease ends what nobody renews, and a run is
-over only when the worker has told so, or when no order can reach it any more.
+Requests to the worker may get no answer, or be carried out seconds later.
+Starts and stops are therefore sent again, a lease ends runs that nobody
+renews, and a run has ended only when the worker reports so, or when no request
+can reach it any more.
 """
 
 import dataclasses
@@ -20,42 +21,43 @@
 from agatepick import types
 
 STOP_RETRY_SECONDS = 0.1
-"""Pause before a stop is sent again.  One order in twenty may stay without
-an answer; a second one is sent well within the callers' 1.3 s."""
+"""Pause before a stop is sent again. One request in twenty may get no answer;
+the retry is sent well within the callers' 1.3 s."""
 
 STRANGER_SECONDS = 0.2
-"""Pause before a run that no entry owns is told to stop once more."""
+"""Pause before a run that no entry owns is stopped once more."""
 
 START_RETRY_SECONDS = 0.03
-"""Pause before a start is sent again that had no answer.  The worker takes
-the same run once however often it is told, so this only saves time: a start
-that was given up and tried elsewhere cost 0.15 s, more than the slack of
-short urgent jobs."""
+"""Pause before an unanswered start is sent again. A worker that receives the
+same start twice runs it once, so a retry only saves time: giving up a start
+and placing its task elsewhere cost 0.15 s, more than the slack of short urgent
+jobs."""
 
 MAX_STARTS = 3
-"""Times that one run's start is sent."""
+"""Largest number of times that one run's start is sent."""
 
 NEVER_TOLD = -1
-"""Stands for the last end that was told while no list has come yet."""
+"""Value of the last acknowledged end while no list has arrived yet."""
 
 BEAT_SECONDS = 6.0
-"""Silence after which a worker is taken for gone: three announcements and
-some more, at 1.5 s each."""
+"""Time without announcements after which a worker counts as gone: three
+announcements at 1.5 s each, and some spare time."""
 
 LEAST_EXPECTED_SECONDS = 0.05
-"""Shorter runs are as long as the way to the worker and back on a busy
-machine, which says nothing of the worker."""
+"""Lower bound of expected run times in health records. Shorter runs take as
+long as a round trip to the worker on a busy machine, which doesn't show how
+the worker performs."""
 
 
 _RESULTS = (types.RunState.FINISHED, types.RunState.FAILED)
 
 
 class Orders:
-    """What an agent has the worker beside it do.
+    """Starts, stops and lists of runs at the worker beside this agent.
 
-    :param refused: called with the entry of which a start was refused.
-    :ivar worker: the worker's life; ``None`` while there is none.
-    :ivar runs: runs that aren't known to be over, by task name.
+    :param refused: called with the name of the entry whose start was refused.
+    :ivar worker: current incarnation of the worker; ``None`` if there is none.
+    :ivar runs: runs that haven't certainly ended, by task name.
     """
 
     def __init__(
@@ -77,25 +79,26 @@
         self._ended_told = 0
         self._lease_until = 0.0
         self._strangers_at = 0.0
-        # Whether no run of an earlier life of this process is left at the
-        # worker.  Each start extends the lease of all that runs there: were
-        # tasks started beside such a run whose stop got lost, it would
-        # outlive the time after which its entry starts its task elsewhere,
-        # and a caller's quote would be filed twice.
+        # Whether no run that an earlier incarnation of this process started is
+        # left at the worker. Each start extends the lease of all runs there:
+        # if tasks were started beside such a run whose stop got lost, it would
+        # outlive the time after which its entry starts its task elsewhere, and
+        # a caller's quote would be filed twice.
         self._alone = False
         self._kept: workerapi.WorkerSeen | None = None
 
     # The worker's life
 
     def seen(self, event: workerapi.WorkerSeen, now: float) -> list[object]:
-        """The worker announced itself."""
+        """Handle an announcement of the worker."""
         worker = self.worker
         if worker is not None:
             if worker.life == event.life:
                 if event.sequence <= worker.sequence:
                     return []
             elif event.born < worker.born:
-                # Held up since before the present life began.
+                # The announcement was sent before the present incarnation
+                # started and arrived late.
                 return []
         self._seen_at = now
         effects: list[object] = []
@@ -115,11 +118,11 @@
     def reborn(
         self, event: workerapi.WorkerReborn, now: float
     ) -> list[object]:
-        """Another life of the worker answered."""
+        """Handle an answer from another incarnation of the worker."""
         worker = self.worker
         if worker is None or worker.life != event.life:
             return []
-        # What it is now, its next announcement tells.
+        # The next announcement describes the new incarnation.
         found = dataclasses.replace(
             worker,
             life=event.new_life,
@@ -129,12 +132,12 @@
         return self._new_life(found, now)
 
     def _keep(self, seen: workerapi.WorkerSeen) -> list[object]:
-        """Let the next life of this process know the worker at once.
+        """Persist the worker for the next incarnation of this process.
 
-        What goes wrong without it: after a kill or a loss of power the agent
-        has a worker and doesn't know what it is until the next announcement,
-        up to 1.5 s later, and callers meet entries that can start nothing.
-        A worker that drains is forgotten: the next life must not use it.
+        Otherwise, after a kill or a power loss, the agent has no description
+        of its worker until the next announcement, up to 1.5 s later, and
+        callers reach entries that can't start anything. A draining worker is
+        deleted from the store: the next incarnation must not use it.
         """
         kept = None
         if not seen.draining:
@@ -145,7 +148,7 @@
         return [workerapi.KeepWorker(kept)]
 
     def left(self, event: workerapi.WorkerLeft, now: float) -> list[object]:
-        """The worker says that it ends."""
+        """Handle the worker's message that it exits."""
         if self.worker is None or self.worker.life != event.life:
             return []
         self.worker = None
@@ -157,7 +160,7 @@
         ]
 
     def notice_silence(self, now: float) -> list[object]:
-        """Give up a worker that announces itself no more."""
+        """Give up a worker that no longer announces itself."""
         if self.worker is None or now <= self._seen_at + BEAT_SECONDS:
             return []
         self._seen_at = now
@@ -169,8 +172,9 @@
     ) -> list[object]:
         self.worker = event
         self._ended_seen = 0
-        # What an earlier life of this process started there goes on until
-        # its lease runs out, and takes room meanwhile: ask for it.
+        # Runs that an earlier incarnation of this process started continue
+        # until their lease expires, and use capacity meanwhile: the next list
+        # shows them.
         self._ended_told = NEVER_TOLD
         self._alone = False
         self._watching.reset(now)
@@ -178,8 +182,8 @@
         self._lease_until = max(self._lease_until, until)
         effects: list[object] = []
         for run in self.runs.values():
-            # Gone with the former life; but a start that was on its way may
-            # have reached the new one, which only its own list can tell.
+            # The run ended with the former incarnation; but a start in transit
+            # may have reached the new one, which only its own list can show.
             run.stopping = False
             run.stopped_at = 0.0
             run.confirmed_at = run.confirmed_at or now
@@ -197,7 +201,7 @@
     def _worker_gone(self, reason: str, now: float) -> list[object]:
         effects: list[object] = []
         for run in list(self.runs.values()):
-            # A start that is still on its way may reach the next life.
+            # A start that is still in transit may reach the next incarnation.
             if not run.unanswered:
                 effects += self._over(run, types.RunState.OVER, reason, now)
         return effects
@@ -211,7 +215,7 @@
         payload: bytes,
         now: float,
     ) -> list[object]:
-        """Start a run for which room was taken."""
+        """Start a run for which capacity was acquired."""
         ref = messages.RunRef(spec.job, spec.index, spec.run)
         run = runs.Run(
             ref,
@@ -243,7 +247,7 @@
         ]
 
     def _start_again(self, run: runs.Run, now: float) -> list[object]:
-        """Send a start once more that has had no answer for too long."""
+        """Retry a start that has been unanswered for too long."""
         if not self._may_start_again(run):
             return []
         if now < run.start_sent_at + START_RETRY_SECONDS:
@@ -258,7 +262,7 @@
     def start_answered(
         self, event: workerapi.StartAnswered, now: float
     ) -> list[object]:
-        """A start was answered, or will not be."""
+        """Handle the answer to a start, or its timeout."""
         run = self._find(event.life, event.ref)
         if run is None:
             return []
@@ -270,14 +274,15 @@
             return []
         if event.result is workerapi.StartResult.UNKNOWN:
             if run.unanswered or run.starts < MAX_STARTS:
-                # Another one is on its way, or will be at the next look.
+                # Another start is in transit, or will be sent at the next
+                # check.
                 return []
         elif run.starts == 1:
             self.runs.pop(run.name)
             self._room.give_back(run.needs)
             return self.refuse(run.owner, run.ref, event.result.value)
-        # An earlier order may still be carried out: the run is over when
-        # the worker has taken note of a stop and doesn't list it.
+        # An earlier start may still be carried out: the run has ended when the
+        # worker has acknowledged a stop and doesn't list the run.
         run.confirmed_at = now
         reason = event.reason or event.result.value
         return [
@@ -303,7 +308,7 @@
         ]
 
     def stop(self, run: runs.Run, now: float) -> list[object]:
-        """Tell the worker to end a run; told again until it took note."""
+        """Send a stop to the worker; it is repeated until acknowledged."""
         worker = self.worker
         if worker is None or run.stopped_at:
             return []
@@ -316,7 +321,7 @@
     def stop_answered(
         self, event: workerapi.StopAnswered, now: float
     ) -> list[object]:
-        """A stop was answered, or will not be."""
+        """Handle the answer to a stop, or its timeout."""
         run = self.runs.get(event.name)
         if run is None or run.ref.run != event.run:
             return []
@@ -327,7 +332,7 @@
     # Lists
 
     def watch(self, now: float) -> list[object]:
-        """Extend the lease and ask for the lists, if it is time."""
+        """Extend the lease and request the lists, if they are due."""
         worker = self.worker
         if worker is None or not self._watching.due(now):
             return []
@@ -347,10 +352,11 @@
         return [workerapi.Watch(worker.life, self._ended_seen, lease, wait)]
 
     def closing(self, now: float) -> bool:
-        """Whether nothing more should be started at the worker.
+        """Return whether no more runs should be started at the worker.
 
-        It is silent for too long, or may still run what an earlier life of
-        this process has started there.
+        This is the case if the worker has been silent for too long, or if it
+        may still have runs that an earlier incarnation of this process
+        started.
         """
         return not self._alone or self._watching.closing(now)
 
@@ -365,7 +371,7 @@
         self._lease_until = max(self._lease_until, until)
 
     def listed(self, event: workerapi.Watched, now: float) -> list[object]:
-        """The worker told what runs and what has ended."""
+        """Handle the worker's lists of running and ended runs."""
         worker = self.worker
         if worker is None or worker.life != event.life:
             return []
@@ -384,13 +390,13 @@
     def unlisted(
         self, event: workerapi.WatchFailed, now: float
     ) -> list[object]:
-        """The worker told nothing."""
+        """Handle a failed request for the lists."""
         worker = self.worker
         if worker is None or worker.life != event.life:
             return []
         self._watching.failed(now)
         if event.refused or event.other_life:
-            # The process is gone, and all that it ran with it.
+            # The worker's process has exited, and its runs with it.
             self.worker = None
             return [
                 core.note('worker_lost', life=event.life),
@@ -416,7 +422,7 @@
     def _absent(
         self, run: runs.Run, asked_at: float, now: float
     ) -> list[object]:
-        """A run is in no list: over, if the list is newer than its calls."""
+        """End a run that is in no list if the list is newer than its calls."""
         if not run.confirmed_at or run.confirmed_at >= asked_at:
             return []
         if run.stopping and not 0.0 < run.stopped_at < asked_at:
@@ -426,7 +432,7 @@
     def _stop_strangers(
         self, event: workerapi.Watched, now: float
     ) -> list[object]:
-        """End runs that an earlier life of this process has started."""
+        """Stop runs that an earlier incarnation of this process started."""
         strangers = [
             one
             for one in event.running
@@ -445,7 +451,7 @@
     # Runs
 
     def enforce(self, now: float) -> list[object]:
-        """End runs whose lease is over, and forget what is surely over."""
+        """Stop runs whose lease has expired, and drop those that are over."""
         effects: list[object] = []
         for run in list(self.runs.values()):
             if now >= self._lease_until:
@@ -474,7 +480,7 @@
         return [runs.run_note('run_' + state.value, run, reason)]
 
     def look_at_health(self, now: float) -> None:
-        """Count runs that go on for longer than they should."""
+        """Record runs that exceed their expected time."""
         for run in self.runs.values():
             if run.stopping or not run.expected:
                 continue
@@ -485,7 +491,7 @@
                 self._health.overdue(ratio, now)
 
     def next_at(self, now: float) -> float | None:
-        """Instant at which something is to be done here."""
+        """Return the instant of the next action, or ``None``."""
         wakes = [
             run.start_sent_at + START_RETRY_SECONDS
             for run in self.runs.values()
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -1,8 +1,8 @@
-"""What becomes of an entry's runs, and of their tasks then.
+"""Reports on an entry's runs, and the tasks' next states.
 
-A task whose run ended well is done.  One whose run failed, was refused or is
-over without an end that counts waits again, until it has failed as often as
-its queue allows: only then its job is answered as failed.
+A task whose run finished is done. A task whose run failed, was refused or
+ended without a result waits again, until it has failed as often as its queue
+allows: only then its job is answered as failed.
 """
 
 import typing
@@ -19,23 +19,26 @@
 from agatepick import types
 
 STALE_RUN_STEP = 64
-"""A worker that has seen this run number or a higher one belongs to an
-earlier owner of the job; numbers go on well above what it can have used."""
+"""Step by which run numbers are raised after the reason ``stale_run``. A
+worker that has already received this run number or a higher one received it
+from an earlier owner of the job; the step exceeds what that owner can have
+used."""
 
 REFUSED_PAUSES = backoff.Pauses(first=0.05, most=0.5)
-"""Before a task is sent again that workers wouldn't take, from the second
-refusal on.  Were all of them unwell, it would go round among them."""
+"""Pauses before a task that workers refuse is sent again, from its second
+refusal on. If all workers are unwell, the task would otherwise circulate among
+them without a pause."""
 
 _WORKERS_OWN = frozenset({'stale_run', 'unwell'})
-"""Refusals that news of the worker's room say nothing of."""
+"""Reasons of refusals that the worker's free capacity doesn't explain."""
 
 EndJob = typing.Callable[[owned.OwnedJob, jobs.Answer, float], list[object]]
 
 
 class Outcomes:
-    """Takes the ends of one entry's runs.
+    """Handler of the reports on one entry's runs.
 
-    :param freed: notes the cores that runs free.
+    :param freed: records the cores that ended runs release.
     :param end_job: answers a job's callers.
     """
 
@@ -56,7 +59,7 @@
     def take_reports(
         self, worker: pool.Worker, message: messages.RunReports, now: float
     ) -> list[object]:
-        """An agent told how runs stand."""
+        """Handle an agent's reports on its runs."""
         effects: list[object] = []
         known: set[pool.Key] = set()
         for report in message.reports:
@@ -85,8 +88,8 @@
             if record.stopping:
                 return owned.stop_runs(job, [report.index])
             return []
-        # Its place counts as free with the next news only: the agent may
-        # have granted it to another entry that waits, and would refuse what
+        # Its capacity counts as free from the next update on: the agent may
+        # have granted it to another waiting entry, and would refuse a run that
         # is started there.
         worker.placed.pop(key, None)
         if report.state == types.RunState.FINISHED:
@@ -156,14 +159,15 @@
         elif report.reason == reports.NO_PAYLOAD:
             worker.recent.clear()
         else:
-            # It is fuller than was known; the next news tells how full.
+            # The worker has less free capacity than expected; the next update
+            # contains the actual value.
             worker.fill()
         return self._again(job, report.index, report.reason, now)
 
     def _again(
         self, job: owned.OwnedJob, index: int, reason: str, now: float
     ) -> list[object]:
-        """A run is over without an end that counts: the task waits again."""
+        """Queue a task again whose run ended without a result."""
         if job.answered:
             job.records[index].state = owned.TaskState.ENDED
             self._jobs.forget(job)
@@ -197,7 +201,7 @@
     def all_over(
         self, worker: pool.Worker, reason: str, now: float
     ) -> list[object]:
-        """Nothing of this entry runs at a worker any more."""
+        """Queue the tasks of all runs at a worker again, as they are over."""
         effects: list[object] = []
         for key in list(worker.placed):
             effects += self._run_over(worker, key, reason, now)
--- a/src/agatepick/repeatable/owned.py
+++ b/src/agatepick/repeatable/owned.py
@@ -1,10 +1,10 @@
-"""The jobs that an entry owns: each task's runs, and the order of waiting.
+"""Jobs that an entry owns: the state of each task, and the waiting order.
 
-Jobs wait by their latest start, the instant at which a job must begin to end
-within its objective: short urgent tasks pass long ones that can still wait,
-and a long one passes as its time comes.  A job that has begun goes before
-all that have not: only its last task's end answers it, and what its first
-tasks took is lost if that comes late.
+Jobs wait in order of their latest start, the instant at which a job must start
+to end within its objective: short urgent jobs overtake long ones that can
+still wait, and a long one advances as its latest start approaches. Jobs that
+have started precede all that have not: a job is answered only when its last
+task ends, and the work of its first tasks is wasted if that is late.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where one task stands."""
+    """State of one task."""
 
     BLOCKED = 'blocked'
     WAITING = 'waiting'
@@ -28,14 +28,15 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskRecord:
-    """One task of an owned job.
+    """Record of one task of an owned job.
 
     :ivar run: number of its last run.
-    :ivar failures: runs that ended as failed.
-    :ivar avoid: agents at which it failed or was late.
-    :ivar stopping: its run was told to end.
-    :ivar refusals: starts that workers wouldn't take.
-    :ivar rests_until: when it may be sent to a worker again.
+    :ivar failures: number of runs that failed.
+    :ivar avoid: agents at which the task failed or was slow.
+    :ivar stopping: whether a stop was sent for its run.
+    :ivar moves: times that a slow run was moved to another worker.
+    :ivar refusals: number of starts that workers refused.
+    :ivar rests_until: instant from which it may be sent to a worker again.
     """
 
     state: TaskState = TaskState.BLOCKED
@@ -51,14 +52,16 @@
 
 
 class OwnedJob:
-    """One job until its answer is given, and until its runs are over.
+    """One job until it is answered and all its runs have ended.
 
-    :ivar latest: instant at which it must begin to end in its objective.
-    :ivar ends_by: end of its objective, by its expected seconds.
-    :ivar begun_at: when its first task was sent to a worker.
-    :ivar look_at: when to look for runs that take too long.
+    :ivar latest: instant at which the job must start to meet its objective.
+    :ivar ends_by: end of its objective, by its expected run time.
+    :ivar begun_at: instant at which its first task was sent to a worker.
+    :ivar look_at: instant of the next check for stuck runs.
     :ivar calls: requests that wait for its answer; more than one if a caller
-        handed it in again.
+        submitted the job again.
+    :ivar open: number of tasks that haven't finished.
+    :ivar seconds: run times of finished tasks by step.
     """
 
     def __init__(
@@ -91,17 +94,20 @@
         return self.begun_at is not None
 
     def begin(self, now: float) -> None:
-        """A task of it is sent to a worker."""
+        """Record that one of its tasks is sent to a worker."""
         if self.begun_at is None:
             self.begun_at = now
         self.look_at = 0.0
 
     def ref(self, index: int) -> messages.RunRef:
-        """Names the last run of a task."""
+        """Return the reference to the last run of a task."""
         return messages.RunRef(self.spec.key, index, self.records[index].run)
 
     def release(self) -> bool:
-        """Let tasks wait whose earlier steps have ended; whether any did."""
+        """Queue tasks whose earlier steps have ended.
+
+        :returns: whether any task was queued.
+        """
         released = False
         for index, record in enumerate(self.records):
             if record.state is not TaskState.BLOCKED:
@@ -115,7 +121,7 @@
         return released
 
     def wait_again(self, index: int) -> None:
-        """A task whose run is over waits once more, before its siblings."""
+        """Queue a task again whose run has ended, before its siblings."""
         record = self.records[index]
         record.state = TaskState.WAITING
         record.agent = ''
@@ -123,32 +129,33 @@
         self.waiting.appendleft(index)
 
     def end(self, index: int, seconds: float) -> None:
-        """A task has ended well."""
+        """Record that a task finished."""
         self.records[index].state = TaskState.ENDED
         self.records[index].agent = ''
         step = self.spec.tasks[index].step
         self.seconds.setdefault(step, []).append(seconds)
         self._left[step] -= 1
         self.open -= 1
-        # Its siblings' run times are known better now.
+        # The estimate of its siblings' run times has changed.
         self.look_at = 0.0
 
     def last_start(self) -> float | None:
-        """When the last of its tasks was sent to a worker, once all were."""
+        """Return when the last task was sent, or ``None`` if not all were."""
         if any(record.run == 0 for record in self.records):
             return None
         return max(record.placed_at for record in self.records)
 
     def slowest(self) -> float:
-        """Seconds of the longest run that has ended well."""
+        """Return the longest run time of the finished tasks."""
         found = [max(seconds) for seconds in self.seconds.values()]
         return max(found, default=0.0)
 
     def began_late(self) -> bool:
-        """Whether waiting alone kept a job that is done from its objective.
+        """Return whether queueing alone made a finished job too late.
 
-        By the run times that it turned out to have; a job of which a run was
-        lost or moved tells nothing of the queue.
+        The job's objective follows from its actual run times. A job with a
+        lost or moved run returns false, since its delay isn't due to the
+        queue.
         """
         started = self.last_start()
         if started is None or any(one.run > 1 for one in self.records):
@@ -158,7 +165,7 @@
         )
 
     def placed(self) -> list[int]:
-        """Tasks with a run that isn't known to be over."""
+        """Return the indexes of tasks with a run that may be going on."""
         return [
             index
             for index, record in enumerate(self.records)
@@ -167,38 +174,38 @@
 
 
 class Jobs:
-    """All jobs that an entry owns, until their runs are over too."""
+    """All jobs that an entry owns, until their runs have ended too."""
 
     def __init__(self) -> None:
         self._by_key: dict[types.JobKey, OwnedJob] = {}
 
     def get(self, key: types.JobKey) -> OwnedJob | None:
-        """A job by its key."""
+        """Return a job by its key."""
         return self._by_key.get(key)
 
     def add(self, job: OwnedJob) -> None:
-        """A job was let in."""
+        """Add an admitted job."""
         self._by_key[job.spec.key] = job
 
     def forget(self, job: OwnedJob) -> None:
-        """Drop a job, if it is answered and all its runs are over."""
+        """Remove a job if it is answered and all its runs have ended."""
         if not job.answered or job.placed():
             return
         if self._by_key.get(job.spec.key) is job:
             del self._by_key[job.spec.key]
 
     def open(self) -> list[OwnedJob]:
-        """Jobs whose callers wait, each once."""
+        """Return the jobs whose callers wait for an answer."""
         return [job for job in self._by_key.values() if not job.answered]
 
 
 class Waiting:
-    """Jobs with waiting tasks: those that have begun, then by latest start.
+    """Queue of jobs with waiting tasks: started ones, then by latest start.
 
-    Load pattern: more work than the workers can do, in jobs of several
-    tasks.  By latest start alone a wide job that has begun waits for its
-    last places behind each that is more urgent by a millisecond, and both
-    are late.
+    Load pattern: more work than the workers can do, in jobs of several tasks.
+    By latest start alone, a wide job that has started would wait for its last
+    slots behind each job that is more urgent by a millisecond, and both would
+    be late.
     """
 
     def __init__(self) -> None:
@@ -216,13 +223,14 @@
         self._jobs.append(job)
 
     def in_order(self) -> list[OwnedJob]:
-        """All jobs with waiting tasks, first those that go first."""
+        """Return all jobs with waiting tasks in the order of their start."""
         if any(job.answered or not job.waiting for job in self._jobs):
             self._jobs = [
                 job for job in self._jobs if job.waiting and not job.answered
             ]
             self._queued = {job.spec.key for job in self._jobs}
-        # Nearly in order from the last time, which sorting makes use of.
+        # The list is nearly sorted from the last call, which makes sorting
+        # fast.
         self._jobs.sort(key=_place)
         return self._jobs
 
@@ -232,7 +240,7 @@
 
 
 def stop_runs(job: OwnedJob, indexes: list[int]) -> list[object]:
-    """Tell agents to end the runs of some of a job's tasks."""
+    """Return the stop messages for the runs of some of a job's tasks."""
     by_agent: dict[types.PeerName, list[messages.RunRef]] = {}
     for index in indexes:
         record = job.records[index]
--- a/src/agatepick/repeatable/payloads.py
+++ b/src/agatepick/repeatable/payloads.py
@@ -1,24 +1,25 @@
-"""Payloads that both ends of a connection have.
+"""Payload cache shared by both ends of a connection.
 
-Load pattern: wide jobs, and starts that are refused for want of room and
-sent again.  Were a job's payload sent with each start, the same kilobytes
-would go over an entry's link for each task and each try; on a narrow link
-messages then wait behind them, room granted to the entry lapses before its
-answer arrives, its starts are refused, and what is sent again keeps the link
-full for good.
+Load pattern: wide jobs, and starts that are refused for lack of capacity and
+sent again. If each start contained its job's payload, the same kilobytes would
+pass an entry's link for each task and each attempt. On a narrow link messages
+then queue behind them, capacity granted to the entry expires before its answer
+arrives, its starts are refused, and the retries keep the link saturated
+permanently.
 
 Both ends add the same payloads in the same order and keep the same number of
-them, so the entry knows what the agent has without being told.
+them, so the entry knows the contents of the agent's cache without messages.
 """
 
 from agatepick import types
 
 KEPT_PAYLOADS = 64
-"""Many more than the jobs that one entry has at one worker at a time."""
+"""Size of the cache, many more than the jobs that one entry has at one worker
+at a time."""
 
 
 class Recent:
-    """The payloads that went over one connection last."""
+    """Cache of the payloads that passed one connection most recently."""
 
     def __init__(self) -> None:
         self._by_job: dict[types.JobKey, bytes] = {}
@@ -27,15 +28,15 @@
         return job in self._by_job
 
     def add(self, job: types.JobKey, payload: bytes) -> None:
-        """Note a payload that is sent or received now."""
+        """Add a payload that is sent or received now."""
         self._by_job[job] = payload
         if len(self._by_job) > KEPT_PAYLOADS:
             del self._by_job[next(iter(self._by_job))]
 
     def get(self, job: types.JobKey) -> bytes | None:
-        """A job's payload, if it is still kept."""
+        """Return a job's payload, or ``None`` if it isn't cached."""
         return self._by_job.get(job)
 
     def clear(self) -> None:
-        """The connection is a new one, or the ends differ."""
+        """Remove all payloads: the connection is new, or the caches differ."""
         self._by_job.clear()
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -1,9 +1,10 @@
-"""Binds waiting tasks to workers with room, and asks for room elsewhere.
+"""Placement of waiting tasks on workers, and requests for more capacity.
 
-Tasks are bound only when a worker has room for them, so a straggler or a
-wrong guess holds one place and no queue behind it.  What finds no room is
-told to the agents, with the urgency of the first task, and they keep freed
-room for whoever is the most urgent (:mod:`~agatepick.repeatable.sharing`).
+A task is assigned only when a worker has free capacity for it, so a straggler
+or a wrong estimate delays one slot and no queue behind it. For tasks without
+capacity the entry sends the agents a request with the urgency of the first
+task, and they reserve released capacity for the most urgent entry
+(:mod:`~agatepick.repeatable.sharing`).
 """
 
 import dataclasses
@@ -19,24 +20,24 @@
 from agatepick import types
 
 WANT_SECONDS = 0.25
-"""How often an entry repeats what it waits for; agents forget a want after
-four times that."""
+"""Pause before an entry repeats its capacity request; agents drop a request
+after four times that."""
 
 URGENT_SECONDS = 0.05
-"""A first task that is more urgent than what was told by this much is told
-at once: short wide tasks have a slack of 0.13 s in all."""
+"""Difference in urgency from which a new first task is requested for at once:
+short wide jobs have a slack of 0.13 s in all."""
 
 WANT_PAUSE_SECONDS = 0.03
-"""Least pause between two such rounds."""
+"""Shortest pause between two capacity requests to a pool."""
 
 MAX_BLOCKED = 24
-"""Jobs without room after which no more are tried in one round: a queue of
-hundreds would else be gone through at each message, and an entry of half a
-core spent all its time on that."""
+"""Number of jobs without capacity after which a placement round ends:
+otherwise a queue of hundreds would be searched at each message, and an entry
+with half a core spent all its time on that."""
 
 
 class Placing:
-    """One entry's starts and wants."""
+    """Starts and capacity requests of one entry."""
 
     def __init__(
         self, workers: pool.Pool, estimator: estimating.Estimator
@@ -49,22 +50,22 @@
         self._told: dict[str, _Told] = {}
 
     def take_room(self, worker: pool.Worker, room: messages.Room) -> None:
-        """An agent told of its worker's room, or keeps some for us."""
+        """Store an agent's capacity update, which may contain a grant."""
         if room.grant:
             self._granted[worker.name] = room
         worker.take_room(room)
 
     @property
     def owes_answer(self) -> bool:
-        """Whether an agent keeps room for us until we answer."""
+        """Whether an agent reserves capacity until this entry answers."""
         return bool(self._granted)
 
     def forget(self, name: types.PeerName) -> None:
-        """An agent's connection ended, and with it what it granted."""
+        """Drop the grant of an agent whose connection ended."""
         self._granted.pop(name, None)
 
     def place(self, waiting: list[owned.OwnedJob], now: float) -> list[object]:
-        """Start what finds room, the most urgent first; want the rest.
+        """Start the tasks that fit, most urgent first; request the rest.
 
         :param waiting: jobs with waiting tasks, in that order.
         """
@@ -76,9 +77,9 @@
         effects = self._send_starts(wants)
         for name, jobs in by_pool.items():
             effects += self._tell_want(name, wants[name], now)
-        # Nothing waits for the other pools any more.  Their agents aren't
-        # told: one that still keeps room for us learns it by the answer,
-        # the others forget the want.
+        # No task waits for the other pools any more. Their agents get no
+        # message: an agent with a grant for this entry receives its answer,
+        # and the others drop the request after a while.
         for name, told in self._told.items():
             if name not in by_pool:
                 self._told[name] = dataclasses.replace(told, latest=math.inf)
@@ -87,7 +88,7 @@
     def _place_jobs(
         self, waiting: list[owned.OwnedJob], now: float
     ) -> list[owned.OwnedJob]:
-        """Place what fits; the jobs of which something doesn't."""
+        """Assign the tasks that fit, and return the jobs that have others."""
         blocked: list[owned.OwnedJob] = []
         candidates: dict[tuple[str, str], pool.Candidates] = {}
         least: dict[tuple[str, str], float] = {}
@@ -103,7 +104,7 @@
                 kind = (job.spec.route.pool, task.label)
                 if kind not in candidates:
                     candidates[kind] = self._pool.candidates(*kind, now)
-                # What found no room for fewer cores finds none for more.
+                # If fewer cores weren't free, more cores aren't either.
                 if task.needs.cpu >= least.get(kind, float('inf')):
                     left.append(index)
                     continue
@@ -187,7 +188,7 @@
                 )
             )
             if grant is not None:
-                # What wasn't used goes to others.
+                # The agent gives the unused part of a grant to other entries.
                 worker.fill()
         self._sends.clear()
         self._payloads.clear()
@@ -196,7 +197,7 @@
     def _tell_want(
         self, name: str, want: messages.Want, now: float
     ) -> list[object]:
-        """Tell a pool's agents of tasks without room, now and then."""
+        """Send a pool's agents the capacity request, if it is due."""
         told = self._told.get(name)
         latest = now + want.slack
         if told is not None and not told.due(latest, now):
@@ -211,19 +212,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Told:
-    """What a pool's agents were told last of tasks that wait.
+    """Last capacity request that a pool's agents received.
 
-    :param latest: latest start of the first of them; infinite once none
-        waits any more.
+    :param at: instant at which it was sent.
+    :param latest: latest start of the most urgent task; infinite once no task
+        waits.
     """
 
     at: float
     latest: float
 
     def due(self, latest: float, now: float) -> bool:
-        """Whether to tell again.
+        """Return whether to send a request again.
 
-        :param latest: of the most urgent task that waits now.
+        :param latest: latest start of the most urgent task that waits now.
         """
         if now >= self.at + WANT_SECONDS:
             return True
@@ -234,7 +236,7 @@
 def expected(
     estimator: estimating.Estimator, job: owned.OwnedJob, index: int
 ) -> float:
-    """Expected seconds of one task's run."""
+    """Return the expected seconds of one task's run."""
     task = job.spec.tasks[index]
     siblings = job.seconds.get(task.step, [])
     return estimator.of_run(job.spec, task, siblings)
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -1,12 +1,13 @@
-"""What an entry knows of each worker, and which one a task goes to.
+"""Workers as seen by an entry, and the choice of a worker for a task.
 
-Load pattern: workers differ in size and speed, some turn slow or fail what
-they are given, and several entries fill the same ones.
+Load pattern: workers differ in size and speed, some become slow or fail their
+tasks, and several entries place tasks on the same ones.
 
-An entry counts on the room that an agent told last, less what it has sent
-there since.  A worker's cost, told by its agent, is compared with that of
-the others: what is slow or fails everywhere is the jobs' own doing.  Costly
-workers get nothing, or one task at a time to show that they have recovered.
+The free capacity of a worker is the value that its agent sent last, minus what
+this entry has sent there since. A worker's cost, sent by its agent, is
+compared with that of the others: jobs that are slow or fail on all workers
+cause that themselves. Workers with a high cost get no tasks, or one task at a
+time, which shows whether they have recovered.
 """
 
 import collections
@@ -21,28 +22,32 @@
 from agatepick import types
 
 FRESH_SECONDS = 0.43
-"""Silence after which nothing is placed at an agent: two renewals missed.
-A frozen or lost machine then gets nothing, long before its connection ends."""
+"""Time since the last renewal after which an agent gets no more runs: two
+renewals were missed. A frozen or lost machine thus gets none, long before its
+connection ends."""
 
 AVOIDED_COST = 2.3
-"""Cost, over the others' median, from which a worker gets nothing: a job may
-take 1.6 times its work, so a task there is late wherever it stands."""
+"""Cost, relative to the median, from which a worker gets no tasks: a job may
+take 1.6 times its work, so a task there is late in any case."""
 
 TRIED_COST = 1.8
-"""Cost from which it gets one task at a time.  Below it are workers of a
-slower kind, whose cost guesses of run times blur."""
+"""Cost, relative to the median, from which a worker gets one task at a time.
+Below it are workers of a slower type, whose cost also varies with wrong run
+time estimates."""
 
 COST_STEPS = 4.0
-"""Steps of cost that are told apart when a worker is chosen: the slower kind
-of sound workers is one step behind the others."""
+"""Number of steps per unit of cost that are distinguished when a worker is
+chosen: healthy workers of the slower type are one step behind the others."""
 
 ROOMY_TASKS = 2.5
-"""A worker with room for fewer such tasks is nearly full, and another entry
-may have taken the last place since the news of it came."""
+"""Number of such tasks below which a worker's free capacity counts as nearly
+used up: another entry may have taken the last slot since the last update."""
 
 TIGHT_STEPS = 2
-"""How far a nearly full worker is put behind the others: entries that all
-fill the fast workers to the last place meet there, and are refused."""
+"""Number of steps by which a nearly full worker is ranked lower: entries that
+all fill the fast workers to the last slot would compete there and be refused.
+Number of steps by which a nearly full worker is ranked lower: entries that all
+fill the fast workers to the last slot would compete there and be refused."""
 
 Key = tuple[types.JobKey, int]
 
@@ -51,8 +56,8 @@
 class Placed:
     """One run at a worker.
 
-    :param run: its number: the task may have a later run elsewhere, which
-        must not be taken for over when this one is.
+    :param run: number of the run. The task may have a later run elsewhere,
+        which must not be ended together with this one.
     """
 
     run: int
@@ -61,15 +66,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Worker:
-    """One agent's worker, as this entry knows it.
-
-    :ivar room: what its agent told last.
-    :ivar free: room for more of this entry's runs.
-    :ivar sent: room taken by start messages that ``room`` doesn't count.
-    :ivar renewed_at: when this entry last renewed its lease there.
-    :ivar placed: its runs there, by task.
-    :ivar trip: seconds that the last renewal took, there and back.
-    :ivar recent: payloads that its agent has.
+    """State of one agent and its worker, as seen by this entry.
+
+    :ivar room: last capacity update of its agent.
+    :ivar free: free capacity for this entry's runs.
+    :ivar sent: capacity used by start messages that ``room`` doesn't include,
+        each with the number of its message.
+    :ivar number: number of the last start message.
+    :ivar renewed_at: instant at which this entry last renewed the agent's
+        lease.
+    :ivar placed: this entry's runs at the worker, by task.
+    :ivar trip: round trip of the last renewal in seconds.
+    :ivar recent: payloads that its agent has cached.
     """
 
     name: types.PeerName
@@ -91,7 +99,7 @@
     )
 
     def usable(self, now: float) -> bool:
-        """Whether runs may be sent there."""
+        """Return whether runs may be sent to the worker."""
         return (
             self.connected
             and self.room is not None
@@ -100,21 +108,21 @@
         )
 
     def over(self, now: float) -> bool:
-        """Whether nothing of this entry runs there any more, for sure."""
+        """Return whether no run of this entry can be left at the worker."""
         return now > self.renewed_at + leases.OVER_SECONDS
 
     def bind(self, key: Key, run: int, needs: types.Needs) -> None:
-        """A run goes there with the next start message."""
+        """Reserve capacity for a run in the next start message."""
         self.placed[key] = Placed(run, needs)
         self.sent.append((self.number + 1, needs))
         self.free = self.free - needs
 
     def fill(self) -> None:
-        """There is no room until the agent tells of some."""
+        """Set the free capacity to zero until the agent's next update."""
         self.free = types.Needs()
 
     def take_room(self, room: messages.Room) -> None:
-        """The agent told of its worker."""
+        """Apply a capacity update of the agent."""
         self.room = room
         while self.sent and self.sent[0][0] <= room.taken:
             self.sent.popleft()
@@ -124,17 +132,17 @@
 
     @property
     def pool(self) -> str:
-        """Name of the workers that it belongs to; empty before it is told."""
+        """Name of the worker's pool; empty before the first update."""
         return self.room.pool if self.room is not None else ''
 
     @property
     def cost(self) -> float:
-        """Expected time until a result, over that at a sound worker."""
+        """Expected time until a result, relative to a healthy worker."""
         return self.room.cost if self.room is not None else 1.0
 
 
 class Pool:
-    """All workers that this entry knows."""
+    """All workers whose agents are connected or were recently."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -147,19 +155,19 @@
         return len(self.workers)
 
     def get(self, name: types.PeerName) -> Worker | None:
-        """A worker by its agent's name."""
+        """Return a worker by its agent's name."""
         return self.workers.get(name)
 
     def add(self, worker: Worker) -> None:
-        """An agent connected for the first time in its life."""
+        """Add the worker of a new agent incarnation."""
         self.workers[worker.name] = worker
 
     def remove(self, name: types.PeerName) -> None:
-        """An agent is gone for good."""
+        """Remove the worker of an agent that has gone."""
         del self.workers[name]
 
     def usable(self, pool: str, label: str, now: float) -> list[Worker]:
-        """Workers to which a task of a pool may go now."""
+        """Return the workers to which a task of a pool may be sent now."""
         return [
             worker
             for worker in self.workers.values()
@@ -170,14 +178,14 @@
         ]
 
     def candidates(self, pool: str, label: str, now: float) -> 'Candidates':
-        """Those that may take tasks of a pool in one round of placing."""
+        """Return the candidates for tasks of a pool in one placement round."""
         return Candidates(self.usable(pool, label, now), self._rng)
 
 
 class Candidates:
-    """Workers that tasks of one kind may go to, in one round of placing.
+    """Workers for tasks of one pool and label, in one placement round.
 
-    What is the same for all tasks of a round is worked out once.
+    Values that are the same for all tasks of a round are computed once.
     """
 
     def __init__(self, workers: list[Worker], rng: random.Random) -> None:
@@ -193,7 +201,7 @@
     def pick(
         self, needs: types.Needs, avoid: frozenset[types.PeerName]
     ) -> Worker | None:
-        """The worker that a task goes to, or ``None`` if none has room."""
+        """Return the worker for a task, or ``None`` if none has capacity."""
         best: Worker | None = None
         best_rank: tuple[int, float] | None = None
         for worker in self.workers:
@@ -209,11 +217,11 @@
         return best
 
     def _rank(self, worker: Worker, needs: types.Needs) -> tuple[int, float]:
-        """Fast workers with some room to spare first, mostly the emptier."""
+        """Return the sort key: fast with spare capacity, then emptier."""
         assert worker.room is not None
         capacity = worker.room.capacity.cpu or 1.0
         emptiness = worker.free.cpu / capacity
-        # Entries that all picked the emptiest would meet there.
+        # Without jitter all entries would pick the same emptiest worker.
         jitter = self._rng.random() * 0.3
         steps = int(worker.cost * COST_STEPS)
         if worker.free.cpu < ROOMY_TASKS * needs.cpu:
@@ -222,14 +230,14 @@
 
 
 def usual_cost(workers: list[Worker]) -> float:
-    """The median cost, which all are compared with."""
+    """Return the median cost, to which each worker's cost is compared."""
     if not workers:
         return 1.0
     return statistics.median(worker.cost for worker in workers)
 
 
 def sound(worker: Worker, usual: float) -> bool:
-    """Whether a worker does about as well as the others."""
+    """Return whether a worker's cost is close to that of the others."""
     return worker.cost < TRIED_COST * max(usual, 1.0)
 
 
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -1,8 +1,8 @@
-"""Whole processes: a reducer with its shell and its links to its peers.
+"""Processes that consist of a reducer, its event loop shell and its links.
 
-What speaks to callers, workers and the store is handed in from outside; it
-feeds events through :meth:`Process.feed` and takes the effects that it
-registers for with :meth:`Process.handle`.
+The parts that communicate with callers, workers and the store are supplied
+from outside. They pass events to :meth:`Process.feed` and register for effects
+with :meth:`Process.handle`.
 """
 
 import asyncio
@@ -24,28 +24,31 @@
 _INCARNATION_BITS = 63
 
 PACE = links.Pace(heartbeat=0.4, silence=1.2, dial=1.0)
-"""Agents and entries exchange renewals every 0.2 s, so 1.2 s of silence is
-no pause of a busy process; a connection that went silent is replaced then."""
+"""Timing of the links. Agents and entries exchange renewals every 0.2 s, so
+1.2 s of silence is longer than any pause of a busy process; a connection that
+has been silent for so long is replaced."""
 
 LAST_ANSWERS_SECONDS = 0.1
-"""The last messages and answers leave before their connections close."""
+"""Time for the last messages and answers to be sent before their connections
+close."""
 
 LOG = logs.logger(__name__)
 
 
 class Reducer(core.Reducer, typing.Protocol):
-    """A reducer that can tell what it has."""
+    """Reducer that exports gauges."""
 
     def figures(self, now: float) -> dict[str, float]:
-        """Figures of the moment, by their names in ``measures``."""
+        """Return gauges by name; see ``measures.FIGURES``."""
         ...
 
 
 class Process:
-    """One entry or agent.
+    """One entry or agent process.
 
-    :param role: what its peers are told that it is.
-    :param reducer: its decisions and state.
+    :param role: role that is sent to its peers.
+    :param reducer: reducer of the process, with its state.
+    :param incarnation: number that no earlier process of this name had.
     """
 
     def __init__(
@@ -77,21 +80,21 @@
         self.shell.handle(core.Note, self._note)
 
     def feed(self, event: object) -> None:
-        """Let the reducer take an event."""
+        """Pass an event to the reducer."""
         self.shell.feed(event)
 
     def figures(self) -> dict[str, float]:
-        """What the reducer has at this moment."""
+        """Return the reducer's gauges by name."""
         return self._reducer.figures(self.clock.now())
 
     def handle(
         self, kind: type, handler: typing.Callable[[typing.Any], None]
     ) -> None:
-        """Carry out effects of class ``kind`` by ``handler``."""
+        """Register the handler of effects of class ``kind``."""
         self.shell.handle(kind, handler)
 
     def listen(self, address: str) -> None:
-        """Take connections of peers at ``ip:port``."""
+        """Accept connections of peers at ``ip:port``."""
         host, _, port = address.rpartition(':')
         self._address = address
         self.links.add_sockets(netutil.bind_sockets(int(port), host))
@@ -102,7 +105,10 @@
         self.shell.begin()
 
     async def stop(self, seconds: float) -> None:
-        """Stop gracefully; what isn't done in time is cut off."""
+        """Stop gracefully, but cut off remaining work after a timeout.
+
+        :param seconds: timeout in seconds.
+        """
         self.shell.feed(core.StopRequested())
         try:
             await asyncio.wait_for(self.shell.done.wait(), seconds)
@@ -129,20 +135,20 @@
 
 
 def new_incarnation() -> int:
-    """A number that no earlier process of the same name had."""
+    """Return a random number that no earlier process of the same name had."""
     return secrets.randbits(_INCARNATION_BITS)
 
 
 def new_clock() -> types.Clock:
-    """The clock that all of a process's leases are counted by."""
+    """Return the clock that counts all leases of a process."""
     return clocks.ProcessClock.start()
 
 
 def _routine(note: core.Note) -> bool:
-    """Whether a note is of the ordinary course of a job that ends well."""
+    """Return whether a note is a normal part of a job that succeeds."""
     if note.name == 'job_admitted':
         return True
     if note.name == 'job_ended':
         return ('verdict', 'complete') in note.fields
-    # Entries that race for the same room are turned away now and then.
+    # Entries that compete for the same capacity are refused now and then.
     return ('reason', 'room') in note.fields
--- a/src/agatepick/repeatable/reports.py
+++ b/src/agatepick/repeatable/reports.py
@@ -1,8 +1,8 @@
-"""What entries are told of their runs, also after a broken connection.
+"""Reports on runs to entries, also after a broken connection.
 
-A report may be lost with its connection.  So reports are kept for a while,
-and an entry that connects again is told all that the agent knows of its
-runs: what isn't in that list is over.
+A report may be lost with its connection. Reports are therefore kept for a
+while, and an entry that reconnects receives a full report on all of its runs:
+a run that isn't in that list has ended.
 """
 
 import collections
@@ -14,10 +14,10 @@
 from agatepick import types
 
 NO_PAYLOAD = 'payload'
-"""Why a run is refused whose payload the agent doesn't have."""
+"""Reason of refusing a run whose payload the agent doesn't have."""
 
 KEPT_SECONDS = 5.0
-"""How long reports are kept for an entry whose connection broke."""
+"""Time for which reports are kept for an entry whose connection broke."""
 
 
 class Reports:
@@ -30,7 +30,7 @@
         self._reports: dict[runs.Owner, list[messages.RunReport]] = {}
 
     def forget(self, owner: runs.Owner) -> None:
-        """An entry's life is over."""
+        """Drop the reports to an incarnation of an entry that has ended."""
         owner.gone = True
         self._kept.pop(owner, None)
         self._reports.pop(owner, None)
@@ -43,10 +43,10 @@
         reason: str,
         seconds: float,
     ) -> None:
-        """A run stands otherwise now.
+        """Queue a report on a run's new state.
 
-        What an earlier life of an entry asked for isn't told to the next:
-        it may own a job of the same name by now.
+        Reports on runs that an earlier incarnation of an entry requested
+        aren't sent to the next one: it may own a job of the same name by now.
         """
         if owner.gone:
             return
@@ -56,7 +56,7 @@
         self._reports.setdefault(owner, []).append(report)
 
     def flush(self, now: float) -> list[object]:
-        """The messages that bring all reports on their way."""
+        """Return the messages that contain all queued reports."""
         if not self._reports:
             return []
         effects: list[object] = []
@@ -72,7 +72,7 @@
     def whole(
         self, owner: runs.Owner, running: typing.Iterable[runs.Run], now: float
     ) -> messages.RunReports:
-        """All runs of an entry, as it may have missed reports."""
+        """Return a full report on an entry's runs, for a new connection."""
         kept = self._kept.get(owner, collections.deque())
         while kept and kept[0][0] < now - KEPT_SECONDS:
             kept.popleft()
--- a/src/agatepick/repeatable/routes.py
+++ b/src/agatepick/repeatable/routes.py
@@ -1,4 +1,4 @@
-"""Which jobs are taken, and where their tasks may run."""
+"""Queues of jobs, and the pools in which their tasks may run."""
 
 import dataclasses
 
@@ -7,14 +7,15 @@
 class Route:
     """One queue of jobs.
 
-    :param name: names the queue; run times are learnt by it.
-    :param host: host that callers name.
-    :param prefix: what the path of a job begins with.
-    :param pool: workers that run its tasks.
+    :param name: name of the queue, by which run times are learnt.
+    :param host: host in the callers' requests.
+    :param prefix: prefix of the path in the callers' requests.
+    :param pool: pool of workers that run its tasks.
     :param priority: 0 is the most urgent.
-    :param max_attempts: runs of one task that may fail before its job does.
-    :param stretch: times the longest chain of work that a job may take.
-    :param target_seconds: what it may take beyond that.
+    :param max_attempts: failed runs of one task after which its job fails.
+    :param stretch: factor on the longest chain of work within which a job
+        should end.
+    :param target_seconds: seconds that a job may take beyond that.
     """
 
     name: str
@@ -27,7 +28,7 @@
     target_seconds: float = 0.06
 
     def slack(self, work: float) -> float:
-        """Seconds that a job may wait and still end in its objective.
+        """Return the seconds that a job may wait and still meet its objective.
 
         :param work: seconds of its longest chain of work.
         """
@@ -36,13 +37,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteTable:
-    """All queues, as of one version of the desired state."""
+    """All queues in one version of the desired state."""
 
     version: int
     routes: tuple[Route, ...]
 
     def match(self, host: str, path: str) -> Route | None:
-        """The queue of a request: its host's longest prefix of the path."""
+        """Return the queue with the host and the longest path prefix."""
         found: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/src/agatepick/repeatable/runs.py
+++ b/src/agatepick/repeatable/runs.py
@@ -1,4 +1,4 @@
-"""What an agent keeps of the entries that it knows and of their runs."""
+"""State that an agent keeps of its entries and of their runs."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Owner:
-    """One life of an entry.
+    """One incarnation of an entry, which owns runs at this agent.
 
     :ivar valid_until: end of the lease on its runs.
     :ivar taken: number of its last start message.
-    :ivar agents: agents that it listens to.
-    :ivar trip: seconds from the last renewal until its answer.
-    :ivar leaving: it gets no more room here.
-    :ivar gone: another life has taken its place.
+    :ivar agents: number of agents that the entry is connected to.
+    :ivar trip: round trip of the last renewal in seconds.
+    :ivar leaving: whether it gets no more capacity here.
+    :ivar gone: whether a newer incarnation has replaced it.
     :ivar recent: payloads that it has sent on this connection.
     """
 
@@ -38,12 +38,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One run at the worker, until it is known to be over.
+    """One run at the worker, until it has certainly ended.
 
-    :ivar starts: times that its start was sent.
-    :ivar unanswered: how many of these may still get an answer.
+    :ivar starts: number of starts sent.
+    :ivar unanswered: number of these that may still be answered.
     :ivar confirmed_at: when the worker answered the start; 0 before.
-    :ivar stopped_at: when the worker took note of a stop; 0 before.
+    :ivar stopped_at: when the worker acknowledged a stop; 0 before.
+    :ivar overdue_at: multiple of the expected time at which the run next
+        counts as overdue.
     """
 
     ref: messages.RunRef
@@ -64,7 +66,7 @@
 
 
 def run_note(name: str, run: Run, reason: str) -> core.Note:
-    """A note on one run."""
+    """Return a note on one run."""
     return core.note(
         name,
         job=run.ref.job,
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -1,15 +1,15 @@
-"""Which entries an agent serves.
-
-Load pattern: many agents and many entries.  Each pair costs both sides
-renewals, news and wants, whether jobs come or not, and with thousands of
-agents an entry could do nothing else.  So an agent serves a few entries only,
-and each entry has its part of the workers.
-
-Which ones is told by rendezvous hashing: agents needn't agree on anything,
-and an entry that comes or goes moves its own part alone.  Zones take turns,
-so that every zone's entries reach workers in all zones.  An entry that stays
-away is replaced by the next; once it is back, the substitute gets no more
-room, and is left when its runs are over.
+"""Choice of the entries that an agent serves.
+
+Load pattern: many agents and many entries. Each pair costs both sides
+renewals, capacity updates and requests, whether jobs arrive or not, and with
+thousands of agents an entry could do nothing else. An agent therefore serves
+only a few entries, and each entry has its share of the workers.
+
+The entries are chosen by rendezvous hashing: agents need no coordination, and
+an entry that is added or removed moves only its own share. Zones alternate, so
+that every zone's entries reach workers in all zones. An entry that stays
+disconnected is replaced by the next one; once it is back, the substitute gets
+no more capacity, and is disconnected when its runs have ended.
 """
 
 import hashlib
@@ -21,22 +21,25 @@
 from agatepick import types
 
 SERVED_ENTRIES = 4
-"""Entries that an agent serves: each entry reaches so many times the workers
-that its part of the load needs, and the loss of one leaves the others."""
+"""Number of entries that an agent serves: each entry reaches that many times
+the workers that its part of the load needs, and if one entry is lost, the
+agent still serves the others."""
 
 AWAY_SECONDS = 2.0
-"""An entry that can't be reached for so long is replaced.  A silent one is
-given up after 1.2 s, and a process that was killed is back in about 1 s."""
+"""Time without a connection after which an entry is replaced. The connection
+of a silent entry is closed after 1.2 s, and a killed process is back in about
+1 s."""
 
 LEAVE_SECONDS = 1.0
-"""How long an entry is still served after it was told that there is no more
-room: what it had sent by then is taken, many round trips over."""
+"""Time for which an entry is still served after the update that it gets no
+more capacity: starts that it sent before are accepted, as this is many round
+trips."""
 
 Names = typing.Collection[types.PeerName]
 
 
 class Serving:
-    """The entries of one agent."""
+    """Entries that one agent serves."""
 
     def __init__(self, name: types.PeerName) -> None:
         self._name = name
@@ -47,7 +50,7 @@
         self._leaving: dict[types.PeerName, float] = {}
 
     def listed(self, entries: tuple[events.Listed, ...]) -> list[object]:
-        """The entries that there are now; those that are gone are left."""
+        """Replace the list of entries, and disconnect those that are gone."""
         found = {one.name: one for one in entries}
         effects: list[object] = []
         for name in sorted(self._dialled):
@@ -59,15 +62,15 @@
         return effects
 
     def leaves(self, name: types.PeerName) -> bool:
-        """Whether an entry is to get no more room."""
+        """Return whether an entry gets no more capacity."""
         return name in self._leaving
 
     def review(
         self, now: float, connected: Names, busy: Names
     ) -> list[object]:
-        """Dial those that are to be served, and leave the others.
+        """Dial the entries that are to be served, and leave the others.
 
-        :param connected: entries that can be reached.
+        :param connected: entries with a connection.
         :param busy: entries with runs here.
         """
         for name in self._dialled:
@@ -91,7 +94,7 @@
         return effects
 
     def _wanted(self, now: float) -> list[types.PeerName]:
-        """The first few that aren't away, and those before them."""
+        """Return the first few reachable entries, and the ones before them."""
         wanted: list[types.PeerName] = []
         there = 0
         for name in self._order:
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -1,15 +1,17 @@
-"""How an agent shares its worker's room among the entries.
-
-Load pattern: several entries fill the same workers, and at the peak all of
-them wait for room.  Were every freed place told to all, each would try for
-it, all but one in vain, and the nearest entry would always be first: callers
-of a zone with few workers would starve.  Were the room leased in parts, each
-part would leave a rest idle that is too small for a task.
-
-So room that nobody waits for is open to all, and an entry just takes it.  An
-entry that finds none says so with the urgency of its first task; freed room
-is then kept for the most urgent entry alone, as much of it as its tasks need,
-for as long as its answer takes.  What it doesn't use goes to the next.
+"""Division of a worker's free capacity among the entries.
+
+Load pattern: several entries place tasks on the same workers, and at peak load
+all of them wait for capacity. If every released slot were announced to all,
+each would try to use it, all but one would fail, and the nearest entry would
+always be first: callers of a zone with few workers would starve. If capacity
+were leased in parts, a remainder of each part that is too small for a task
+would stay idle.
+
+Capacity that no entry waits for is therefore open to all, and an entry uses it
+without asking. An entry that finds none sends a request with the urgency of
+its first task; released capacity is then reserved for the most urgent entry
+alone, as much as its tasks need, until its answer arrives. The part that it
+doesn't use is granted to the next entry.
 """
 
 import dataclasses
@@ -18,22 +20,26 @@
 from agatepick import types
 
 GRANT_SECONDS = 0.05
-"""How long room is kept for an entry: the slowest round trip between zones
-is 3 ms, and a busy entry's turn of its loop takes up to 30 ms."""
+"""Time for which capacity is reserved for an entry: the slowest round trip
+between zones takes 3 ms, and an event loop iteration of a busy entry up to 30
+ms."""
 
 GRANT_TRIPS = 1.5
-"""How long it is kept for one whose answers take longer, in round trips."""
+"""The same in round trips, for an entry whose answers take longer."""
 
 MOST_GRANT_SECONDS = 0.25
-"""An entry that stands still must not keep a worker idle."""
+"""Upper bound, so that an entry that hangs doesn't keep a worker idle."""
 
 WANT_SECONDS = 1.0
-"""How long a want holds; entries repeat theirs every 0.25 s."""
+"""Lifetime of a capacity request; entries repeat theirs every 0.25 s."""
 
 
 @dataclasses.dataclass(slots=True)
 class Share:
-    """What one entry wants and has been granted."""
+    """Capacity request and grant of one entry.
+
+    :ivar patience: seconds for which a grant to it is valid.
+    """
 
     want: messages.Want | None = None
     wanted_at: float = 0.0
@@ -43,14 +49,14 @@
     patience: float = GRANT_SECONDS
 
     def urgency(self) -> float:
-        """Instant by which its first task should have started."""
+        """Return the latest start of its first task."""
         slack = self.want.slack if self.want is not None else 0.0
         return self.wanted_at + slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Room kept for one entry."""
+    """Capacity reserved for one entry."""
 
     entry: types.PeerName
     number: int
@@ -58,9 +64,9 @@
 
 
 class Sharing:
-    """A worker's room, what is taken of it, and who waits for it.
+    """Capacity of a worker: what is used, reserved and requested.
 
-    :ivar changes: counts the changes of what is free.
+    :ivar changes: number of changes of the free capacity.
     """
 
     def __init__(self) -> None:
@@ -72,7 +78,7 @@
 
     @property
     def free(self) -> types.Needs:
-        """Room that is neither taken nor kept for an entry."""
+        """Capacity that is neither used nor reserved for an entry."""
         free = self._capacity - self._used
         for share in self._shares.values():
             if share.grant:
@@ -80,35 +86,37 @@
         return free
 
     def resize(self, capacity: types.Needs) -> None:
-        """The worker has another size now."""
+        """Set the total capacity of the worker."""
         self._capacity = capacity
         self.changes += 1
 
     def join(self, entry: types.PeerName) -> None:
-        """An entry connected."""
+        """Add an entry that connected."""
         self._shares[entry] = Share()
         self.changes += 1
 
     def leave(self, entry: types.PeerName) -> None:
-        """An entry is gone, with its want and its grant."""
+        """Remove an entry with its request and its grant."""
         self._shares.pop(entry, None)
         self.changes += 1
 
     def want(
         self, entry: types.PeerName, want: messages.Want, now: float
     ) -> None:
-        """An entry has tasks that it can't place, or no more."""
+        """Store an entry's capacity request, or remove it if it is empty."""
         share = self._shares.get(entry)
         if share is not None:
             share.want = want if want.count else None
             share.wanted_at = now
 
     def answers_within(self, entry: types.PeerName, trip: float) -> None:
-        """An entry answered after so many seconds.
+        """Set how long grants to an entry are valid, by its round trip.
 
-        What goes wrong without it: an entry's link is full, each of its
-        answers comes after the grant has lapsed, and its starts are refused
-        and sent again, which keeps the link full.
+        Otherwise, while an entry's link is saturated, each of its answers
+        arrives after the grant has expired, and its starts are refused and
+        sent again, which keeps the link saturated.
+
+        :param trip: round trip of the entry's last answer in seconds.
         """
         share = self._shares.get(entry)
         if share is not None:
@@ -116,14 +124,20 @@
             share.patience = min(patience, MOST_GRANT_SECONDS)
 
     def returned(self, entry: types.PeerName, grant: int) -> None:
-        """An entry answered a grant; what it starts is counted apart."""
+        """End a grant that the entry answered.
+
+        The runs that the answer starts acquire their capacity separately.
+        """
         share = self._shares.get(entry)
         if share is not None and share.grant == grant:
             share.grant = 0
             self.changes += 1
 
     def take(self, needs: types.Needs) -> bool:
-        """Take room for a run, if there is enough."""
+        """Acquire capacity for a run.
+
+        :returns: whether there was enough.
+        """
         if not needs.fits(self.free):
             return False
         self._used = self._used + needs
@@ -131,12 +145,12 @@
         return True
 
     def give_back(self, needs: types.Needs) -> None:
-        """A run is over."""
+        """Release the capacity of a run that has ended."""
         self._used = self._used - needs
         self.changes += 1
 
     def grants(self, now: float) -> list[Grant]:
-        """Keep free room for those that wait, the most urgent first."""
+        """Grant free capacity to waiting entries, the most urgent first."""
         self._expire(now)
         found: list[Grant] = []
         while any(share.want for share in self._shares.values()):
@@ -152,7 +166,7 @@
         return found
 
     def next_expiry(self) -> float | None:
-        """Instant at which a grant runs out."""
+        """Return the instant at which the next grant expires, or ``None``."""
         ends = [
             share.granted_at + share.patience
             for share in self._shares.values()
@@ -171,7 +185,7 @@
         share.grant = self._granted
         share.granted = room
         share.granted_at = now
-        # The answer brings a new want if tasks still wait.
+        # The answer contains a new request if tasks still wait.
         share.want = None
         return Grant(name, share.grant, room)
 
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -1,31 +1,32 @@
-"""The graceful stop of an entry.
+"""Graceful stop of an entry.
 
-What goes wrong without it: callers go on using their open connections to a
-process that was asked to stop, and requests in progress are cut off with it.
-A stopping entry isn't ready any more, takes only what ends in time, answers
-all, and ends well before the platform kills it.
+Without it, callers continue to use their open connections to a process that
+was asked to stop, and requests in progress are cut off with it. A stopping
+entry isn't ready any more, accepts only jobs that end in time, answers all of
+them, and exits well before the platform kills it.
 """
 
 STRETCH = 1.6
-"""Times its expected seconds that a job is given when a stopping entry takes
-it: callers keep using open connections, and what is taken must be answered
-before the process is killed after 6 s."""
+"""Factor on a job's expected run time when a stopping entry decides whether to
+accept it: callers continue to use open connections, and accepted jobs must be
+answered before the process is killed after 6 s."""
 
 SPARE_SECONDS = 0.3
-"""Time beyond that for waiting and the way to the worker and back."""
+"""Additional time for queueing and the round trip to the worker."""
 
 LEAST_SECONDS = 2.5
-"""How long a stopping entry serves on: the balancer asks once a second and
-takes it out of rotation after two misses."""
+"""Shortest time for which a stopping entry continues to serve: the load
+balancer probes once a second and removes the entry after two failures."""
 
 GIVE_UP_SECONDS = 5.2
-"""When a stopping entry answers what hasn't ended: may be tried again."""
+"""Time after which a stopping entry answers the remaining jobs as given up or
+not run; their callers may retry."""
 
 
 class Stopping:
-    """One entry's stop, from the request to the end.
+    """Stop of one entry, from the request until the process exits.
 
-    :ivar ended: all is answered, and the process ends any moment.
+    :ivar ended: whether all jobs are answered and the process exits.
     """
 
     def __init__(self) -> None:
@@ -34,30 +35,34 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the process was asked to stop."""
+        """Whether the process has been asked to stop."""
         return self._since is not None
 
     def begin(self, now: float) -> None:
-        """The process is asked to stop; asked again, nothing changes."""
+        """Start to stop; a repeated request changes nothing."""
         if self._since is None:
             self._since = now
 
     def takes(self, expected: float, now: float) -> bool:
-        """Whether a job that takes some seconds still ends in time."""
+        """Return whether a job still ends in time.
+
+        :param expected: expected run time of the job in seconds.
+        """
         if self._since is None:
             return True
         if self.ended:
-            # The caller would get an error and not know whether it ran.
+            # The caller would get an error without knowing whether the job
+            # ran.
             return False
         left = self._since + GIVE_UP_SECONDS - now
         return expected * STRETCH + SPARE_SECONDS <= left
 
     def gives_up(self, now: float) -> bool:
-        """Whether what is open must be answered now."""
+        """Return whether all open jobs must be answered now."""
         return self._since is not None and now >= self._since + GIVE_UP_SECONDS
 
     def end(self, waiting: bool, now: float) -> bool:
-        """Whether to end the process now; said once.
+        """Return whether the process must exit now; true only once.
 
         :param waiting: whether a caller waits for an answer.
         """
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -1,10 +1,10 @@
-"""Runs that take far too long, and whether moving them helps.
+"""Detection of runs that take far too long and should be moved.
 
-Load pattern: a worker turns slow or stands still with runs on it.  Their
-jobs wait for them alone, and without a bound their callers would wait until
-they leave.  A run that takes many times what it should is ended and started
-at another worker, if one has room; ending it for nothing would only throw
-away what it has done.
+Load pattern: a worker becomes slow or hangs while it has runs. Their jobs wait
+for them alone, and without a bound their callers would wait until they give
+up. A run that takes several times its expected time is stopped and its task
+started at another worker, if one has free capacity; otherwise stopping it
+would only waste its work.
 """
 
 import dataclasses
@@ -16,34 +16,37 @@
 from agatepick.repeatable import pool
 
 STRAGGLER_RATIO = 2.2
-"""Times its expected seconds after which a run counts as stuck.  A sound
-worker of the slow kind takes 1.3 times as long, tasks of a job differ by
-15%; beyond this the objective (1.6 times) is missed anyway, and the rest of
-a caller's time is better spent at another worker."""
+"""Multiple of the expected time after which a run counts as stuck. A healthy
+worker of the slow type takes 1.3 times as long, and tasks of a job differ by
+15%; beyond this ratio the objective (1.6 times) is missed in any case, and
+another worker uses the rest of the caller's time better."""
 
 STRAGGLER_SPARE_SECONDS = 0.12
-"""Added for the way to the worker and back, and a busy agent."""
+"""Additional time for the round trip to the worker and for a busy agent."""
 
 UNSURE_RATIO = 2.0
-"""Factor on that limit while no task of the job has ended: guesses and what
-was learnt of the queue are off by up to that."""
+"""Factor on that limit while no task of the job's step has finished: callers'
+estimates and the learnt run times of the queue are wrong by up to that factor.
+Factor on that limit while no task of the job's step has finished: callers'
+estimates and the learnt run times of the queue are wrong by up to that
+factor."""
 
 MAX_MOVES = 2
-"""Times a task is moved away from workers that are slow with it."""
+"""Largest number of times that a task is moved away from slow workers."""
 
 LOOK_SECONDS = 0.25
-"""Longest time between two looks at a job: what its runs are expected to
-take is learnt meanwhile."""
+"""Longest pause between two checks of a job, as the expected run times change
+in the meantime."""
 
 LEAST_EXPECTED_SECONDS = 0.02
-"""Shorter expectations are lost in the time that messages take."""
+"""Lower bound of expected run times; message delays hide shorter ones."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Straggler:
-    """A task whose run is to be ended.
+    """A task whose run should be stopped.
 
-    :param note: what was seen, for the time line.
+    :param note: note for the timeline.
     """
 
     index: int
@@ -51,7 +54,7 @@
 
 
 class Stragglers:
-    """Finds them among a job's runs."""
+    """Detector of stuck runs."""
 
     def __init__(
         self, workers: pool.Pool, estimator: estimating.Estimator
@@ -60,10 +63,10 @@
         self._estimator = estimator
 
     def find(self, job: owned.OwnedJob, now: float) -> list[Straggler]:
-        """Runs of a job to move now; each is counted as moved.
+        """Return a job's runs to move now, each counted as a move.
 
-        A job is looked at when one of its runs may be due, not at each call:
-        with hundreds of open jobs that is most of what watching takes.
+        A job is checked when one of its runs may be due, not at each call:
+        with hundreds of open jobs the checks would take most of the time.
         """
         if now < job.look_at:
             return []
@@ -81,7 +84,7 @@
         ]
 
     def _due_at(self, job: owned.OwnedJob, index: int) -> float:
-        """Instant from which a run takes too long."""
+        """Return the instant from which a run counts as stuck."""
         limit = STRAGGLER_RATIO
         if not job.seconds.get(job.spec.tasks[index].step):
             limit *= UNSURE_RATIO
@@ -108,9 +111,9 @@
         return Straggler(index, note)
 
     def _elsewhere(self, job: owned.OwnedJob, index: int, now: float) -> bool:
-        """Whether another sound worker has room for a task.
+        """Return whether another healthy worker has capacity for a task.
 
-        Without one, ending its run would only throw away what it has done.
+        Otherwise stopping its run would only waste its work.
         """
         record = job.records[index]
         task = job.spec.tasks[index]
--- a/src/agatepick/repeatable/telling.py
+++ b/src/agatepick/repeatable/telling.py
@@ -1,10 +1,11 @@
-"""What entries are told of the worker and of its room.
-
-Load pattern: many short tasks.  Each start and each end changes what is free;
-were every change told to every entry, the news would be most of what entries
-read, and one with a small processor would have no time for its callers at the
-peak.  So an entry is told when what it counts on differs from what is free by
-enough to matter: by one task where few fit, by more where many do.
+"""Updates to entries on the worker and its free capacity.
+
+Load pattern: many short tasks. Each start and each end changes the free
+capacity; if every change were sent to every entry, an entry would mostly read
+updates, and one with a small processor would have no time for its callers at
+peak load. An update is therefore sent only when the capacity that an entry
+assumes differs enough from the actual one: by one task where few fit, by more
+where many do.
 """
 
 import dataclasses
@@ -19,37 +20,39 @@
 from agatepick import types
 
 TELL_SECONDS = 0.03
-"""Least pause between two news to one entry: about as often as a full worker
-frees a place."""
+"""Shortest pause between two updates to one entry: about as often as a full
+worker frees a slot."""
 
 NEWS_SECONDS = 0.0027
-"""That pause for each agent that the busiest entry listens to, so that no
-entry hears more than 370 news a second, however many agents there are."""
+"""That pause per agent of the busiest connected entry, so that no entry
+receives more than 370 updates a second, however many agents there are."""
 
 STALE_SECONDS = 0.25
-"""Longest time for which an entry counts on room that is off by less."""
+"""Longest time for which a smaller difference of the capacity that an entry
+assumes is tolerated."""
 
 COST_STEP = 0.2
-"""Change of a worker's cost that is worth a message."""
+"""Smallest change of a worker's cost that is sent."""
 
 MOST_TASKS = 255
-"""More places than these aren't told apart."""
+"""Number of slots above which differences are ignored."""
 
 _LEVELS = tuple(
     round(2.0 * math.log2(1 + tasks)) for tasks in range(MOST_TASKS + 1)
 )
-"""By places for tasks, steps that are one place wide below four and a fifth
-of all beyond."""
+"""Capacity levels by number of free slots: each level spans one slot below
+four, and a fifth of all slots above."""
 
 Owners = dict[types.PeerName, runs.Owner]
 
 
 @dataclasses.dataclass(slots=True)
 class _Belief:
-    """What one entry counts on.
+    """State that one entry assumes of the worker.
 
-    :ivar told: what it was told last.
-    :ivar free: room, after what it has started since.
+    :ivar told: last update that was sent.
+    :ivar told_at: instant of that update.
+    :ivar free: free capacity in it, minus the entry's starts since.
     """
 
     told: messages.Room
@@ -58,7 +61,7 @@
 
 
 class Telling:
-    """Grants to those that wait for room, and news to all."""
+    """Sender of grants to waiting entries, and of updates to all."""
 
     def __init__(
         self, incarnation: int, room: sharing.Sharing, record: health.Health
@@ -80,12 +83,12 @@
         self._next_at: float | None = None
 
     def forget(self, entry: types.PeerName) -> None:
-        """An entry connected anew, and counts on nothing."""
+        """Drop the state of an entry that reconnected."""
         self._beliefs.pop(entry, None)
         self._changes += 1
 
     def start_sent(self, entry: types.PeerName, needs: types.Needs) -> None:
-        """An entry has sent a start, and counts on that much less."""
+        """Subtract an entry's start from the capacity that it assumes."""
         self._size = needs
         belief = self._beliefs.get(entry)
         if belief is not None:
@@ -93,9 +96,10 @@
             self._changes += 1
 
     def emptied(self, entry: types.PeerName) -> None:
-        """An entry has answered a grant or was refused a start.
+        """Set the assumed capacity of an entry to zero.
 
-        It counts on no room here until it is told of some.
+        The entry has answered a grant or a start of it was refused: it sends
+        no starts until the next update.
         """
         belief = self._beliefs.get(entry)
         if belief is not None:
@@ -109,7 +113,7 @@
         owners: Owners,
         now: float,
     ) -> list[object]:
-        """Grant freed room, and tell entries what matters to them."""
+        """Grant released capacity, and send the entries due updates."""
         self._worker = worker
         self._open = is_open
         heard = [one.agents for one in owners.values() if one.connected]
@@ -129,14 +133,14 @@
         return effects
 
     def next_at(self) -> float | None:
-        """Instant at which an entry is told what has changed."""
+        """Return the instant of the next update, or ``None``."""
         return self._next_at
 
     def _news_due(self, now: float) -> bool:
-        """Whether any entry may have to be told something.
+        """Return whether an update to any entry may be due.
 
-        Looked at only when something has changed: most events change nothing
-        of it.
+        The entries are only checked after a change, as most events change none
+        of the values in an update.
         """
         seen = (
             self._room.changes,
@@ -164,14 +168,14 @@
         return [core.Send(owner.name, news)]
 
     def _due_at(self, owner: runs.Owner) -> float:
-        """Instant from which an entry is to be told; infinite for not."""
+        """Return the instant from which an update is due, or infinity."""
         belief = self._beliefs.get(owner.name)
         if belief is None:
             return 0.0
         told = belief.told
         if told.open != (self._open and not owner.leaving):
-            # Whether runs may be started at all changes rarely and is told
-            # at once: after a restart callers wait for just that.
+            # Whether runs may be started changes rarely and is sent at once:
+            # after a restart callers wait for just that.
             return 0.0
         pause = max(TELL_SECONDS, NEWS_SECONDS * self._agents)
         if not self._is_as_told(told) or self._matters(belief.free):
@@ -181,14 +185,18 @@
         return belief.told_at + max(STALE_SECONDS, pause)
 
     def _matters(self, counted: types.Needs) -> bool:
-        """Whether an entry would decide otherwise if it knew what is free."""
+        """Return whether the actual free capacity would change decisions.
+
+        :param counted: free capacity that the entry assumes.
+        """
         if self._size == types.Needs():
-            # Nothing was started here yet: any place may be one.
+            # Nothing has been started here yet, so the size of a slot is
+            # unknown.
             return counted != self._free
         return self._level_of(counted) != self._level
 
     def _is_as_told(self, told: messages.Room) -> bool:
-        """Whether all but the free room is what an entry was told."""
+        """Return whether all but the free capacity equals the last update."""
         if told.entries != self._entries or told.cost != self._cost:
             return False
         worker = self._worker
@@ -201,7 +209,10 @@
         )
 
     def _level_of(self, free: types.Needs) -> int:
-        """How many tasks like the last one fit, in steps that matter."""
+        """Return the level of the number of tasks that fit.
+
+        A task is assumed to have the size of the last one that was started.
+        """
         size = self._size
         ratios = [free.cpu / size.cpu] if size.cpu else []
         if size.memory_mb:
@@ -214,7 +225,7 @@
     def _describe(
         self, owner: runs.Owner, free: types.Needs, grant: int = 0
     ) -> messages.Room:
-        """The worker and its room, as one entry is told of them."""
+        """Return a capacity update for one entry."""
         worker = self._worker
         return messages.Room(
             self._incarnation,
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -1,7 +1,8 @@
-"""What an agent and its worker say to one another, as events and effects.
+"""Requests and answers between an agent and its worker.
 
-The agent's reducer sees only these data classes.  Instants are the agent's;
-whoever speaks to the worker turns leases into instants of its clock.
+The agent's reducer uses only these data classes as events and effects.
+Instants are those of the agent's clock; the code that connects to the worker
+converts leases to instants of the worker's clock.
 """
 
 import dataclasses
@@ -12,18 +13,19 @@
 
 
 NOT_ANNOUNCED = -1
-"""Sequence of what is known of a worker without an announcement of its
-present life; any announcement is newer."""
+"""Sequence of a worker description without an announcement of its present
+incarnation; any announcement is newer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerSeen:
-    """Event: a worker told of itself.
+    """Event: the worker announced itself.
 
-    :param life: names one life of the worker; another one runs nothing that
-        an earlier one was given.
-    :param born: orders the lives of workers, in milliseconds.
-    :param sequence: rises within one life; a late message has a lower one.
+    :param life: identifier of one incarnation of the worker, which has no runs
+        of earlier ones.
+    :param born: start of the incarnation in milliseconds, which orders them.
+    :param sequence: number that increases within one incarnation; a delayed
+        message has a lower one.
     """
 
     life: str
@@ -38,9 +40,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeepWorker:
-    """Effect: keep what the worker is for this process's next life.
+    """Effect: persist the worker for this process's next incarnation.
 
-    :param worker: what to keep; ``None`` if there is none to use any more.
+    :param worker: description to persist; ``None`` to delete it.
     """
 
     worker: WorkerSeen | None
@@ -48,17 +50,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerLeft:
-    """Event: a worker said that it ends now."""
+    """Event: the worker exits now."""
 
     life: str
 
 
 class StartResult(enum.StrEnum):
-    """What a worker answered to a start.
+    """Result of a start at the worker.
 
-    ``NO_ROOM``, ``STALE_RUN`` (a run that is no lower was there already),
-    ``LATE`` (the lease had run out on arrival) and ``UNWELL`` mean that
-    nothing was done; after ``UNKNOWN`` it may have been, or may yet be.
+    ``NO_ROOM``, ``STALE_RUN`` (the worker has already received this run number
+    or a higher one), ``LATE`` (the lease had expired on arrival) and
+    ``UNWELL`` mean that nothing was started; after ``UNKNOWN`` it may have
+    been, or may be later.
     """
 
     STARTED = 'started'
@@ -74,7 +77,7 @@
 class StartRun:
     """Effect: start a run at the worker.
 
-    :param lease_seconds: how far ahead the worker's lease is extended.
+    :param lease_seconds: time by which the worker's lease is extended.
     """
 
     life: str
@@ -86,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAnswered:
-    """Event: the worker's answer to a start, or that none came."""
+    """Event: the worker answered a start, or the start timed out."""
 
     life: str
     ref: messages.RunRef
@@ -96,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRun:
-    """Effect: end a run; it is also never started any more."""
+    """Effect: stop a run; the worker won't start it later either."""
 
     life: str
     name: str
@@ -105,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopAnswered:
-    """Event: whether the worker took note of a stop."""
+    """Event: the worker acknowledged a stop, or the stop failed."""
 
     life: str
     name: str
@@ -115,11 +118,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Watch:
-    """Effect: extend the worker's lease and ask what runs and has ended.
+    """Effect: extend the worker's lease and request its lists of runs.
 
-    :param seen: number of the last end that was taken note of.
-    :param lease_seconds: how far ahead the lease is extended; 0 for not.
-    :param wait_seconds: how long the worker may wait for an end.
+    :param seen: number of the last end that the agent has handled.
+    :param lease_seconds: time by which the lease is extended; 0 for none.
+    :param wait_seconds: time for which the worker may wait for an end.
     """
 
     life: str
@@ -129,7 +132,7 @@
 
 
 class EndKind(enum.StrEnum):
-    """How a run ended at its worker."""
+    """Outcome of a run at its worker."""
 
     DONE = 'done'
     FAILED = 'failed'
@@ -138,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningAt:
-    """One run that goes on at the worker."""
+    """One run that is running at the worker."""
 
     name: str
     run: int
@@ -146,7 +149,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedAt:
-    """One run that ended at the worker; ``number`` counts its ends."""
+    """One run that ended at the worker.
+
+    :param number: sequence number among the worker's ends.
+    """
 
     number: int
     name: str
@@ -159,7 +165,7 @@
 class Watched:
     """Event: the answer to a :class:`Watch`.
 
-    :param asked_at: instant at which it was asked.
+    :param asked_at: instant of the request.
     """
 
     life: str
@@ -170,13 +176,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerReborn:
-    """Event: a :class:`Watch` was answered by another life of the worker.
+    """Event: another incarnation of the worker answered a :class:`Watch`.
 
-    It has the same name, so it takes orders that were meant for the former.
+    It has the same name, so it also carries out requests for the earlier one.
 
-    :param life: the life that was asked.
-    :param new_life: the one that answered.
-    :param born: instant of its start, in milliseconds.
+    :param life: incarnation to which the request was sent.
+    :param new_life: incarnation that answered.
+    :param born: start of the new incarnation in milliseconds.
     """
 
     life: str
@@ -186,11 +192,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """Event: no answer to a :class:`Watch`.
+    """Event: a :class:`Watch` got no answer.
 
-    :param refused: nothing listens at the worker's address.
-    :param other_life: another worker answers there, which takes no orders
-        for this one.
+    :param refused: whether nothing listens at the worker's address.
+    :param other_life: whether another worker answers there, which accepts no
+        requests for this one.
     """
 
     life: str
