--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -18,182 +18,199 @@
 UNKNOWN = workerapi.StartResult.UNKNOWN
 
 
-def new_orders(room=None, refused=lambda entry: None):
-    """Orders of an agent that knows no worker yet."""
-    return orders.Orders(
-        room or sharing.Sharing(), health.Health(), reports.Reports(), refused
+def make_controller(room=None, on_refused=lambda entry: None):
+    """Return the run controller of an agent without a worker."""
+    return orders.RunController(
+        room or sharing.SharedCapacity(),
+        health.Health(),
+        reports.Reports(),
+        on_refused,
     )
 
 
 @pytest.fixture
-def given():
-    """Orders to a worker at which one run was started just now."""
-    room = sharing.Sharing()
-    found = new_orders(room)
-    found.seen(
+def controller():
+    """Return a run controller with one run that was just started."""
+    room = sharing.SharedCapacity()
+    controller = make_controller(room)
+    controller.handle_announcement(
         workerapi.WorkerSeen('w@1', 1, 1, 'p', CAPACITY, (), False, ''), NOW
     )
-    room.take(NEEDS)
-    owner = runs.Owner('e', 1, valid_until=NOW + 60.0)
-    found.start(owner, SPEC, b'', NOW)
-    return found
+    room.acquire(NEEDS)
+    owner = runs.Owner('e', 1, lease_until=NOW + 60.0)
+    controller.start(owner, SPEC, b'', NOW)
+    return controller
 
 
 def of_kind(effects, kind):
     return [one for one in effects if isinstance(one, kind)]
 
 
-def answered(given, result, now, life='w@1'):
+def answer_start(controller, result, now, life='w@1'):
     event = workerapi.StartAnswered(life, REF, result)
-    return given.start_answered(event, now)
+    return controller.handle_start_answer(event, now)
 
 
-def test_a_start_without_an_answer_is_sent_again_a_few_times(given):
-    """An order got lost; the worker takes one run once however often."""
+def test_a_start_without_an_answer_is_sent_again_a_few_times(controller):
+    """A start was lost; a worker that gets it several times runs it once."""
     sent = 1
     for step in range(1, 60):
-        effects = given.enforce(NOW + step * 0.005)
+        effects = controller.enforce_leases(NOW + step * 0.005)
         sent += len(of_kind(effects, workerapi.StartRun))
-    assert sent == orders.MAX_STARTS
+    assert sent == orders.MAX_START_ATTEMPTS
 
 
-def test_an_answered_start_is_not_sent_again(given):
-    answered(given, workerapi.StartResult.STARTED, NOW + 0.002)
-    assert given.enforce(NOW + 0.1) == []
-    late = answered(given, UNKNOWN, NOW + 0.12)
+def test_an_answered_start_is_not_sent_again(controller):
+    answer_start(controller, workerapi.StartResult.STARTED, NOW + 0.002)
+    assert controller.enforce_leases(NOW + 0.1) == []
+    late = answer_start(controller, UNKNOWN, NOW + 0.12)
     assert late == []
 
 
-def test_a_refusal_after_a_lost_order_is_no_proof_that_nothing_runs(given):
-    """The first order may still be carried out, after the second one.
+def test_a_refusal_after_a_lost_start_does_not_end_the_run(controller):
+    """The first start may still be carried out, after the second one.
 
-    Were its task started elsewhere at once, it would have two runs.
+    If its task were started elsewhere at once, it would have two runs.
     """
-    given.enforce(NOW + orders.START_RETRY_SECONDS + 0.001)
+    controller.enforce_leases(NOW + orders.START_RETRY_SECONDS + 0.001)
     now = NOW + 0.04
-    effects = answered(given, workerapi.StartResult.NO_ROOM, now)
+    effects = answer_start(controller, workerapi.StartResult.NO_ROOM, now)
     assert len(of_kind(effects, workerapi.StopRun)) == 1
-    assert 'j.0' in given.runs
+    assert 'j.0' in controller.runs
     stopped = workerapi.StopAnswered('w@1', 'j.0', 1, True)
-    given.stop_answered(stopped, now + 0.01)
-    given.listed(workerapi.Watched('w@1', now, (), ()), now + 0.02)
-    assert 'j.0' in given.runs
-    given.listed(workerapi.Watched('w@1', now + 0.02, (), ()), now + 0.03)
-    assert 'j.0' not in given.runs
+    controller.handle_stop_answer(stopped, now + 0.01)
+    controller.handle_lists(workerapi.Watched('w@1', now, (), ()), now + 0.02)
+    assert 'j.0' in controller.runs
+    controller.handle_lists(
+        workerapi.Watched('w@1', now + 0.02, (), ()), now + 0.03
+    )
+    assert 'j.0' not in controller.runs
 
 
-def test_a_first_refusal_is_final(given):
-    answered(given, workerapi.StartResult.NO_ROOM, NOW + 0.002)
-    assert given.runs == {}
+def test_a_first_refusal_is_final(controller):
+    answer_start(controller, workerapi.StartResult.NO_ROOM, NOW + 0.002)
+    assert controller.runs == {}
 
 
-def test_a_run_is_not_over_because_its_worker_has_another_life(given):
-    """A worker crashes and is back under its name at once.
+def test_a_new_worker_incarnation_does_not_end_a_run(controller):
+    """A worker crashes and restarts under the same name at once.
 
-    The start was on its way and reached the new life, by whose clock its
-    lease is far ahead and cut to the longest that the worker allows.
+    The start was in transit and reached the new incarnation. By its clock the
+    lease is far ahead, and is cut to the longest that the worker allows.
     """
-    given.reborn(workerapi.WorkerReborn('w@1', 'w@2', 2), NOW + 0.01)
-    assert 'j.0' in given.runs
-    given.enforce(NOW + leases.WORKER_OVER_SECONDS + 0.1)
-    assert 'j.0' in given.runs
-    given.enforce(NOW + 0.01 + leases.LONGEST_OVER_SECONDS + 0.01)
-    assert given.runs == {}
+    controller.handle_other_incarnation(
+        workerapi.WorkerReborn('w@1', 'w@2', 2), NOW + 0.01
+    )
+    assert 'j.0' in controller.runs
+    controller.enforce_leases(NOW + leases.WORKER_OVER_SECONDS + 0.1)
+    assert 'j.0' in controller.runs
+    controller.enforce_leases(NOW + 0.01 + leases.LONGEST_OVER_SECONDS + 0.01)
+    assert controller.runs == {}
 
 
-def test_a_start_that_may_reach_the_next_life_outlives_its_worker(given):
-    """The worker's port is closed while a start is on its way."""
+def test_an_unanswered_start_is_kept_after_its_worker_is_gone(controller):
+    """The worker's port is closed while a start is in transit."""
     event = workerapi.WatchFailed('w@1', refused=True)
-    given.unlisted(event, NOW + 0.01)
-    assert given.worker is None
-    assert 'j.0' in given.runs
+    controller.handle_list_failure(event, NOW + 0.01)
+    assert controller.worker is None
+    assert 'j.0' in controller.runs
 
 
-def test_what_was_answered_ends_with_its_worker(given):
-    answered(given, workerapi.StartResult.STARTED, NOW + 0.002)
-    given.unlisted(workerapi.WatchFailed('w@1', refused=True), NOW + 0.01)
-    assert given.runs == {}
+def test_an_answered_run_ends_with_its_worker(controller):
+    answer_start(controller, workerapi.StartResult.STARTED, NOW + 0.002)
+    controller.handle_list_failure(
+        workerapi.WatchFailed('w@1', refused=True), NOW + 0.01
+    )
+    assert controller.runs == {}
 
 
-def announced(sequence, draining=False):
+def make_announcement(sequence, draining=False):
     return workerapi.WorkerSeen(
         'w@1', 1, sequence, 'p', CAPACITY, (), draining, ''
     )
 
 
-def test_what_a_worker_is_is_kept_once(given):
-    """Each announcement would else cost a write to the store."""
-    assert not of_kind(given.seen(announced(2), NOW), workerapi.KeepWorker)
+def test_a_worker_is_persisted_once(controller):
+    """Otherwise each announcement would cost a write to the store."""
+    assert not of_kind(
+        controller.handle_announcement(make_announcement(2), NOW),
+        workerapi.KeepWorker,
+    )
 
 
-def test_a_worker_that_drains_is_not_kept(given):
-    """The next life of this process would start tasks at it."""
-    effects = given.seen(announced(2, draining=True), NOW)
+def test_a_draining_worker_is_not_persisted(controller):
+    """The next incarnation of this process would start tasks at it."""
+    effects = controller.handle_announcement(
+        make_announcement(2, draining=True), NOW
+    )
     assert of_kind(effects, workerapi.KeepWorker) == [
         workerapi.KeepWorker(None)
     ]
-    effects = given.seen(announced(3), NOW)
-    (found,) = of_kind(effects, workerapi.KeepWorker)
-    assert found.worker.life == 'w@1'
+    effects = controller.handle_announcement(make_announcement(3), NOW)
+    (effect,) = of_kind(effects, workerapi.KeepWorker)
+    assert effect.worker.life == 'w@1'
 
 
-def test_a_worker_that_left_is_not_kept(given):
-    effects = given.left(workerapi.WorkerLeft('w@1'), NOW)
+def test_a_worker_that_left_is_not_persisted(controller):
+    effects = controller.handle_departure(workerapi.WorkerLeft('w@1'), NOW)
     assert workerapi.KeepWorker(None) in effects
 
 
-def listed(life='w@1', running=(), ended=()):
+def make_lists(life='w@1', running=(), ended=()):
     return workerapi.Watched(life, NOW + 1.0, tuple(running), tuple(ended))
 
 
-def test_nothing_starts_beside_a_run_of_an_earlier_life():
-    """The agent was killed and is back before its worker's lease ran out.
+def test_nothing_starts_beside_a_run_of_an_earlier_incarnation():
+    """The agent is killed and restarts before its worker's lease expires.
 
-    Each start extends the lease of all that runs there.  A run of the former
-    life whose stop got lost would go on, while its task starts elsewhere.
+    Each start extends the lease of all runs there. A run of the former
+    incarnation whose stop got lost would continue, while its task starts
+    elsewhere.
     """
-    found = new_orders()
-    found.seen(announced(1), NOW)
-    assert found.closing(NOW)
-    (first,) = found.watch(NOW)
+    controller = make_controller()
+    controller.handle_announcement(make_announcement(1), NOW)
+    assert controller.blocks_starts(NOW)
+    (first,) = controller.request_lists(NOW)
     assert (first.wait_seconds, first.lease_seconds) == (0.0, 0.0)
     old = workerapi.RunningAt('j.0', 1)
-    effects = found.listed(listed(running=[old]), NOW + 0.01)
+    effects = controller.handle_lists(make_lists(running=[old]), NOW + 0.01)
     assert effects == [workerapi.StopRun('w@1', 'j.0', 1)]
-    assert found.closing(NOW + 0.01)
-    (again,) = found.watch(NOW + 0.01)
+    assert controller.blocks_starts(NOW + 0.01)
+    (again,) = controller.request_lists(NOW + 0.01)
     assert again.wait_seconds > 0.0
     assert again.lease_seconds == 0.0
-    found.listed(listed(), NOW + 0.05)
-    assert not found.closing(NOW + 0.05)
-    assert found.watch(NOW + 0.05) == []
+    controller.handle_lists(make_lists(), NOW + 0.05)
+    assert not controller.blocks_starts(NOW + 0.05)
+    assert controller.request_lists(NOW + 0.05) == []
 
 
-def test_a_stop_that_got_lost_is_told_again_until_the_run_is_gone():
-    found = new_orders()
-    found.seen(announced(1), NOW)
+def test_a_lost_stop_is_sent_again_until_the_run_is_gone():
+    controller = make_controller()
+    controller.handle_announcement(make_announcement(1), NOW)
     old = workerapi.RunningAt('j.0', 1)
     stops = 0
-    pause = 1.1 * orders.STRANGER_SECONDS
+    pause = 1.1 * orders.UNOWNED_STOP_RETRY_SECONDS
     for step in range(1, 5):
-        effects = found.listed(listed(running=[old]), NOW + step * pause)
+        effects = controller.handle_lists(
+            make_lists(running=[old]), NOW + step * pause
+        )
         stops += len(of_kind(effects, workerapi.StopRun))
     assert stops == 4
 
 
-def test_a_start_that_the_worker_refuses_is_told_of():
-    """The entry counts on no room here then, and must be told of some.
+def test_a_start_that_the_worker_refuses_calls_on_refused():
+    """The entry sends no starts after a refusal until the next update.
 
-    Else it would send nothing here any more, whatever is free.
+    Without an update it would send nothing any more, whatever is free.
     """
     refused = []
-    found = new_orders(refused=refused.append)
-    found.seen(announced(1), NOW)
+    controller = make_controller(on_refused=refused.append)
+    controller.handle_announcement(make_announcement(1), NOW)
     owner = runs.Owner('entry', 1)
     spec = messages.RunSpec('j', 0, 1, 'j.0', types.Needs(), 0.1)
-    (start,) = found.start(owner, spec, b'', NOW)
+    (start,) = controller.start(owner, spec, b'', NOW)
     answer = workerapi.StartAnswered(
         start.life, start.ref, workerapi.StartResult.NO_ROOM
     )
-    found.start_answered(answer, NOW)
+    controller.handle_start_answer(answer, NOW)
     assert refused == ['entry']
--- a/tests/test_payloads.py
+++ b/tests/test_payloads.py
@@ -6,46 +6,47 @@
 
 
 def test_both_ends_keep_the_same_payloads():
-    sender, receiver = payloads.Recent(), payloads.Recent()
-    for number in range(3 * payloads.KEPT_PAYLOADS):
+    sender, receiver = payloads.PayloadCache(), payloads.PayloadCache()
+    for number in range(3 * payloads.MAX_CACHED_PAYLOADS):
         for end in (sender, receiver):
             end.add(f'{number}', b'x')
-    for number in range(3 * payloads.KEPT_PAYLOADS):
+    for number in range(3 * payloads.MAX_CACHED_PAYLOADS):
         assert (f'{number}' in sender) == (f'{number}' in receiver)
-    assert f'{3 * payloads.KEPT_PAYLOADS - 1}' in receiver
+    assert f'{3 * payloads.MAX_CACHED_PAYLOADS - 1}' in receiver
     receiver.clear()
-    assert receiver.get(f'{3 * payloads.KEPT_PAYLOADS - 1}') is None
+    assert receiver.get(f'{3 * payloads.MAX_CACHED_PAYLOADS - 1}') is None
 
 
 def test_a_job_s_payload_goes_to_each_agent_once():
-    world = Noted(entries=1, agents=1)
+    world = CountingWorld(entries=1, agents=1)
     world.run(2.0)
-    world.submit(repeatable_world.a_job('0123456789abcdef', tasks=25))
+    world.submit(repeatable_world.make_job('0123456789abcdef', tasks=25))
     world.run(10.0)
     assert world.answers['0123456789abcdef'].verdict.value == 'complete'
     assert world.payloads == 1
 
 
 def test_a_start_without_its_payload_is_refused_and_sent_with_it():
-    """The two ends have come to differ in what the agent has.
+    """The payload caches of the two ends differ.
 
-    The task must not run with nothing; its caller only waits a bit longer.
+    The task must not run without its payload; its caller only waits a bit
+    longer.
     """
-    world = Noted(entries=1, agents=1)
+    world = CountingWorld(entries=1, agents=1)
     world.run(2.0)
-    world.submit(repeatable_world.a_job('0123456789abcdef', tasks=25))
+    world.submit(repeatable_world.make_job('0123456789abcdef', tasks=25))
     world.run(0.1)
     (agent,) = world.agents()
     for owner in agent.reducer._owners.values():
-        owner.recent.clear()
+        owner.payload_cache.clear()
     world.run(10.0)
     assert world.answers['0123456789abcdef'].verdict.value == 'complete'
     assert reports.NO_PAYLOAD in world.refusals
     assert world.payloads == 2
 
 
-class Noted(repeatable_world.World):
-    """Counts the payloads sent, and why starts were refused."""
+class CountingWorld(repeatable_world.World):
+    """World that counts the payloads sent, and records reasons of refusals."""
 
     def __init__(self, entries, agents):
         self.payloads = 0
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -18,9 +18,9 @@
 TASK = types.Needs(6.0, 64, 0)
 
 
-def a_worker(name, free=0.0, of='p', grant=0):
+def make_worker(name, free=0.0, of='p', grant=0):
     worker = pool.Worker(name, 1, 'z', '', renewed_at=NOW)
-    worker.take_room(
+    worker.update_room(
         messages.Room(
             1, True, of, (), TASK + TASK, types.Needs(free, 64, 0), grant
         )
@@ -28,7 +28,7 @@
     return worker
 
 
-def a_job(key, latest, of='p', tasks=1):
+def make_job(key, latest, of='p', tasks=1):
     spec = jobs.Job(
         key=key,
         route=routes.Route('q', 'host', '/q/', of),
@@ -40,7 +40,7 @@
         deadline=NOW + 10.0,
     )
     job = owned.OwnedJob(1, spec, NOW, latest, 0.1)
-    job.release()
+    job.queue_ready_tasks()
     return job
 
 
@@ -55,7 +55,7 @@
 
 
 def sent(effects, kind):
-    """Messages of a kind, by receiver."""
+    """Return the messages of a kind by receiver."""
     found = collections.defaultdict(list)
     for effect in effects:
         if isinstance(effect, core.Send) and isinstance(effect.message, kind):
@@ -63,15 +63,16 @@
     return dict(found)
 
 
-def test_what_finds_no_room_is_told_to_its_own_pool(workers, placer):
-    """Two services are full at once.
+def test_capacity_is_requested_from_the_job_s_own_pool(workers, placer):
+    """Two pools are full at once.
 
-    Were only the first job's agents told, callers of the other service
-    would wait until its agents happened to have room that nobody wants.
+    If only the agents of the first job's pool got a capacity request, callers
+    of the other pool would wait until its agents happened to have capacity
+    that no other entry requests.
     """
-    workers.add(a_worker('a', of='p'))
-    workers.add(a_worker('b', of='r'))
-    waiting = [a_job('j', NOW + 0.1), a_job('k', NOW + 0.2, of='r')]
+    workers.add(make_worker('a', of='p'))
+    workers.add(make_worker('b', of='r'))
+    waiting = [make_job('j', NOW + 0.1), make_job('k', NOW + 0.2, of='r')]
     effects = placer.place(waiting, NOW)
     (to_a,) = sent(effects, messages.Want)['a']
     (to_b,) = sent(effects, messages.Want)['b']
@@ -79,43 +80,45 @@
     assert to_b.slack == pytest.approx(0.2)
 
 
-def test_a_want_is_repeated_now_and_then_and_at_once_if_more_urgent(
+def test_a_want_is_repeated_periodically_and_at_once_if_more_urgent(
     workers, placer
 ):
-    """An entry waits for room at all of fifty agents for seconds.
+    """An entry waits for capacity at all of fifty agents for seconds.
 
-    Told at each turn of the loop, the agents would hear of nothing else;
-    told too seldom, an urgent job waits behind others' less urgent ones.
+    If it sent a request in each iteration of its event loop, the agents would
+    handle nothing else; if it sent them too rarely, an urgent job would wait
+    behind less urgent ones of other entries.
     """
-    workers.add(a_worker('a'))
-    late = a_job('late', NOW + 1.0)
-    told = []
+    workers.add(make_worker('a'))
+    late = make_job('late', NOW + 1.0)
+    requested = []
     for step in range(20):
         effects = placer.place([late], NOW + step * 0.02)
-        told.append('a' in sent(effects, messages.Want))
-    assert told.count(True) == 2
+        requested.append('a' in sent(effects, messages.Want))
+    assert requested.count(True) == 2
     now = NOW + 0.4
-    urgent = a_job('urgent', now + 0.1)
+    urgent = make_job('urgent', now + 0.1)
     effects = placer.place([urgent, late], now)
     assert sent(effects, messages.Want)['a'][0].count == 2
 
 
-def test_a_grant_s_answer_says_what_still_waits(workers, placer):
-    """An agent keeps freed room for an entry that waits with two tasks.
+def test_the_answer_to_a_grant_contains_the_remaining_want(workers, placer):
+    """An agent reserves capacity for an entry with two waiting tasks.
 
-    Told of the rest only later, it would give the next room to others.
+    If the entry requested the rest only later, the agent would grant the next
+    capacity to others.
     """
-    worker = a_worker('a')
+    worker = make_worker('a')
     workers.add(worker)
-    job = a_job('j', NOW + 0.1, tasks=2)
+    job = make_job('j', NOW + 0.1, tasks=2)
     placer.place([job], NOW)
     room = messages.Room(1, True, 'p', (), TASK + TASK, TASK, grant=7, taken=0)
-    placer.take_room(worker, room)
+    placer.store_room(worker, room)
     effects = placer.place([job], NOW + 0.01)
     (starts,) = sent(effects, messages.StartRuns)['a']
     assert (starts.grant, len(starts.runs)) == (7, 1)
     assert starts.want.count == 1
     room = dataclasses.replace(room, taken=1)
-    placer.take_room(worker, room)
+    placer.store_room(worker, room)
     (starts,) = sent(placer.place([job], NOW + 0.02), messages.StartRuns)['a']
     assert starts.want == messages.NO_WANT
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -11,9 +11,9 @@
 NOBODY: frozenset = frozenset()
 
 
-def a_worker(name, free=64.0, cost=1.0, **room):
+def make_worker(name, free=64.0, cost=1.0, **room):
     worker = pool.Worker(name, 1, 'z', '', renewed_at=NOW)
-    told = messages.Room(
+    update = messages.Room(
         1,
         room.get('open', True),
         room.get('pool', 'p'),
@@ -22,12 +22,12 @@
         types.Needs(free, 4096, 0),
         cost=cost,
     )
-    worker.take_room(told)
+    worker.update_room(update)
     return worker
 
 
 def pick(found, needs, avoid):
-    """The worker of a round with just these."""
+    """Return the worker for a task in a round with just these workers."""
     return pool.Candidates(found, random.Random(1)).pick(needs, avoid)
 
 
@@ -37,78 +37,80 @@
 
 
 def test_only_open_and_fresh_workers_of_the_pool_are_used(workers):
-    """A frozen machine renews nothing; work sent there would be lost."""
-    silent = a_worker('silent')
-    silent.renewed_at = NOW - pool.FRESH_SECONDS - 0.01
+    """A frozen machine renews nothing; runs sent there would be lost."""
+    silent = make_worker('silent')
+    silent.renewed_at = NOW - pool.MAX_RENEWAL_AGE_SECONDS - 0.01
     for worker in (
-        a_worker('good', labels=('a',)),
-        a_worker('closed', open=False),
-        a_worker('other', pool='q'),
+        make_worker('good', labels=('a',)),
+        make_worker('closed', open=False),
+        make_worker('other', pool='q'),
         silent,
     ):
         workers.add(worker)
-    assert [one.name for one in workers.usable('p', '', NOW)] == ['good']
-    assert workers.usable('p', 'b', NOW) == []
-    assert len(workers.usable('p', 'a', NOW)) == 1
+    assert [one.name for one in workers.usable_workers('p', '', NOW)] == [
+        'good'
+    ]
+    assert workers.usable_workers('p', 'b', NOW) == []
+    assert len(workers.usable_workers('p', 'a', NOW)) == 1
 
 
 def test_a_task_goes_where_it_fits():
-    full = a_worker('full', free=3.0)
-    empty = a_worker('empty')
+    full = make_worker('full', free=3.0)
+    empty = make_worker('empty')
     assert pick([full, empty], TASK, NOBODY) is empty
     assert pick([full], TASK, NOBODY) is None
 
 
-def test_what_was_sent_counts_until_the_agent_has_seen_it():
-    """Room told by an agent is older than the starts on their way there."""
-    worker = a_worker('a', free=10.0)
-    worker.bind(('job', 0), 1, TASK)
+def test_starts_in_transit_reduce_the_free_capacity():
+    """An agent's update doesn't include the starts that are in transit."""
+    worker = make_worker('a', free=10.0)
+    worker.reserve(('job', 0), 1, TASK)
     assert worker.free.cpu == 4.0
-    told = messages.Room(
+    update = messages.Room(
         1, True, 'p', (), types.Needs(), types.Needs(4.0, 4096, 0), taken=1
     )
-    worker.take_room(told)
+    worker.update_room(update)
     assert worker.free.cpu == 4.0
 
 
 def test_a_slow_worker_gets_nothing_while_others_have_room():
-    """A worker turned six times slower and is always free by it."""
-    slow = a_worker('slow', cost=6.0)
-    others = [a_worker('a', free=10.0), a_worker('b', free=10.0)]
+    """A worker became six times slower and is always free therefore."""
+    slow = make_worker('slow', cost=6.0)
+    others = [make_worker('a', free=10.0), make_worker('b', free=10.0)]
     for _ in range(20):
         found = pick([slow, *others], TASK, NOBODY)
         assert found is not slow
 
 
 def test_a_recovering_worker_gets_one_task_at_a_time():
-    others = [a_worker('a', free=0.0), a_worker('b', free=0.0)]
-    trying = a_worker('trying', cost=2.0)
+    others = [make_worker('a', free=0.0), make_worker('b', free=0.0)]
+    trying = make_worker('trying', cost=2.0)
     assert pick([trying, *others], TASK, NOBODY) is trying
-    trying.placed['job', 0] = pool.Placed(1, TASK)
+    trying.placed['job', 0] = pool.PlacedRun(1, TASK)
     assert pick([trying, *others], TASK, NOBODY) is None
 
 
-def test_what_is_slow_everywhere_is_the_jobs_own_doing():
-    """Hopeless jobs fail on all workers; none may be taken out for it."""
-    found = [a_worker(name, cost=5.0) for name in 'abc']
+def test_jobs_that_are_slow_everywhere_exclude_no_worker():
+    """Jobs that fail on all workers must not exclude any of them."""
+    found = [make_worker(name, cost=5.0) for name in 'abc']
     assert pick(found, TASK, NOBODY) is not None
 
 
 def test_a_worker_where_the_task_failed_is_avoided():
-    first, second = a_worker('a'), a_worker('b')
+    first, second = make_worker('a'), make_worker('b')
     avoid = frozenset({'a'})
     assert pick([first, second], TASK, avoid) is second
 
 
 def test_a_nearly_full_fast_worker_comes_after_a_slower_one_with_room():
-    """Another entry may have taken its last place since the last news."""
-    nearly_full = a_worker('fast', free=7.0)
-    roomy = a_worker('slow', free=40.0, cost=1.3)
+    """Another entry may have taken its last slot since the last update."""
+    nearly_full = make_worker('fast', free=7.0)
+    roomy = make_worker('slow', free=40.0, cost=1.3)
     assert pick([nearly_full, roomy], TASK, NOBODY) is roomy
     assert pick([nearly_full], TASK, NOBODY) is nearly_full
 
 
 def test_of_workers_with_room_the_faster_is_taken():
-    fast = a_worker('fast', free=20.0)
-    slow = a_worker('slow', free=64.0, cost=1.3)
+    fast = make_worker('fast', free=20.0)
+    slow = make_worker('slow', free=64.0, cost=1.3)
     assert pick([slow, fast], TASK, NOBODY) is fast
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -1,4 +1,4 @@
-"""Entries and agents of repeatable jobs together, under failure."""
+"""Entries and agents of repeatable jobs together, with faults."""
 
 import random
 
@@ -15,114 +15,115 @@
 COMPLETE = jobs.Verdict.COMPLETE
 
 
-def played(seed=0, **parts):
-    """A world whose agents and entries have met."""
+def make_world(seed=0, **parts):
+    """Return a world in which agents and entries are connected."""
     world = repeatable_world.World(seed=seed, **parts)
     world.run(2.0)
     return world
 
 
 def test_a_job_is_answered_when_its_last_task_has_ended():
-    world = played()
-    world.submit(repeatable_world.a_job('j', tasks=5))
+    world = make_world()
+    world.submit(repeatable_world.make_job('j', tasks=5))
     world.run(1.5)
     assert world.answers['j'].verdict is COMPLETE
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_the_longest_chain_of_leases_ends_before_callers_come_back():
+def test_the_longest_chain_of_leases_ends_before_callers_retry():
     """An entry dies just after it renewed, and the agent just after that.
 
-    A caller hands its job in again 1.3 s later; were the old runs still
-    going on then, its quote would be filed twice.
+    A caller submits its job again 1.3 s later; if the old runs still continued
+    then, its quote would be filed twice.
     """
     assert leases.OVER_SECONDS < repeatable_world.RESEND_SECONDS
 
 
 def test_a_killed_entry_s_job_is_done_once_at_another():
-    """The entry is killed in the middle of a job; its caller asks another.
+    """The entry is killed during a job; its caller uses another one.
 
-    The caller notices a broken connection and 1.3 s of waiting.
+    The caller gets a broken connection and waits 1.3 s.
     """
-    world = played()
-    world.submit(repeatable_world.a_job('j', 6, expected=0.4), to='entry-0')
+    world = make_world()
+    world.submit(repeatable_world.make_job('j', 6, expected=0.4), to='entry-0')
     world.run(0.03)
     world.kill('entry-0', back_after=5.0)
     world.run(4.0)
     assert world.answers['j'].verdict is COMPLETE
-    assert not world.double
+    assert not world.double_runs
 
 
 def test_entry_and_agent_dying_together_never_leave_two_runs():
-    """Both ends of a lease die at once, and only the worker can end a run.
+    """Both holders of a lease die at once, and only the worker is left.
 
-    The worker's own lease has to run out before the caller is back.
+    The worker's own lease has to expire before the caller retries.
     """
-    world = played(agents=2)
+    world = make_world(agents=2)
     for worker in world.workers.values():
         worker.slowness = 20.0
-    world.submit(repeatable_world.a_job('j', 4, expected=3.0), to='entry-0')
+    world.submit(repeatable_world.make_job('j', 4, expected=3.0), to='entry-0')
     world.run(0.5)
     for name in ('entry-0', 'agent-0', 'agent-1'):
         world.kill(name, back_after=0.3)
     world.run(3.0)
-    assert not world.double
+    assert not world.double_runs
 
 
 def test_a_frozen_agent_s_tasks_run_again_elsewhere():
-    """An agent stands still for three seconds with runs at its worker.
+    """An agent is suspended for three seconds with runs at its worker.
 
-    Its worker's lease runs out, and the entry starts the tasks elsewhere;
-    when the agent thaws, what waited for it must not start any more.
+    Its worker's lease expires, and the entry starts the tasks elsewhere; when
+    the agent continues, the starts that arrived meanwhile must not be carried
+    out.
     """
-    world = played()
-    spec = repeatable_world.a_job('j', 9, expected=0.4)
+    world = make_world()
+    spec = repeatable_world.make_job('j', 9, expected=0.4)
     world.submit(spec, to='entry-0')
     world.run(0.01)
     world.freeze('agent-0', 3.0)
     world.run(2.5)
     assert world.answers['j'].verdict is COMPLETE
     world.run(3.0)
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_a_frozen_entry_lets_no_run_go_on_twice():
-    """An entry stands still for two seconds with a job's runs going on.
+def test_a_frozen_entry_causes_no_second_run():
+    """An entry is suspended for two seconds while a job's runs continue.
 
-    The agents end the runs as nobody renews them; the caller, whose
-    connection is open, gets its answer once the entry goes on.
+    The agents stop the runs as nobody renews their lease; the caller, whose
+    connection is open, gets its answer once the entry continues.
     """
-    world = played()
-    world.submit(repeatable_world.a_job('j', 6, expected=0.4), to='entry-0')
+    world = make_world()
+    world.submit(repeatable_world.make_job('j', 6, expected=0.4), to='entry-0')
     world.run(0.02)
     world.freeze('entry-0', 2.0)
     world.run(5.0)
     assert world.answers['j'].verdict is COMPLETE
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_a_cut_between_entry_and_agent_costs_time_but_no_second_run():
-    """Nothing passes between an entry and one agent, and neither is told."""
-    world = played(entries=1, agents=2)
-    world.submit(repeatable_world.a_job('j', 6, expected=0.4))
+def test_a_cut_between_entry_and_agent_causes_no_second_run():
+    """All messages between an entry and one agent are lost without error."""
+    world = make_world(entries=1, agents=2)
+    world.submit(repeatable_world.make_job('j', 6, expected=0.4))
     world.run(0.02)
     world.cut('entry-0', 'agent-0', 4.0)
     world.run(4.0)
     assert world.answers['j'].verdict is COMPLETE
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_what_comes_in_one_turn_is_placed_by_one_message_an_agent():
-    """Many jobs come at once, as after a balancer's or a loop's pause.
+def test_jobs_of_one_loop_iteration_are_placed_by_one_message_per_agent():
+    """Many jobs arrive at once, as after a pause of a balancer or a loop.
 
-    With a round of placing for each, an entry of half a core is busy with
-    rounds alone while its callers and its leases wait.
+    With a placement round for each, an entry with half a core would do nothing
+    else while its callers and its leases wait.
     """
-    world = played(entries=1, agents=2)
+    world = make_world(entries=1, agents=2)
     node = world.nodes['entry-0']
     sent = []
     for number in range(10):
-        spec = repeatable_world.a_job(f'j{number}', 1)
+        spec = repeatable_world.make_job(f'j{number}', 1)
         call = next(world.calls)
         world.waiting[call] = (node.name, spec)
         event = events.JobArrived(call, spec)
@@ -142,31 +143,31 @@
 
 
 def test_a_start_without_an_answer_costs_less_than_a_short_job_s_slack():
-    """A worker leaves orders without an answer and carries them out late.
+    """A worker doesn't answer requests and carries them out late.
 
-    A task whose start was lost is started at the same worker once more;
-    tried elsewhere only after the order was given up, it would be late.
+    A task whose start was lost is started at the same worker once more; if it
+    were placed elsewhere only after a timeout, it would be late.
     """
-    world = played()
-    world.lose_orders = 1.0
-    spec = repeatable_world.a_job('j', 2, expected=0.1)
+    world = make_world()
+    world.loss_rate = 1.0
+    spec = repeatable_world.make_job('j', 2, expected=0.1)
     longest = max(world.seconds(task.name) for task in spec.tasks)
     world.submit(spec)
     world.run(0.01)
-    world.lose_orders = 0.0
+    world.loss_rate = 0.0
     world.run(longest + 0.09)
     assert world.answers['j'].verdict is COMPLETE
     world.run(15.0)
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_an_entry_that_is_away_is_replaced_and_taken_back():
-    """One of an agent's entries is gone for long; others are strange to it.
+def test_an_entry_that_is_away_is_replaced_and_restored():
+    """One of an agent's entries is gone for long, so another replaces it.
 
-    Its workers would serve fewer callers than they could; once the entry is
-    back, the substitute's runs end well before it is left.
+    Otherwise its workers would serve fewer callers than they could; once the
+    entry is back, the substitute's runs end before it is disconnected.
     """
-    world = played(entries=7, agents=3, listed=True)
+    world = make_world(entries=7, agents=3, listed=True)
 
     def served(agent):
         return {
@@ -183,40 +184,42 @@
     world.kill(lost, back_after=8.0)
     world.run(4.0)
     (substitute,) = served('agent-0') - before
-    world.submit(repeatable_world.a_job('j', 4, expected=0.3), to=substitute)
+    world.submit(
+        repeatable_world.make_job('j', 4, expected=0.3), to=substitute
+    )
     world.run(5.5)
     assert world.answers['j'].verdict is COMPLETE
     world.run(3.0)
     assert served('agent-0') == before
-    assert not world.double
+    assert not world.double_runs
 
 
-def test_an_agent_that_knows_no_operator_s_row_starts_nothing():
-    """An agent is restarted while the store is away and its zone is closed.
+def test_an_agent_without_operator_rows_starts_nothing():
+    """An agent restarts while the store is unavailable and its zone closed.
 
-    It can't know that; were it to start tasks, work would go on in a zone
-    that operators took out long ago.
+    The agent can't read that the zone is closed; if it started tasks, work
+    would continue in a zone that operators closed long ago.
     """
-    world = played(entries=1, agents=1)
+    world = make_world(entries=1, agents=1)
     world.store_away = True
     world.kill('agent-0', back_after=0.3)
     world.run(3.0)
-    world.submit(repeatable_world.a_job('j', 1, expected=0.2))
+    world.submit(repeatable_world.make_job('j', 1, expected=0.2))
     world.run(0.1)
     assert not world.workers['agent-0'].runs
     assert not world.ever_started
     world.feed('agent-0', events.ZonesClosed(frozenset({'other'})))
     world.run(0.5)
-    world.submit(repeatable_world.a_job('k', 1, expected=0.2))
+    world.submit(repeatable_world.make_job('k', 1, expected=0.2))
     world.run(1.0)
     assert world.answers['k'].verdict is COMPLETE
 
 
-def test_a_caller_who_leaves_frees_the_room():
-    """A caller gives up; going on with its tasks would keep others waiting."""
-    world = played(entries=1, agents=1)
+def test_a_caller_that_leaves_releases_its_capacity():
+    """A caller gives up; if its tasks continued, other callers would wait."""
+    world = make_world(entries=1, agents=1)
     world.workers['agent-0'].slowness = 10.0
-    world.submit(repeatable_world.a_job('j', 8, expected=3.0))
+    world.submit(repeatable_world.make_job('j', 8, expected=3.0))
     world.run(0.1)
     assert world.workers['agent-0'].runs
     world.leave('j')
@@ -224,31 +227,31 @@
     assert not world.workers['agent-0'].runs
 
 
-def test_a_lost_order_is_not_carried_out_late_beside_its_retry():
-    """A worker leaves an order unanswered and carries it out seconds later.
+def test_a_lost_start_is_not_carried_out_late_beside_its_retry():
+    """A worker doesn't answer a start and carries it out seconds later.
 
-    The task has long run elsewhere by then, perhaps still does.
+    The task has run elsewhere by then, or is still running.
     """
-    world = played(agents=2)
-    world.lose_orders = 0.4
+    world = make_world(agents=2)
+    world.loss_rate = 0.4
     for number in range(20):
-        world.submit(repeatable_world.a_job(f'j{number}', 3, expected=0.3))
+        world.submit(repeatable_world.make_job(f'j{number}', 3, expected=0.3))
         world.run(0.3)
-    world.lose_orders = 0.0
+    world.loss_rate = 0.0
     world.run(15.0)
-    assert not world.double
+    assert not world.double_runs
 
 
 def test_a_worker_that_fails_all_gets_little_work():
-    """A worker fails what it starts, and is always free by doing so.
+    """A worker fails its runs, and is always free for that reason.
 
-    Its tasks run again elsewhere, up to the job's attempts; without a
-    memory of how it did, most jobs of all callers would fail with it.
+    Its tasks run again elsewhere, up to the job's attempts; without a record
+    of its failures, most jobs of all callers would fail with it.
     """
-    world = played()
+    world = make_world()
     world.workers['agent-0'].fails = True
     for number in range(60):
-        world.submit(repeatable_world.a_job(f'j{number}', 2, expected=0.2))
+        world.submit(repeatable_world.make_job(f'j{number}', 2, expected=0.2))
         world.run(0.1)
     world.run(3.0)
     verdicts = [answer.verdict for answer in world.answers.values()]
@@ -256,15 +259,15 @@
     assert verdicts.count(COMPLETE) >= 55
 
 
-def test_overload_is_refused_at_once_and_truly():
-    """Four times more work comes than one worker can do.
+def test_overload_is_refused_at_once_and_correctly():
+    """Four times more work arrives than one worker can do.
 
-    What can't be in time is refused with a time to come back, and what is
-    let in is answered in time mostly.
+    A job that can't end in time is refused with a time to retry, and most
+    admitted jobs are answered in time.
     """
-    world = played(entries=1, agents=1)
+    world = make_world(entries=1, agents=1)
     for number in range(100):
-        world.submit(repeatable_world.a_job(f'j{number}', 8, expected=0.25))
+        world.submit(repeatable_world.make_job(f'j{number}', 8, expected=0.25))
         world.run(0.05)
     world.run(5.0)
     refused = [
@@ -274,29 +277,29 @@
     ]
     assert len(refused) >= 50
     assert all(answer.retry_after >= 1.0 for answer in refused)
-    assert not world.untrue
+    assert not world.false_refusals
     served = len(world.answers) - len(refused)
     assert served >= 15
 
 
-def test_a_stopping_entry_answers_all_that_it_took():
+def test_a_stopping_entry_answers_all_accepted_jobs():
     """An entry is asked to stop while callers still use its connections."""
-    world = played()
-    world.submit(repeatable_world.a_job('a', 3), to='entry-0')
+    world = make_world()
+    world.submit(repeatable_world.make_job('a', 3), to='entry-0')
     world.feed('entry-0', core.StopRequested())
-    world.submit(repeatable_world.a_job('b', 3), to='entry-0')
+    world.submit(repeatable_world.make_job('b', 3), to='entry-0')
     world.run(4.0)
     assert world.answers['a'].verdict is COMPLETE
     assert world.answers['b'].verdict is COMPLETE
 
 
-def test_a_job_handed_in_again_is_joined_at_its_entry():
-    """A caller hands its job in again while the first request still waits.
+def test_a_job_submitted_again_joins_the_first_request():
+    """A caller submits its job again while the first request still waits.
 
     Both requests get the one answer, and no task runs twice for it.
     """
-    world = played()
-    spec = repeatable_world.a_job('j', 4, expected=0.4)
+    world = make_world()
+    spec = repeatable_world.make_job('j', 4, expected=0.4)
     world.submit(spec, to='entry-0')
     world.run(0.05)
     world.submit(spec, to='entry-0')
@@ -308,14 +311,14 @@
 
 
 def test_a_job_that_comes_after_the_last_answer_is_refused():
-    """A caller uses its open connection in the moment a process ends.
+    """A caller uses its open connection at the moment a process exits.
 
-    The job would be cut off with the process; it is told "not run" instead.
+    The job would be cut off with the process; its answer is "not run" instead.
     """
-    world = played()
+    world = make_world()
     world.feed('entry-0', core.StopRequested())
     world.run(4.0)
-    world.submit(repeatable_world.a_job('j', 1), to='entry-0')
+    world.submit(repeatable_world.make_job('j', 1), to='entry-0')
     world.run(0.01)
     assert world.answers['j'].verdict is jobs.Verdict.NOT_RUN
 
@@ -323,8 +326,8 @@
 FAULTS = ('kill', 'freeze', 'cut', 'orders', 'crash', 'slow', 'leave')
 
 
-def a_fault(world, rng, number):
-    """Bring some trouble about."""
+def inject_fault(world, rng, number):
+    """Inject a random fault."""
     names = list(world.nodes)
     kind = rng.choice(FAULTS)
     if kind == 'kill':
@@ -336,7 +339,7 @@
         other = rng.choice(world.agents()).name
         world.cut(one, other, rng.uniform(0.2, 3.0))
     elif kind == 'orders':
-        world.lose_orders = rng.choice((0.0, 0.05, 0.3))
+        world.loss_rate = rng.choice((0.0, 0.05, 0.3))
     elif kind == 'crash':
         rng.choice(list(world.workers.values())).restart()
     elif kind == 'slow':
@@ -346,40 +349,42 @@
         world.leave(f'j{rng.randrange(max(1, number))}')
 
 
-# Seed 12: an agent was started again, and the end of a run of its earlier life
+# Seed 12: an agent restarted, and the end of a run of its earlier incarnation
 # was taken for the end of the task's next run there, so that it ran twice.
 @pytest.mark.parametrize('seed', range(40))
-def test_no_history_has_two_runs_of_a_task_at_a_time(seed):
-    """Kills, freezes, cuts, lost orders and crashes come one on another.
+def test_random_faults_never_cause_two_runs_of_a_task(seed):
+    """Kills, freezes, cuts, lost requests and crashes follow one another.
 
-    Whatever comes, no task has two runs at a time, and no job that was
+    In any sequence, no task has two runs at a time, and no job that was
     refused as not run has been started.
     """
-    _play_history(played(seed=seed), seed)
+    _simulate_history(make_world(seed=seed), seed)
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_no_history_has_two_runs_where_agents_serve_a_few_entries(seed):
-    """Faults come one on another while agents change the entries they serve.
+def test_random_faults_never_cause_two_runs_with_few_served_entries(seed):
+    """Faults occur while agents change the entries that they serve.
 
-    An entry that is away is replaced and comes back; what runs for it and
-    for its substitute must never be the same task, and none may get lost.
+    An entry that is away is replaced and comes back; it and its substitute
+    must never run the same task, and no task may be lost.
     """
-    _play_history(played(seed=seed, entries=7, agents=5, listed=True), seed)
+    _simulate_history(
+        make_world(seed=seed, entries=7, agents=5, listed=True), seed
+    )
 
 
-def _play_history(world, seed):
+def _simulate_history(world, seed):
     rng = random.Random(seed)
     for number in range(80):
         if rng.random() < 0.35:
-            a_fault(world, rng, number)
+            inject_fault(world, rng, number)
         expected = rng.choice((0.1, 0.3, 1.0))
         world.submit(
-            repeatable_world.a_job(
+            repeatable_world.make_job(
                 f'j{number}', rng.randint(1, 8), world.now + 4.0, expected
             )
         )
         world.run(rng.uniform(0.01, 0.3))
     world.run(10.0)
-    assert not world.double
-    assert not world.untrue
+    assert not world.double_runs
+    assert not world.false_refusals
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Runs that take far too long are found, each when it is due."""
+"""Detection of stuck runs, each at the time when it is due."""
 
 import random
 
@@ -28,7 +28,9 @@
     workers = pool.Pool(random.Random(1))
     for name in ('slow', 'sound'):
         worker = pool.Worker(name, 1, 'z', '', renewed_at=NOW + 60.0)
-        worker.take_room(messages.Room(1, True, 'p', (), NEEDS + NEEDS, NEEDS))
+        worker.update_room(
+            messages.Room(1, True, 'p', (), NEEDS + NEEDS, NEEDS)
+        )
         workers.add(worker)
     return stragglers.Stragglers(workers, estimator)
 
@@ -46,17 +48,17 @@
         deadline=NOW + 60.0,
     )
     found = owned.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
-    found.release()
+    found.queue_ready_tasks()
     for record in found.records:
         record.state = owned.TaskState.PLACED
         record.agent = 'slow'
         record.placed_at = NOW
-    found.begin(NOW)
+    found.mark_started(NOW)
     return found
 
 
-def found_at(finder, job, until):
-    """When a run was first found, looking every 50 ms."""
+def find_delay(finder, job, until):
+    """Return when a run was first found, with a check every 50 ms."""
     now = NOW
     while now < until:
         if finder.find(job, now):
@@ -66,35 +68,35 @@
 
 
 def test_a_run_is_found_when_it_has_taken_too_long(finder, job):
-    """A worker stands still with both tasks of a job.
+    """A worker hangs with both tasks of a job.
 
-    Their caller would wait until it leaves; looked for too seldom, the runs
-    would be moved after the caller's objective has passed.
+    Their caller would wait until it gives up; with checks that are too rare,
+    the runs would be moved after the caller's objective has passed.
     """
-    limit = stragglers.STRAGGLER_RATIO * stragglers.UNSURE_RATIO * SECONDS
+    limit = stragglers.STRAGGLER_RATIO * stragglers.NO_SIBLING_FACTOR * SECONDS
     limit += stragglers.STRAGGLER_SPARE_SECONDS
-    assert limit <= found_at(finder, job, NOW + 10.0) <= limit + 0.1
+    assert limit <= find_delay(finder, job, NOW + 10.0) <= limit + 0.1
 
 
-def test_a_sibling_s_end_brings_the_moment_nearer(finder, job):
-    """One of two tasks has ended in its time, the other stands still.
+def test_a_finished_sibling_shortens_the_limit(finder, job):
+    """One of two tasks has ended in time, the other hangs.
 
-    What it should take is known now, and half as long is waited for it.
+    The expected run time is known now, so the limit is half as long.
     """
     assert finder.find(job, NOW + 0.1) == []
-    job.end(0, SECONDS)
+    job.mark_finished(0, SECONDS)
     limit = stragglers.STRAGGLER_RATIO * SECONDS
     limit += stragglers.STRAGGLER_SPARE_SECONDS
-    assert limit <= found_at(finder, job, NOW + 10.0) <= limit + 0.1
+    assert limit <= find_delay(finder, job, NOW + 10.0) <= limit + 0.1
 
 
-def test_a_calm_job_is_looked_at_four_times_a_second(finder, job):
-    """Hundreds of jobs are open, each looked at twenty times a second.
+def test_a_calm_job_is_checked_four_times_a_second(finder, job):
+    """Hundreds of jobs are open, each checked twenty times a second.
 
-    In the mean of a calm play that took 5% of an entry's time.
+    Such checks took 5% of an entry's time on average under a calm load.
     """
-    looks = []
+    checks = []
     placed = job.placed
-    job.placed = lambda: looks.append(1) or placed()
-    found_at(finder, job, NOW + 1.0)
-    assert len(looks) <= 1.0 / stragglers.LOOK_SECONDS + 1
+    job.placed = lambda: checks.append(1) or placed()
+    find_delay(finder, job, NOW + 1.0)
+    assert len(checks) <= 1.0 / stragglers.CHECK_SECONDS + 1
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -16,69 +16,68 @@
 STEPS_A_SECOND = 100
 
 
-def news_heard(agents):
-    """Broadcasts a second that an entry hears of each agent's busy worker."""
-    room = sharing.Sharing()
-    room.resize(types.Needs(64.0, 4096, 0))
-    tells = telling.Telling(1, room, health.Health())
+def count_updates(agents):
+    """Return the updates per second that an entry gets from one busy agent."""
+    capacity = sharing.SharedCapacity()
+    capacity.resize(types.Needs(64.0, 4096, 0))
+    publisher = telling.Publisher(1, capacity, health.Health())
     owner = runs.Owner('entry', 1, agents=agents)
-    heard = 0
+    count = 0
     for step in range(SECONDS * STEPS_A_SECOND):
         now = NOW + step / STEPS_A_SECOND
         if step % 2:
-            room.give_back(TASK)
+            capacity.release(TASK)
         else:
-            room.take(TASK)
-        effects = tells.share(None, True, {'entry': owner}, now)
-        heard += sum(
+            capacity.acquire(TASK)
+        effects = publisher.publish(None, True, {'entry': owner}, now)
+        count += sum(
             isinstance(one, core.Send)
             and isinstance(one.message, messages.Room)
             for one in effects
         )
-    return heard / SECONDS
+    return count / SECONDS
 
 
 @pytest.mark.parametrize('agents', [1, 11, 52, 300])
-def test_an_entry_hears_no_more_news_the_more_agents_there_are(agents):
-    """An entry listens to hundreds of agents whose workers are all busy.
+def test_updates_per_entry_do_not_grow_with_the_number_of_agents(agents):
+    """An entry is connected to hundreds of agents with busy workers.
 
-    Were each to tell of its room as often as where there are few, the entry
-    would spend all its time on news, its leases would lapse, and its
+    If each sent updates as often as where there are few agents, the entry
+    would spend all its time on updates, its leases would expire, and its
     callers' jobs would start over and over.
     """
-    assert 1.0 <= news_heard(agents) * agents <= 380.0
+    assert 1.0 <= count_updates(agents) * agents <= 380.0
 
 
-def test_that_a_worker_may_be_used_is_told_at_once():
-    """A worker came up, and its first list shows that nothing runs there.
+def test_an_opened_worker_is_published_at_once():
+    """A worker started, and its first list shows that no run is left there.
 
-    After a loss of power all callers wait for that, and the news of its
-    room, a moment before, must not hold it up.
+    After a power loss all callers wait for that, and the update on its
+    capacity, a moment before, must not delay it.
     """
-    room = sharing.Sharing()
-    tells = telling.Telling(1, room, health.Health())
+    capacity = sharing.SharedCapacity()
+    publisher = telling.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
-    assert tells.share(None, False, owners, NOW)
-    room.resize(TASK)
-    assert tells.share(None, False, owners, NOW + 0.001) == []
-    (told,) = tells.share(None, True, owners, NOW + 0.002)
-    assert told.message.open
-    assert told.message.free == TASK
+    assert publisher.publish(None, False, owners, NOW)
+    capacity.resize(TASK)
+    assert publisher.publish(None, False, owners, NOW + 0.001) == []
+    (update,) = publisher.publish(None, True, owners, NOW + 0.002)
+    assert update.message.open
+    assert update.message.free == TASK
 
 
-def play(rng, places, seconds):
-    """An entry and others start and end runs at one worker.
+def simulate(rng, places, seconds):
+    """Simulate an entry and others that start and end runs at one worker.
 
-    :returns: how long, at a stretch, the entry counted on other places than
-        there were, and on other cores; and the news it heard for a start or
-        an end.
+    :returns: the longest time for which the entry assumed a wrong number of
+        slots, and a wrong number of cores; and the updates per start or end.
     """
-    room = sharing.Sharing()
-    room.resize(types.Needs(places * 6.0, places * 64, 0))
-    tells = telling.Telling(1, room, health.Health())
+    capacity = sharing.SharedCapacity()
+    capacity.resize(types.Needs(places * 6.0, places * 64, 0))
+    publisher = telling.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
-    counted = types.Needs()
-    running, changes, news = 0, 0, 0
+    assumed = types.Needs()
+    running, changes, updates = 0, 0, 0
     off = {'places': 0.0, 'cores': 0.0}
     longest = dict(off)
     for step in range(int(seconds * 1000)):
@@ -86,73 +85,78 @@
         what = rng.random()
         before = running
         if what < 0.02 and running < places:
-            running += room.take(TASK)
+            running += capacity.acquire(TASK)
             if rng.random() < 0.25:
-                counted = counted - TASK
-                tells.start_sent('entry', TASK)
+                assumed = assumed - TASK
+                publisher.subtract_start('entry', TASK)
         elif what < 0.04 and running:
             running -= 1
-            room.give_back(TASK)
+            capacity.release(TASK)
         changes += running != before
-        for effect in tells.share(None, True, owners, now):
-            counted = effect.message.free
-            news += 1
+        for effect in publisher.publish(None, True, owners, now):
+            assumed = effect.message.free
+            updates += 1
         wrong = {
-            'places': max(0.0, counted.cpu) != room.free.cpu,
-            'cores': counted != room.free,
+            'places': max(0.0, assumed.cpu) != capacity.free.cpu,
+            'cores': assumed != capacity.free,
         }
         for name, is_wrong in wrong.items():
             off[name] = off[name] + 0.001 if is_wrong else 0.0
             longest[name] = max(longest[name], off[name])
-    return longest, news / changes
+    return longest, updates / changes
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_an_entry_is_soon_told_of_what_matters(seed):
-    """An entry that counts on places that are gone starts there in vain.
+def test_significant_changes_are_published_soon(seed):
+    """An entry that assumes slots that are used sends starts in vain.
 
-    One that isn't told of those that came lets its callers wait.
+    If it doesn't learn of released ones, its callers wait.
     """
-    longest, _ = play(random.Random(seed), 3, 20.0)
-    assert longest['places'] <= telling.TELL_SECONDS + 0.002
-    longest, _ = play(random.Random(seed), 40, 20.0)
-    assert longest['cores'] <= telling.STALE_SECONDS + 0.002
+    longest, _ = simulate(random.Random(seed), 3, 20.0)
+    assert longest['places'] <= telling.MIN_UPDATE_SECONDS + 0.002
+    longest, _ = simulate(random.Random(seed), 40, 20.0)
+    assert longest['cores'] <= telling.MAX_STALE_SECONDS + 0.002
 
 
-def test_an_entry_is_not_told_of_each_place_where_there_are_many():
-    """Tasks start and end 40 times a second at a worker that is half empty.
+def test_single_slots_are_not_published_where_there_are_many():
+    """Tasks start and end 40 times a second at a half empty worker.
 
-    An entry that heard of each would have no time for its callers.
+    An entry that got an update for each would have no time for its callers.
     """
-    _, news = play(random.Random(1), 40, 20.0)
-    assert news <= 0.5
+    _, updates = simulate(random.Random(1), 40, 20.0)
+    assert updates <= 0.5
 
 
-def test_an_entry_that_counts_on_nothing_is_told_what_is_free():
-    """An entry answered a grant or was refused; its agent has room again."""
-    room = sharing.Sharing()
-    room.resize(types.Needs(60.0, 640, 0))
-    tells = telling.Telling(1, room, health.Health())
+def test_free_capacity_is_published_after_a_grant_or_refusal():
+    """An entry answered a grant or was refused; capacity is free again."""
+    capacity = sharing.SharedCapacity()
+    capacity.resize(types.Needs(60.0, 640, 0))
+    publisher = telling.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
-    assert tells.share(None, True, owners, NOW)
-    tells.start_sent('entry', TASK)
-    tells.emptied('entry')
-    assert tells.share(None, True, owners, NOW + 0.001) == []
-    later = NOW + telling.TELL_SECONDS + 0.001
-    assert tells.next_at() <= later
-    (told,) = tells.share(None, True, owners, later)
-    assert told.message.free.cpu == 60.0
-
-
-def test_an_entry_is_told_at_once_that_it_gets_no_more_room():
-    """Another entry took its place; what it sent here would be refused."""
-    room = sharing.Sharing()
-    room.resize(TASK)
-    tells = telling.Telling(1, room, health.Health())
+    assert publisher.publish(None, True, owners, NOW)
+    publisher.subtract_start('entry', TASK)
+    publisher.clear_capacity('entry')
+    assert publisher.publish(None, True, owners, NOW + 0.001) == []
+    later = NOW + telling.MIN_UPDATE_SECONDS + 0.001
+    assert publisher.next_due() <= later
+    (update,) = publisher.publish(None, True, owners, later)
+    assert update.message.free.cpu == 60.0
+
+
+def test_a_leaving_entry_gets_an_update_at_once():
+    """Another entry replaced it; starts that it sends would be refused."""
+    capacity = sharing.SharedCapacity()
+    capacity.resize(TASK)
+    publisher = telling.Publisher(1, capacity, health.Health())
     owner = runs.Owner('entry', 1)
-    assert tells.share(None, True, {'entry': owner}, NOW)
-    for leaving, change in ((True, room.leave), (False, room.join)):
+    assert publisher.publish(None, True, {'entry': owner}, NOW)
+    for leaving, change in (
+        (True, capacity.remove_entry),
+        (False, capacity.add_entry),
+    ):
         owner.leaving = leaving
         change('entry')
-        (told,) = tells.share(None, True, {'entry': owner}, NOW + 0.001)
-        assert told.message.open is not leaving
+        (update,) = publisher.publish(
+            None, True, {'entry': owner}, NOW + 0.001
+        )
+        assert update.message.open is not leaving
