--- a/src/agatepick/repeatable/owned.py
+++ b/src/agatepick/repeatable/owned.py
@@ -148,8 +148,8 @@
 
     def slowest(self) -> float:
         """Return the longest run time of the finished tasks."""
-        found = [max(seconds) for seconds in self.run_seconds.values()]
-        return max(found, default=0.0)
+        longest_runs = [max(seconds) for seconds in self.run_seconds.values()]
+        return max(longest_runs, default=0.0)
 
     def started_late(self) -> bool:
         """Return whether queueing alone made a finished job too late.
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -53,13 +53,13 @@
         self, entries: tuple[events.Listed, ...]
     ) -> list[object]:
         """Replace the list of entries, and disconnect those that are gone."""
-        found = {one.name: one for one in entries}
+        listed = {one.name: one for one in entries}
         effects: list[object] = []
         for name in sorted(self._dialled):
-            if found.get(name) != self._entries[name]:
+            if listed.get(name) != self._entries[name]:
                 effects += self._hang_up(name)
                 effects.append(core.note('entry_unlisted', peer=name))
-        self._entries = found
+        self._entries = listed
         self._ranking = self._rank_entries()
         return effects
 
@@ -80,13 +80,13 @@
                 self._away_since.pop(name, None)
             else:
                 self._away_since.setdefault(name, now)
-        wanted = self._wanted(now)
+        served = self._choose_entries(now)
         effects: list[object] = []
-        for name in wanted:
+        for name in served:
             self._leaving_since.pop(name, None)
             if name not in self._dialled:
                 effects += self._dial(name, now)
-        for name in sorted(self._dialled.difference(wanted)):
+        for name in sorted(self._dialled.difference(served)):
             since = self._leaving_since.setdefault(name, now)
             if name in busy:
                 self._leaving_since[name] = now
@@ -95,16 +95,16 @@
                 effects.append(core.note('entry_left', peer=name))
         return effects
 
-    def _wanted(self, now: float) -> list[types.PeerName]:
+    def _choose_entries(self, now: float) -> list[types.PeerName]:
         """Return the first few reachable entries, and the ones before them."""
-        wanted: list[types.PeerName] = []
+        served: list[types.PeerName] = []
         reachable = 0
         for name in self._ranking:
             if reachable == SERVED_ENTRIES:
                 break
-            wanted.append(name)
+            served.append(name)
             reachable += now < self._away_since.get(name, now) + AWAY_SECONDS
-        return wanted
+        return served
 
     def _rank_entries(self) -> list[types.PeerName]:
         by_zone: dict[str, list[types.PeerName]] = {}
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -42,7 +42,7 @@
     """
 
     want: messages.Want | None = None
-    wanted_at: float = 0.0
+    wanted_since: float = 0.0
     grant: int = 0
     granted: types.Needs = types.Needs()
     granted_at: float = 0.0
@@ -51,7 +51,7 @@
     def latest_start(self) -> float:
         """Return the latest start of its first task."""
         slack = self.want.slack if self.want is not None else 0.0
-        return self.wanted_at + slack
+        return self.wanted_since + slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
         share = self._shares.get(entry)
         if share is not None:
             share.want = want if want.count else None
-            share.wanted_at = now
+            share.wanted_since = now
 
     def set_round_trip(self, entry: types.PeerName, trip: float) -> None:
         """Set how long grants to an entry are valid, by its round trip.
@@ -152,7 +152,7 @@
     def issue_grants(self, now: float) -> list[Grant]:
         """Grant free capacity to waiting entries, the most urgent first."""
         self._expire(now)
-        found: list[Grant] = []
+        grants: list[Grant] = []
         while any(share.want for share in self._shares.values()):
             free = self.free
             waiting = [
@@ -161,9 +161,9 @@
                 if _can_grant(share, free)
             ]
             if not waiting:
-                return found
-            found.append(self._grant(min(waiting)[1], free, now))
-        return found
+                return grants
+            grants.append(self._grant(min(waiting)[1], free, now))
+        return grants
 
     def next_expiry(self) -> float | None:
         """Return the instant at which the next grant expires, or ``None``."""
@@ -194,7 +194,7 @@
             if share.grant and now >= share.granted_at + share.grant_seconds:
                 share.grant = 0
                 self.change_count += 1
-            if share.want and now >= share.wanted_at + WANT_TTL_SECONDS:
+            if share.want and now >= share.wanted_since + WANT_TTL_SECONDS:
                 share.want = None
 
 
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -54,8 +54,8 @@
             # The caller would get an error without knowing whether the job
             # ran.
             return False
-        left = self._requested_at + GIVE_UP_SECONDS - now
-        return expected * STRETCH + SPARE_SECONDS <= left
+        remaining = self._requested_at + GIVE_UP_SECONDS - now
+        return expected * STRETCH + SPARE_SECONDS <= remaining
 
     def must_give_up(self, now: float) -> bool:
         """Return whether all open jobs must be answered now."""
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -117,6 +117,8 @@
         """
         record = job.records[index]
         task = job.spec.tasks[index]
-        found = self._pool.candidates(job.spec.route.pool, task.label, now)
+        candidates = self._pool.candidates(
+            job.spec.route.pool, task.label, now
+        )
         avoid = record.avoid | {record.agent}
-        return found.pick(task.needs, avoid) is not None
+        return candidates.pick(task.needs, avoid) is not None
--- a/src/agatepick/repeatable/watching.py
+++ b/src/agatepick/repeatable/watching.py
@@ -55,7 +55,7 @@
         self._backoff = backoff.Backoff(FAILED_PAUSES)
 
     def reset(self, now: float) -> None:
-        """Start anew for another incarnation of the worker."""
+        """Reset the state for another incarnation of the worker."""
         self._pending = 0
         self._next_request_at = now
         self._unanswered_since = None
--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -109,8 +109,8 @@
 
     @property
     def done(self):
-        found = self.answer
-        return found and found.verdict is jobs.Verdict.COMPLETE
+        answer = self.answer
+        return answer and answer.verdict is jobs.Verdict.COMPLETE
 
     @property
     def in_time(self):
@@ -303,13 +303,13 @@
         :param since: submission time of the first callers counted, in seconds.
         :param until: end of the submission time, in seconds.
         """
-        found = [
+        callers = [
             one
             for one in self.callers.values()
             if since <= one.sent_at - repeatable_world.START < until
         ]
-        owed = sum(one.worth for one in found)
-        return sum(one.earned for one in found) / owed
+        owed = sum(one.worth for one in callers)
+        return sum(one.earned for one in callers) / owed
 
     def _apply(self, node, effect):
         if isinstance(effect, core.Send):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -61,30 +61,30 @@
     :param answers: kinds of its answers to the first request, the second and
         so on.
     """
-    found = watching.Watching()
+    timing = watching.Watching()
     now = 0.0
-    found.reset(now)
+    timing.reset(now)
     requests = []
     out = []
     while now < seconds:
         for item in [one for one in out if one[0] <= now]:
             out.remove(item)
             item[1](now)
-        while found.is_due(now) and len(requests) < MAX_REQUESTS:
+        while timing.is_due(now) and len(requests) < MAX_REQUESTS:
             how = answers[len(requests) % len(answers)]
             requests.append(now)
-            found.record_request(watching.WAIT_SECONDS, now)
+            timing.record_request(watching.WAIT_SECONDS, now)
             if how == 'at_once':
-                found.record_answer(now)
+                timing.record_answer(now)
             elif how == 'lists':
-                out.append((now + 0.03, found.record_answer))
+                out.append((now + 0.03, timing.record_answer))
             elif how == 'fails':
-                found.record_failure(now)
+                timing.record_failure(now)
             elif how == 'resets':
-                out.append((now + step, found.record_failure))
+                out.append((now + step, timing.record_failure))
             else:
                 late = now + watching.WAIT_SECONDS + 0.08
-                out.append((late, found.record_failure))
+                out.append((late, timing.record_failure))
         now += step
     return requests
 
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize('seed', [1, 3])
 def test_service_recovers_after_a_burst(seed):
-    """A burst ends, and callers are still refused for good at half the load.
+    """A burst ends, and callers are refused permanently at half the load.
 
     Entries compete for the last slots, and each refused start is sent again
     with its job's payload until an entry's link is saturated. Answers to
--- a/tests/test_busy_world.py
+++ b/tests/test_busy_world.py
@@ -49,8 +49,8 @@
 def test_a_calm_load_is_served_in_time(simulate):
     """At three fifths of the workers' capacity no caller waits."""
     world = simulate(0.6)
-    found = list(world.callers.values())
-    assert sum(one.in_time for one in found) >= 0.99 * len(found)
+    callers = list(world.callers.values())
+    assert sum(one.in_time for one in callers) >= 0.99 * len(callers)
     assert world.earned() >= 0.99
 
 
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -4,43 +4,43 @@
 
 
 def test_notes_are_counted_by_event_and_reason():
-    found = measures.Measures()
+    metrics = measures.Measures()
     for _ in range(3):
-        found.count_note(
+        metrics.count_note(
             core.note('job_refused', job='x', reason='overloaded')
         )
-    text = found.text().decode()
+    text = metrics.text().decode()
     line = 'agatepick_events_total{event="job_refused",reason="overloaded"} 3'
     assert line in text
 
 
 def test_answers_go_into_a_histogram_by_verdict():
-    found = measures.Measures()
+    metrics = measures.Measures()
     ended = core.note('job_ended', verdict='complete', seconds='0.250')
-    found.count_note(ended)
-    text = found.text().decode()
+    metrics.count_note(ended)
+    text = metrics.text().decode()
     assert 'agatepick_job_seconds_count{verdict="complete"} 1.0' in text
     assert 'le="0.2",verdict="complete"} 0.0' in text
 
 
 def test_the_number_of_reasons_is_bounded():
     """A reason with free text would create a series for each request."""
-    found = measures.Measures()
+    metrics = measures.Measures()
     for number in range(1000):
-        found.count_note(core.note('job_refused', reason=f'r{number}'))
-    lines = found.text().decode().count('agatepick_events_total{')
+        metrics.count_note(core.note('job_refused', reason=f'r{number}'))
+    lines = metrics.text().decode().count('agatepick_events_total{')
     assert lines <= measures.MAX_REASONS + 1
 
 
 def test_gauges_are_computed_on_each_scrape():
     """A queue grows between two scrapes; the second one must show it."""
-    found = measures.Measures()
+    metrics = measures.Measures()
     waits = [0.0]
     calls = {('/v1/rows-get', '200'): 3}
-    found.read(lambda: {'longest_wait_seconds': waits[0]}, lambda: calls)
-    assert 'agatepick_longest_wait_seconds 0.0' in found.text().decode()
+    metrics.read(lambda: {'longest_wait_seconds': waits[0]}, lambda: calls)
+    assert 'agatepick_longest_wait_seconds 0.0' in metrics.text().decode()
     waits[0] = 1.5
-    text = found.text().decode()
+    text = metrics.text().decode()
     assert 'agatepick_longest_wait_seconds 1.5' in text
     line = 'agatepick_store_calls_total{call="/v1/rows-get",outcome="200"} 3.0'
     assert line in text
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -56,11 +56,11 @@
 
 def sent(effects, kind):
     """Return the messages of a kind by receiver."""
-    found = collections.defaultdict(list)
+    by_receiver = collections.defaultdict(list)
     for effect in effects:
         if isinstance(effect, core.Send) and isinstance(effect.message, kind):
-            found[effect.peer].append(effect.message)
-    return dict(found)
+            by_receiver[effect.peer].append(effect.message)
+    return dict(by_receiver)
 
 
 def test_capacity_is_requested_from_the_job_s_own_pool(workers, placer):
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -78,8 +78,8 @@
     slow = make_worker('slow', cost=6.0)
     others = [make_worker('a', free=10.0), make_worker('b', free=10.0)]
     for _ in range(20):
-        found = pick([slow, *others], TASK, NOBODY)
-        assert found is not slow
+        choice = pick([slow, *others], TASK, NOBODY)
+        assert choice is not slow
 
 
 def test_a_recovering_worker_gets_one_task_at_a_time():
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -19,9 +19,9 @@
 
 def make_agent(count, name='side-0', zones=4):
     """Return an agent that has dialled its entries, and their names."""
-    found = serving.Serving(name)
-    found.update_entries(entries(count, zones))
-    return found, dialled(found.review(NOW, (), ()))
+    agent = serving.Serving(name)
+    agent.update_entries(entries(count, zones))
+    return agent, dialled(agent.review(NOW, (), ()))
 
 
 def dialled(effects):
@@ -41,9 +41,9 @@
     """Otherwise a zone's entries would share few workers while others idle."""
     served = collections.Counter()
     for name in AGENTS:
-        found = make_agent(8, name)[1]
-        assert len({int(one[2:]) % 4 for one in found}) == 4
-        served.update(found)
+        chosen = make_agent(8, name)[1]
+        assert len({int(one[2:]) % 4 for one in chosen}) == 4
+        served.update(chosen)
     assert len(served) == 8
     assert 15 <= min(served.values())
     assert max(served.values()) <= 37
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -47,14 +47,14 @@
         after=(frozenset(),),
         deadline=NOW + 60.0,
     )
-    found = owned.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
-    found.queue_ready_tasks()
-    for record in found.records:
+    job = owned.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
+    job.queue_ready_tasks()
+    for record in job.records:
         record.state = owned.TaskState.PLACED
         record.agent = 'slow'
         record.placed_at = NOW
-    found.mark_started(NOW)
-    return found
+    job.mark_started(NOW)
+    return job
 
 
 def find_delay(finder, job, until):
