--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -213,7 +213,7 @@
     def _handle_renewed(
         self, owner: runs.Owner, message: messages.Renewed, now: float
     ) -> list[object]:
-        until = message.sent + leases.OWNER_SECONDS
+        until = message.sent + leases.ENTRY_LEASE_SECONDS
         owner.lease_until = max(owner.lease_until, until)
         owner.agents = message.agents
         owner.trip = now - message.sent
--- a/src/agatepick/repeatable/health.py
+++ b/src/agatepick/repeatable/health.py
@@ -44,7 +44,7 @@
 
     def cost(self, now: float) -> float:
         """Return the expected time until a result, over a healthy worker's."""
-        slowness, success = self._faded(now)
+        slowness, success = self._compute_faded(now)
         return slowness / max(success, MIN_SUCCESS_RATE)
 
     def record_end(self, ok: bool, ratio: float, now: float) -> None:
@@ -67,10 +67,10 @@
         self._slowness += SLOWNESS_WEIGHT * (ratio - self._slowness)
 
     def _apply_fade(self, now: float) -> None:
-        self._slowness, self._success_rate = self._faded(now)
+        self._slowness, self._success_rate = self._compute_faded(now)
         self._last_run_at = now
 
-    def _faded(self, now: float) -> tuple[float, float]:
+    def _compute_faded(self, now: float) -> tuple[float, float]:
         """Return slowness and success rate, which approach 1 without runs."""
         decay = math.exp(-max(0.0, now - self._last_run_at) / FADE_SECONDS)
         slowness = 1.0 + (self._slowness - 1.0) * decay
--- a/src/agatepick/repeatable/leases.py
+++ b/src/agatepick/repeatable/leases.py
@@ -11,19 +11,19 @@
 extends the worker's lease just before its lease from the entry expires, and
 dies too; the worker ends all runs when its lease expires.
 
-    OWNER_SECONDS + WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
+    ENTRY_LEASE_SECONDS + WORKER_LEASE_SECONDS * CLOCK_DRIFT + STOP_SECONDS
 
-is 1.17 s, and callers submit a job again 1.3 s after they lost the connection.
+is 1.17 s, and callers submit a job again 1.3 s after they lost the answer.
 """
 
-OWNER_SECONDS = 0.45
+ENTRY_LEASE_SECONDS = 0.45
 """Duration of an agent's lease on an entry's runs, counted from the sending of
 the last renewal that was answered. One renewal may be lost."""
 
 RENEW_SECONDS = 0.2
 """Pause between an agent's renewals, a bit less than half of the lease."""
 
-WORKER_SECONDS = 0.65
+WORKER_LEASE_SECONDS = 0.65
 """Time by which an agent extends its worker's lease. The worker allows up to 1
 s; a shorter lease keeps the whole sequence below the callers' 1.3 s."""
 
@@ -33,21 +33,25 @@
 STOP_SECONDS = 0.05
 """Longest time that a worker takes to stop a run."""
 
-SPARE_SECONDS = 0.05
+LOOP_DELAY_SECONDS = 0.05
 """Allowance for event loop delays in between."""
 
-LONGEST_WORKER_SECONDS = 1.0
+MAX_WORKER_LEASE_SECONDS = 1.0
 """Upper bound to which the worker cuts any longer lease. A request meant for
 an earlier incarnation of the worker contains an instant of that incarnation's
 clock, which may be hours ahead."""
 
-WORKER_OVER_SECONDS = WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
-"""Time after the last extension of its lease when a worker runs nothing."""
+WORKER_EXPIRY_SECONDS = WORKER_LEASE_SECONDS * CLOCK_DRIFT + STOP_SECONDS
+"""Time after its lease was last extended from which a worker runs nothing."""
 
-LONGEST_OVER_SECONDS = LONGEST_WORKER_SECONDS * CLOCK_DRIFT + STOP_SECONDS
+MAX_WORKER_EXPIRY_SECONDS = (
+    MAX_WORKER_LEASE_SECONDS * CLOCK_DRIFT + STOP_SECONDS
+)
 """The same after a request that may have reached another incarnation of the
 worker."""
 
-OVER_SECONDS = OWNER_SECONDS + WORKER_OVER_SECONDS + SPARE_SECONDS
-"""Time after an entry's last answer to an agent's renewal at which none of its
-runs is left at that agent's worker."""
+EXPIRY_SECONDS = (
+    ENTRY_LEASE_SECONDS + WORKER_EXPIRY_SECONDS + LOOP_DELAY_SECONDS
+)
+"""Time after an entry's last answer to an agent's renewal from which none of
+its runs is left at that agent's worker."""
--- a/src/agatepick/repeatable/orders.py
+++ b/src/agatepick/repeatable/orders.py
@@ -43,7 +43,7 @@
 """Time without announcements after which a worker counts as gone: three
 announcements at 1.5 s each, and some spare time."""
 
-LEAST_EXPECTED_SECONDS = 0.05
+MIN_EXPECTED_SECONDS = 0.05
 """Lower bound of expected run times in health records. Shorter runs take as
 long as a round trip to the worker on a busy machine, which doesn't show how
 the worker performs."""
@@ -188,7 +188,7 @@
         self._last_end_acknowledged = NO_LIST_YET
         self._earlier_runs_over = False
         self._watching.reset(now)
-        until = now + leases.LONGEST_OVER_SECONDS
+        until = now + leases.MAX_WORKER_EXPIRY_SECONDS
         self._lease_until = max(self._lease_until, until)
         effects: list[object] = []
         for run in self.runs.values():
@@ -252,7 +252,7 @@
                 run.ref,
                 run.name,
                 run.payload,
-                leases.WORKER_SECONDS,
+                leases.WORKER_LEASE_SECONDS,
             )
         ]
 
@@ -356,7 +356,7 @@
             return []
         lease = 0.0
         if busy and not silent and self._has_renewed_run(now):
-            lease = leases.WORKER_SECONDS
+            lease = leases.WORKER_LEASE_SECONDS
             self._extend_lease(now)
         first_request = self._last_end_acknowledged == NO_LIST_YET
         waits = busy or not self._earlier_runs_over and not first_request
@@ -382,7 +382,7 @@
         )
 
     def _extend_lease(self, now: float) -> None:
-        until = now + leases.WORKER_OVER_SECONDS
+        until = now + leases.WORKER_EXPIRY_SECONDS
         self._lease_until = max(self._lease_until, until)
 
     def handle_lists(
@@ -493,7 +493,7 @@
         self._capacity.release(run.needs)
         seconds = now - run.requested_at
         if state in _RESULTS:
-            ratio = seconds / max(run.expected, LEAST_EXPECTED_SECONDS)
+            ratio = seconds / max(run.expected, MIN_EXPECTED_SECONDS)
             self._health.record_end(
                 state is types.RunState.FINISHED, ratio, now
             )
@@ -507,7 +507,7 @@
         for run in self.runs.values():
             if run.stopping or not run.expected:
                 continue
-            expected = max(run.expected, LEAST_EXPECTED_SECONDS)
+            expected = max(run.expected, MIN_EXPECTED_SECONDS)
             ratio = (now - run.requested_at) / expected
             if ratio >= run.overdue_at:
                 run.overdue_at *= 2.0
--- a/src/agatepick/repeatable/owned.py
+++ b/src/agatepick/repeatable/owned.py
@@ -109,7 +109,7 @@
 
         :returns: whether any task was queued.
         """
-        released = False
+        queued_any = False
         for index, record in enumerate(self.records):
             if record.state is not TaskState.BLOCKED:
                 continue
@@ -118,8 +118,8 @@
                 continue
             record.state = TaskState.WAITING
             self.waiting.append(index)
-            released = True
-        return released
+            queued_any = True
+        return queued_any
 
     def requeue(self, index: int) -> None:
         """Queue a task again whose run has ended, before its siblings."""
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -108,7 +108,7 @@
 
     def lease_expired(self, now: float) -> bool:
         """Return whether no run of this entry can be left at the worker."""
-        return now > self.renewed_at + leases.OVER_SECONDS
+        return now > self.renewed_at + leases.EXPIRY_SECONDS
 
     def reserve(self, key: TaskKey, run: int, needs: types.Needs) -> None:
         """Reserve capacity for a run in the next start message."""
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -6,7 +6,7 @@
 them, and exits well before the platform kills it.
 """
 
-STRETCH = 1.6
+EXPECTED_TIME_FACTOR = 1.6
 """Factor on a job's expected run time when a stopping entry decides whether to
 accept it: callers continue to use open connections, and accepted jobs must be
 answered before the process is killed after 6 s."""
@@ -55,7 +55,7 @@
             # ran.
             return False
         remaining = self._requested_at + GIVE_UP_SECONDS - now
-        return expected * STRETCH + SPARE_SECONDS <= remaining
+        return expected * EXPECTED_TIME_FACTOR + SPARE_SECONDS <= remaining
 
     def must_give_up(self, now: float) -> bool:
         """Return whether all open jobs must be answered now."""
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -36,7 +36,7 @@
 """Longest pause between two checks of a job, as the expected run times change
 in the meantime."""
 
-LEAST_EXPECTED_SECONDS = 0.02
+MIN_EXPECTED_SECONDS = 0.02
 """Lower bound of expected run times; message delays hide shorter ones."""
 
 
@@ -92,7 +92,7 @@
 
     def _expected(self, job: owned.OwnedJob, index: int) -> float:
         seconds = placing.expected_run_seconds(self._estimator, job, index)
-        return max(seconds, LEAST_EXPECTED_SECONDS)
+        return max(seconds, MIN_EXPECTED_SECONDS)
 
     def _move(self, job: owned.OwnedJob, index: int, now: float) -> Straggler:
         record = job.records[index]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -102,9 +102,11 @@
         workerapi.WorkerReborn('w@1', 'w@2', 2), NOW + 0.01
     )
     assert 'j.0' in controller.runs
-    controller.enforce_leases(NOW + leases.WORKER_OVER_SECONDS + 0.1)
+    controller.enforce_leases(NOW + leases.WORKER_EXPIRY_SECONDS + 0.1)
     assert 'j.0' in controller.runs
-    controller.enforce_leases(NOW + 0.01 + leases.LONGEST_OVER_SECONDS + 0.01)
+    controller.enforce_leases(
+        NOW + 0.01 + leases.MAX_WORKER_EXPIRY_SECONDS + 0.01
+    )
     assert controller.runs == {}
 
 
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -36,7 +36,7 @@
     A caller submits its job again 1.3 s later; if the old runs still continued
     then, its quote would be filed twice.
     """
-    assert leases.OVER_SECONDS < repeatable_world.RESEND_SECONDS
+    assert leases.EXPIRY_SECONDS < repeatable_world.RESEND_SECONDS
 
 
 def test_a_killed_entry_s_job_is_done_once_at_another():
