--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -1,8 +1,9 @@
-"""The entry's reducer for repeatable jobs.
+"""Reducer of an entry for repeatable jobs.
 
-It owns the jobs that its callers hand in, places their tasks on workers with
-room, keeps the lease on each run through the agents, tries again what is
-known to be over, and answers when the last task has ended.
+The entry owns the jobs that its callers submit, places their tasks on workers
+with free capacity, holds the lease on each run through the agents, retries
+tasks whose runs have ended without a result, and answers when the last task
+has ended.
 """
 
 import dataclasses
@@ -27,25 +28,28 @@
 ROLE_AGENT = 'agent'
 
 WATCH_SECONDS = 0.05
-"""How often runs are looked at that take too long, and jobs that wait."""
+"""Pause between checks for stuck runs and for jobs that waited too long."""
 
 PLACE_SECONDS = 0.05
-"""How often waiting tasks are looked at though neither a job nor room came:
-a worker may have become fresh again, and wants are repeated."""
+"""Longest pause between placement rounds while tasks wait, even if neither a
+job nor capacity arrived: a worker may have become usable again, and capacity
+requests have to be repeated."""
 
-GONE_SECONDS = 10.0
-"""An agent away for so long is forgotten."""
+FORGET_AGENT_SECONDS = 10.0
+"""Time after which a disconnected agent is forgotten."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryConfig:
-    """What an entry needs of its settings."""
+    """Settings that an entry needs."""
 
     name: types.PeerName
     zone: str
 
 
-_Take = typing.Callable[[pool.Worker, typing.Any, float], list[object]]
+_MessageHandler = typing.Callable[
+    [pool.Worker, typing.Any, float], list[object]
+]
 
 
 class Entry:
@@ -54,7 +58,7 @@
     def __init__(self, cfg: EntryConfig, rng: random.Random):
         self._pool = pool.Pool(rng)
         self._estimator = estimating.Estimator()
-        self._waiting = owned.Waiting()
+        self._waiting = owned.WaitingQueue()
         self._jobs = owned.Jobs()
         self._admission = admitting.Admission(
             self._pool, self._estimator, self._waiting, rng
@@ -64,16 +68,16 @@
             self._jobs,
             self._waiting,
             self._estimator,
-            self._admission.freed,
+            self._admission.release_rate,
             self._end_job,
         )
         self._stragglers = stragglers.Stragglers(self._pool, self._estimator)
         self._calls: dict[int, owned.OwnedJob] = {}
         self._watched_at = 0.0
-        self._changed = False
+        self._placement_due = False
         self._placed_at = 0.0
-        self._gone_at: dict[types.PeerName, float] = {}
-        self._past: list[pool.Worker] = []
+        self._disconnected_at: dict[types.PeerName, float] = {}
+        self._former_workers: list[pool.Worker] = []
         self._stopping = stopping.Stopping()
         self.routes: routes.RouteTable | None = None
         self._handlers: dict[type, core.Handler] = {
@@ -87,71 +91,73 @@
             events.CallerLeft: self._on_caller_left,
             events.RoutesRead: self._on_routes,
         }
-        self._takes: dict[type, _Take] = {
-            messages.Room: self._take_room,
-            messages.RunReports: self._outcomes.take_reports,
-            messages.Renewal: self._take_renewal,
+        self._message_handlers: dict[type, _MessageHandler] = {
+            messages.Room: self._handle_room,
+            messages.RunReports: self._outcomes.handle_reports,
+            messages.Renewal: self._handle_renewal,
         }
 
     @classmethod
     def from_config(cls, cfg: EntryConfig, rng: random.Random) -> 'Entry':
-        """An entry that knows no worker and no queue yet."""
+        """Return an entry without workers and queues."""
         return cls(cfg, rng)
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event; the effects to carry out, in order."""
+        """Handle one event and return the effects to carry out, in order."""
         handler = self._handlers.get(type(event))
         if handler is None:
             return [core.note('unexpected_event', kind=type(event).__name__)]
         effects: list[object] = handler(event, now)
-        if self._changed and self._may_place():
-            # Placed once all that has come by now is taken: a busy entry
-            # takes hundreds of messages in a turn of its loop.
+        if self._placement_due and self._may_place():
+            # Tasks are placed after all events that have arrived so far: a
+            # busy entry handles hundreds of messages in one iteration of its
+            # event loop.
             effects.append(core.WakeAt(now))
         elif self._calls:
             effects.append(core.WakeAt(now + WATCH_SECONDS))
         return effects
 
     def _may_place(self) -> bool:
-        """Whether a round of placing could send anything.
+        """Return whether a placement round could send anything.
 
-        Most news and reports come while nothing waits; a calm entry would
-        spend a turn of its loop and a round on each.
+        Most capacity updates and reports arrive while no task waits; an entry
+        with little load would spend an iteration of its event loop and a round
+        on each.
         """
-        return bool(self._waiting) or self._placing.owes_answer
+        return bool(self._waiting) or self._placing.has_unanswered_grants
 
     def ready(self, now: float) -> bool:
-        """Whether the balancer should send callers here.
+        """Return whether the load balancer should send callers to this entry.
 
-        An entry that is cut off from all workers can serve nobody, and its
-        callers would be better off at another.
+        An entry that can't reach any worker can't run jobs, so its callers
+        should use another entry.
         """
-        if self.routes is None or self._stopping.begun:
+        if self.routes is None or self._stopping.requested:
             return False
-        return any(worker.usable(now) for worker in self._pool)
+        return any(worker.is_usable(now) for worker in self._pool)
 
     @property
     def stopping(self) -> bool:
-        """Whether the process was asked to stop."""
-        return self._stopping.begun
+        """Whether the process has been asked to stop."""
+        return self._stopping.requested
 
     def knows(self, key: types.JobKey) -> bool:
-        """Whether a job is owned here and hasn't been answered."""
+        """Return whether this entry owns a job that isn't answered yet."""
         job = self._jobs.get(key)
         return job is not None and not job.answered
 
     def pending(self, route: str) -> int:
-        """Jobs of a queue of which no task has started."""
+        """Return the number of a queue's jobs of which no task has started."""
         return sum(
-            job.spec.route.name == route and not job.begun
-            for job in self._jobs.open()
+            job.spec.route.name == route and not job.started
+            for job in self._jobs.open_jobs()
         )
 
     def figures(self, now: float) -> dict[str, float]:
-        """What it knows and has at this moment; see ``measures.FIGURES``."""
-        jobs_open = self._jobs.open()
-        usable = [worker for worker in self._pool if worker.usable(now)]
-        waits = [now - job.arrived_at for job in jobs_open if not job.begun]
+        """Return the entry's gauges by name; see ``measures.FIGURES``."""
+        jobs_open = self._jobs.open_jobs()
+        usable = [worker for worker in self._pool if worker.is_usable(now)]
+        waits = [now - job.arrived_at for job in jobs_open if not job.started]
         return {
             'jobs_open': len(jobs_open),
             'jobs_waiting': len(self._waiting.in_order()),
@@ -164,21 +170,22 @@
     # Callers
 
     def _on_job(self, event: events.JobArrived, now: float) -> list[object]:
-        self._changed = True
+        self._placement_due = True
         spec = event.job
         known = self._jobs.get(spec.key)
         if known is not None and not known.answered:
-            # The same caller again, whose first connection may have broken:
-            # the job goes on, and both requests get its answer.
+            # The caller submitted the job again, perhaps because its first
+            # connection broke: the job continues, and both requests get its
+            # answer.
             known.calls.append(event.call)
             self._calls[event.call] = known
             return [core.note('job_rejoined', job=spec.key)]
         if known is not None:
             return self._refuse_call(event.call, spec, 'ending', 1.0)
         longest = self._estimator.longest(spec)
-        if not self._stopping.takes(longest, now):
+        if not self._stopping.accepts(longest, now):
             return self._refuse_call(event.call, spec, 'stopping', 1.0)
-        refusal = self._admission.refusal(spec, now)
+        refusal = self._admission.find_refusal(spec, now)
         if refusal is not None:
             return self._refuse_call(
                 event.call,
@@ -188,11 +195,15 @@
                 refusal.load,
             )
         job = owned.OwnedJob(
-            event.call, spec, now, self._admission.latest(spec, now), longest
+            event.call,
+            spec,
+            now,
+            self._admission.compute_latest_start(spec, now),
+            longest,
         )
         self._calls[event.call] = job
         self._jobs.add(job)
-        job.release()
+        job.queue_ready_tasks()
         self._waiting.add(job)
         return [
             core.note(
@@ -201,7 +212,7 @@
                 queue=spec.route.name,
                 tasks=len(spec.tasks),
                 expected=f'{longest:.3f}',
-                slack=f'{job.latest - now:.3f}',
+                slack=f'{job.latest_start - now:.3f}',
             )
         ]
 
@@ -274,10 +285,10 @@
     def _end_job(
         self, job: owned.OwnedJob, answer: jobs.Answer, now: float
     ) -> list[object]:
-        """Answer a job's caller; runs that go on are stopped."""
+        """Answer a job's callers and stop the runs that remain."""
         if answer.verdict is jobs.Verdict.COMPLETE:
-            in_time = not job.began_late()
-            self._admission.began(job.arrived_at, in_time)
+            in_time = not job.started_late()
+            self._admission.record_start(job.arrived_at, in_time)
         job.answered = True
         job.waiting.clear()
         for call in job.calls:
@@ -290,10 +301,10 @@
                 verdict=answer.verdict.value,
                 reason=answer.reason or 'done',
                 seconds=f'{now - job.arrived_at:.3f}',
-                began=_passed(job.arrived_at, job.begun_at),
-                all_began=_passed(job.arrived_at, job.last_start()),
+                began=_format_seconds(job.arrived_at, job.started_at),
+                all_began=_format_seconds(job.arrived_at, job.last_start()),
                 slowest=f'{job.slowest():.3f}',
-                late=f'{now - job.ends_by:.3f}',
+                late=f'{now - job.objective_ends_at:.3f}',
             ),
             *[events.Reply(call, answer) for call in job.calls],
         ]
@@ -307,23 +318,24 @@
         hello = event.hello
         if hello.role != ROLE_AGENT:
             return []
-        self._gone_at.pop(hello.name, None)
+        self._disconnected_at.pop(hello.name, None)
         worker = self._pool.get(hello.name)
         if worker is None or worker.incarnation != hello.incarnation:
-            # Runs that its earlier life started go on until the worker's
-            # lease ends, and the new life knows nothing of them.
+            # Runs that the agent's previous incarnation started continue until
+            # the worker's lease expires, and the new incarnation has no record
+            # of them.
             if worker is not None:
-                self._past.append(worker)
+                self._former_workers.append(worker)
             worker = pool.Worker(
                 hello.name, hello.incarnation, hello.zone, hello.rack
             )
             self._pool.add(worker)
         worker.connected = True
         worker.room = None
-        worker.fill()
-        worker.number = 0
-        worker.sent.clear()
-        worker.recent.clear()
+        worker.mark_full()
+        worker.last_start_number = 0
+        worker.in_transit.clear()
+        worker.payload_cache.clear()
         self._placing.forget(hello.name)
         return [core.note('agent_up', peer=hello.name)]
 
@@ -333,25 +345,25 @@
             return []
         worker.connected = False
         self._placing.forget(event.peer)
-        self._gone_at[event.peer] = now
+        self._disconnected_at[event.peer] = now
         return [core.note('agent_down', peer=event.peer)]
 
     def _on_received(self, event: core.Received, now: float) -> list[object]:
         worker = self._pool.get(event.peer)
-        take = self._takes.get(type(event.message))
-        if worker is None or take is None:
+        handle = self._message_handlers.get(type(event.message))
+        if worker is None or handle is None:
             return []
         if not isinstance(event.message, messages.Renewal):
-            self._changed = True
-        return take(worker, event.message, now)
+            self._placement_due = True
+        return handle(worker, event.message, now)
 
-    def _take_renewal(
+    def _handle_renewal(
         self, worker: pool.Worker, message: messages.Renewal, now: float
     ) -> list[object]:
-        if worker.over(now) and worker.placed:
-            # Its lease may have run out: what was there is settled first,
-            # and only then may new runs be covered.
-            effects = self._outcomes.all_over(worker, 'lease_over', now)
+        if worker.lease_expired(now) and worker.placed:
+            # The lease may have expired: the runs that it covered are requeued
+            # first, and only then may it cover new runs.
+            effects = self._outcomes.requeue_all(worker, 'lease_over', now)
         else:
             effects = []
         worker.renewed_at = now
@@ -363,31 +375,31 @@
             ),
         ]
 
-    def _take_room(
+    def _handle_room(
         self, worker: pool.Worker, room: messages.Room, now: float
     ) -> list[object]:
-        self._placing.take_room(worker, room)
+        self._placing.store_room(worker, room)
         return []
 
     # Placing
 
     def _place(self, now: float) -> list[object]:
-        self._changed = False
+        self._placement_due = False
         self._placed_at = now
         return self._placing.place(self._waiting.in_order(), now)
 
     # Time
 
     def _on_tick(self, event: core.Tick, now: float) -> list[object]:
-        for name, at in list(self._gone_at.items()):
+        for name, at in list(self._disconnected_at.items()):
             worker = self._pool.get(name)
             if worker is None or worker.connected:
-                del self._gone_at[name]
-            elif now > at + GONE_SECONDS and not worker.placed:
-                del self._gone_at[name]
+                del self._disconnected_at[name]
+            elif now > at + FORGET_AGENT_SECONDS and not worker.placed:
+                del self._disconnected_at[name]
                 self._pool.remove(name)
         effects = self._watch(now)
-        due = self._changed or now >= self._placed_at + PLACE_SECONDS
+        due = self._placement_due or now >= self._placed_at + PLACE_SECONDS
         if due and self._may_place():
             effects += self._place(now)
         return effects + self._finish(now)
@@ -397,50 +409,54 @@
             return []
         self._watched_at = now
         effects: list[object] = []
-        self._admission.advance(now)
-        for worker in [*self._pool, *self._past]:
-            if worker.placed and worker.over(now):
-                effects += self._outcomes.all_over(worker, 'agent_silent', now)
-        self._past = [one for one in self._past if one.placed]
-        for job in self._jobs.open():
+        self._admission.update_reachability(now)
+        for worker in [*self._pool, *self._former_workers]:
+            if worker.placed and worker.lease_expired(now):
+                effects += self._outcomes.requeue_all(
+                    worker, 'agent_silent', now
+                )
+        self._former_workers = [
+            one for one in self._former_workers if one.placed
+        ]
+        for job in self._jobs.open_jobs():
             effects += self._watch_job(job, now)
         return effects
 
     def _watch_job(self, job: owned.OwnedJob, now: float) -> list[object]:
         if now >= job.spec.deadline:
             answer = jobs.Answer(jobs.Verdict.GIVEN_UP, 'deadline')
-            if not job.begun:
+            if not job.started:
                 answer = jobs.Answer(jobs.Verdict.NOT_RUN, 'deadline', 1.0)
             return self._end_job(job, answer, now)
-        if not job.begun and now >= job.latest:
-            self._admission.began(job.arrived_at, False)
-            after = self._admission.spread_retry()
+        if not job.started and now >= job.latest_start:
+            self._admission.record_start(job.arrived_at, False)
+            after = self._admission.pick_retry_delay()
             answer = jobs.Answer(
                 jobs.Verdict.NOT_RUN, 'waited_too_long', after
             )
             return self._end_job(job, answer, now)
-        found = self._stragglers.find(job, now)
-        stops = owned.stop_runs(job, [one.index for one in found])
-        return [*[one.note for one in found], *stops]
+        stuck = self._stragglers.find(job, now)
+        stops = owned.stop_runs(job, [one.index for one in stuck])
+        return [*[one.note for one in stuck], *stops]
 
     def _on_stop(self, event: core.StopRequested, now: float) -> list[object]:
-        self._stopping.begin(now)
+        self._stopping.request(now)
         return [core.note('stopping', jobs=len(self._calls))]
 
     def _finish(self, now: float) -> list[object]:
         effects: list[object] = []
-        if self._stopping.gives_up(now):
-            for job in self._jobs.open():
+        if self._stopping.must_give_up(now):
+            for job in self._jobs.open_jobs():
                 verdict = jobs.Verdict.GIVEN_UP
-                if not job.begun:
+                if not job.started:
                     verdict = jobs.Verdict.NOT_RUN
                 answer = jobs.Answer(verdict, 'stopping', 1.0)
                 effects += self._end_job(job, answer, now)
-        if self._stopping.end(bool(self._calls), now):
+        if self._stopping.try_exit(bool(self._calls), now):
             effects.append(core.Exit())
         return effects
 
 
-def _passed(since: float, until: float | None) -> str:
-    """Seconds between two instants; ``never`` if there is no second one."""
+def _format_seconds(since: float, until: float | None) -> str:
+    """Return the seconds between two instants, or ``never`` without an end."""
     return 'never' if until is None else f'{until - since:.3f}'
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -1,15 +1,15 @@
-"""Which entries an agent serves.
-
-Load pattern: many agents and many entries.  Each pair costs both sides
-renewals, news and wants, whether jobs come or not, and with thousands of
-agents an entry could do nothing else.  So an agent serves a few entries only,
-and each entry has its part of the workers.
-
-Which ones is told by rendezvous hashing: agents needn't agree on anything,
-and an entry that comes or goes moves its own part alone.  Zones take turns,
-so that every zone's entries reach workers in all zones.  An entry that stays
-away is replaced by the next; once it is back, the substitute gets no more
-room, and is left when its runs are over.
+"""Choice of the entries that an agent serves.
+
+Load pattern: many agents and many entries. Each pair costs both sides
+renewals, capacity updates and requests, whether jobs arrive or not, and with
+thousands of agents an entry could do nothing else. An agent therefore serves
+only a few entries, and each entry has its share of the workers.
+
+The entries are chosen by rendezvous hashing: agents need no coordination, and
+an entry that is added or removed moves only its own share. Zones alternate, so
+that every zone's entries reach workers in all zones. An entry that stays
+disconnected is replaced by the next one; once it is back, the substitute gets
+no more capacity, and is disconnected when its runs have ended.
 """
 
 import hashlib
@@ -21,101 +21,111 @@
 from agatepick import types
 
 SERVED_ENTRIES = 4
-"""Entries that an agent serves: each entry reaches so many times the workers
-that its part of the load needs, and the loss of one leaves the others."""
+"""Number of entries that an agent serves: each entry reaches that many times
+the workers that its part of the load needs, and if one entry is lost, the
+agent still serves the others."""
 
 AWAY_SECONDS = 2.0
-"""An entry that can't be reached for so long is replaced.  A silent one is
-given up after 1.2 s, and a process that was killed is back in about 1 s."""
+"""Time without a connection after which an entry is replaced. The connection
+of a silent entry is closed after 1.2 s, and a killed process is back in about
+1 s."""
 
 LEAVE_SECONDS = 1.0
-"""How long an entry is still served after it was told that there is no more
-room: what it had sent by then is taken, many round trips over."""
+"""Time for which an entry is still served after the update that it gets no
+more capacity: starts that it sent before are accepted, as this is many round
+trips."""
 
 Names = typing.Collection[types.PeerName]
 
 
 class Serving:
-    """The entries of one agent."""
+    """Entries that one agent serves."""
 
     def __init__(self, name: types.PeerName) -> None:
         self._name = name
-        self._listed: dict[types.PeerName, events.Listed] = {}
-        self._order: list[types.PeerName] = []
+        self._entries: dict[types.PeerName, events.Listed] = {}
+        self._ranking: list[types.PeerName] = []
         self._dialled: set[types.PeerName] = set()
-        self._away: dict[types.PeerName, float] = {}
-        self._leaving: dict[types.PeerName, float] = {}
+        self._away_since: dict[types.PeerName, float] = {}
+        self._leaving_since: dict[types.PeerName, float] = {}
 
-    def listed(self, entries: tuple[events.Listed, ...]) -> list[object]:
-        """The entries that there are now; those that are gone are left."""
-        found = {one.name: one for one in entries}
+    def update_entries(
+        self, entries: tuple[events.Listed, ...]
+    ) -> list[object]:
+        """Replace the list of entries, and disconnect those that are gone."""
+        listed = {one.name: one for one in entries}
         effects: list[object] = []
         for name in sorted(self._dialled):
-            if found.get(name) != self._listed[name]:
+            if listed.get(name) != self._entries[name]:
                 effects += self._hang_up(name)
                 effects.append(core.note('entry_unlisted', peer=name))
-        self._listed = found
-        self._order = self._ranked()
+        self._entries = listed
+        self._ranking = self._rank_entries()
         return effects
 
-    def leaves(self, name: types.PeerName) -> bool:
-        """Whether an entry is to get no more room."""
-        return name in self._leaving
+    def is_leaving(self, name: types.PeerName) -> bool:
+        """Return whether an entry gets no more capacity."""
+        return name in self._leaving_since
 
     def review(
         self, now: float, connected: Names, busy: Names
     ) -> list[object]:
-        """Dial those that are to be served, and leave the others.
+        """Dial the entries that are to be served, and leave the others.
 
-        :param connected: entries that can be reached.
+        :param connected: entries with a connection.
         :param busy: entries with runs here.
         """
         for name in self._dialled:
             if name in connected:
-                self._away.pop(name, None)
+                self._away_since.pop(name, None)
             else:
-                self._away.setdefault(name, now)
-        wanted = self._wanted(now)
+                self._away_since.setdefault(name, now)
+        served = self._choose_entries(now)
         effects: list[object] = []
-        for name in wanted:
-            self._leaving.pop(name, None)
+        for name in served:
+            self._leaving_since.pop(name, None)
             if name not in self._dialled:
                 effects += self._dial(name, now)
-        for name in sorted(self._dialled.difference(wanted)):
-            since = self._leaving.setdefault(name, now)
+        for name in sorted(self._dialled.difference(served)):
+            since = self._leaving_since.setdefault(name, now)
             if name in busy:
-                self._leaving[name] = now
+                self._leaving_since[name] = now
             elif name not in connected or now >= since + LEAVE_SECONDS:
                 effects += self._hang_up(name)
                 effects.append(core.note('entry_left', peer=name))
         return effects
 
-    def _wanted(self, now: float) -> list[types.PeerName]:
-        """The first few that aren't away, and those before them."""
-        wanted: list[types.PeerName] = []
-        there = 0
-        for name in self._order:
-            if there == SERVED_ENTRIES:
+    def _choose_entries(self, now: float) -> list[types.PeerName]:
+        """Return the first few reachable entries, and the ones before them."""
+        served: list[types.PeerName] = []
+        reachable = 0
+        for name in self._ranking:
+            if reachable == SERVED_ENTRIES:
                 break
-            wanted.append(name)
-            there += now < self._away.get(name, now) + AWAY_SECONDS
-        return wanted
+            served.append(name)
+            reachable += now < self._away_since.get(name, now) + AWAY_SECONDS
+        return served
 
-    def _ranked(self) -> list[types.PeerName]:
+    def _rank_entries(self) -> list[types.PeerName]:
         by_zone: dict[str, list[types.PeerName]] = {}
-        for name in sorted(self._listed, key=self._weight):
-            by_zone.setdefault(self._listed[name].zone, []).append(name)
-        turns = itertools.zip_longest(*by_zone.values())
-        return [name for turn in turns for name in turn if name is not None]
+        for name in sorted(self._entries, key=self._weight):
+            by_zone.setdefault(self._entries[name].zone, []).append(name)
+        rounds = itertools.zip_longest(*by_zone.values())
+        return [
+            name
+            for one_round in rounds
+            for name in one_round
+            if name is not None
+        ]
 
     def _weight(self, entry: types.PeerName) -> bytes:
         pair = f'{self._name} {entry}'.encode()
         return hashlib.blake2b(pair, digest_size=8).digest()
 
     def _dial(self, name: types.PeerName, now: float) -> list[object]:
-        address = self._listed[name].address
+        address = self._entries[name].address
         self._dialled.add(name)
-        self._away[name] = now
+        self._away_since[name] = now
         return [
             core.Dial(name, address),
             core.note('entry_served', peer=name, address=address),
@@ -123,6 +133,6 @@
 
     def _hang_up(self, name: types.PeerName) -> list[object]:
         self._dialled.discard(name)
-        self._away.pop(name, None)
-        self._leaving.pop(name, None)
+        self._away_since.pop(name, None)
+        self._leaving_since.pop(name, None)
         return [core.Hangup(name)]
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -1,15 +1,17 @@
-"""How an agent shares its worker's room among the entries.
-
-Load pattern: several entries fill the same workers, and at the peak all of
-them wait for room.  Were every freed place told to all, each would try for
-it, all but one in vain, and the nearest entry would always be first: callers
-of a zone with few workers would starve.  Were the room leased in parts, each
-part would leave a rest idle that is too small for a task.
-
-So room that nobody waits for is open to all, and an entry just takes it.  An
-entry that finds none says so with the urgency of its first task; freed room
-is then kept for the most urgent entry alone, as much of it as its tasks need,
-for as long as its answer takes.  What it doesn't use goes to the next.
+"""Division of a worker's free capacity among the entries.
+
+Load pattern: several entries place tasks on the same workers, and at peak load
+all of them wait for capacity. If every released slot were announced to all,
+each would try to use it, all but one would fail, and the nearest entry would
+always be first: callers of a zone with few workers would starve. If capacity
+were leased in parts, a remainder of each part that is too small for a task
+would stay idle.
+
+Capacity that no entry waits for is therefore open to all, and an entry uses it
+without asking. An entry that finds none sends a request with the urgency of
+its first task; released capacity is then reserved for the most urgent entry
+alone, as much as its tasks need, until its answer arrives. The part that it
+doesn't use is granted to the next entry.
 """
 
 import dataclasses
@@ -18,61 +20,65 @@
 from agatepick import types
 
 GRANT_SECONDS = 0.05
-"""How long room is kept for an entry: the slowest round trip between zones
-is 3 ms, and a busy entry's turn of its loop takes up to 30 ms."""
+"""Time for which capacity is reserved for an entry: the slowest round trip
+between zones takes 3 ms, and an event loop iteration of a busy entry up to 30
+ms."""
 
-GRANT_TRIPS = 1.5
-"""How long it is kept for one whose answers take longer, in round trips."""
+GRANT_ROUND_TRIPS = 1.5
+"""The same in round trips, for an entry whose answers take longer."""
 
-MOST_GRANT_SECONDS = 0.25
-"""An entry that stands still must not keep a worker idle."""
+MAX_GRANT_SECONDS = 0.25
+"""Upper bound, so that an entry that hangs doesn't keep a worker idle."""
 
-WANT_SECONDS = 1.0
-"""How long a want holds; entries repeat theirs every 0.25 s."""
+WANT_TTL_SECONDS = 1.0
+"""Lifetime of a capacity request; entries repeat theirs every 0.25 s."""
 
 
 @dataclasses.dataclass(slots=True)
 class Share:
-    """What one entry wants and has been granted."""
+    """Capacity request and grant of one entry.
+
+    :ivar grant_seconds: seconds for which a grant to it is valid.
+    """
 
     want: messages.Want | None = None
-    wanted_at: float = 0.0
+    wanted_since: float = 0.0
     grant: int = 0
     granted: types.Needs = types.Needs()
     granted_at: float = 0.0
-    patience: float = GRANT_SECONDS
+    grant_seconds: float = GRANT_SECONDS
 
-    def urgency(self) -> float:
-        """Instant by which its first task should have started."""
+    def latest_start(self) -> float:
+        """Return the latest start of its first task."""
         slack = self.want.slack if self.want is not None else 0.0
-        return self.wanted_at + slack
+        return self.wanted_since + slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Room kept for one entry."""
+    """Capacity reserved for one entry."""
 
     entry: types.PeerName
     number: int
     room: types.Needs
 
 
-class Sharing:
-    """A worker's room, what is taken of it, and who waits for it.
+class SharedCapacity:
+    """Capacity of a worker: what is used, reserved and requested.
 
-    :ivar changes: counts the changes of what is free.
+    :ivar change_count: number of changes of the free capacity.
     """
 
     def __init__(self) -> None:
-        self.changes = 0
+        self.change_count = 0
         self._capacity = types.Needs()
         self._used = types.Needs()
         self._shares: dict[types.PeerName, Share] = {}
-        self._granted = 0
+        self._last_grant_number = 0
 
     @property
     def free(self) -> types.Needs:
-        """Room that is neither taken nor kept for an entry."""
+        """Capacity that is neither used nor reserved for an entry."""
         free = self._capacity - self._used
         for share in self._shares.values():
             if share.grant:
@@ -80,81 +86,89 @@
         return free
 
     def resize(self, capacity: types.Needs) -> None:
-        """The worker has another size now."""
+        """Set the total capacity of the worker."""
         self._capacity = capacity
-        self.changes += 1
+        self.change_count += 1
 
-    def join(self, entry: types.PeerName) -> None:
-        """An entry connected."""
+    def add_entry(self, entry: types.PeerName) -> None:
+        """Add an entry that connected."""
         self._shares[entry] = Share()
-        self.changes += 1
+        self.change_count += 1
 
-    def leave(self, entry: types.PeerName) -> None:
-        """An entry is gone, with its want and its grant."""
+    def remove_entry(self, entry: types.PeerName) -> None:
+        """Remove an entry with its request and its grant."""
         self._shares.pop(entry, None)
-        self.changes += 1
+        self.change_count += 1
 
-    def want(
+    def record_want(
         self, entry: types.PeerName, want: messages.Want, now: float
     ) -> None:
-        """An entry has tasks that it can't place, or no more."""
+        """Store an entry's capacity request, or remove it if it is empty."""
         share = self._shares.get(entry)
         if share is not None:
             share.want = want if want.count else None
-            share.wanted_at = now
+            share.wanted_since = now
 
-    def answers_within(self, entry: types.PeerName, trip: float) -> None:
-        """An entry answered after so many seconds.
+    def set_round_trip(self, entry: types.PeerName, trip: float) -> None:
+        """Set how long grants to an entry are valid, by its round trip.
 
-        What goes wrong without it: an entry's link is full, each of its
-        answers comes after the grant has lapsed, and its starts are refused
-        and sent again, which keeps the link full.
+        Otherwise, while an entry's link is saturated, each of its answers
+        arrives after the grant has expired, and its starts are refused and
+        sent again, which keeps the link saturated.
+
+        :param trip: round trip of the entry's last answer in seconds.
         """
         share = self._shares.get(entry)
         if share is not None:
-            patience = max(GRANT_SECONDS, GRANT_TRIPS * trip)
-            share.patience = min(patience, MOST_GRANT_SECONDS)
+            grant_seconds = max(GRANT_SECONDS, GRANT_ROUND_TRIPS * trip)
+            share.grant_seconds = min(grant_seconds, MAX_GRANT_SECONDS)
+
+    def end_grant(self, entry: types.PeerName, grant: int) -> None:
+        """End a grant that the entry answered.
 
-    def returned(self, entry: types.PeerName, grant: int) -> None:
-        """An entry answered a grant; what it starts is counted apart."""
+        The runs that the answer starts acquire their capacity separately.
+        """
         share = self._shares.get(entry)
         if share is not None and share.grant == grant:
             share.grant = 0
-            self.changes += 1
+            self.change_count += 1
+
+    def acquire(self, needs: types.Needs) -> bool:
+        """Acquire capacity for a run.
 
-    def take(self, needs: types.Needs) -> bool:
-        """Take room for a run, if there is enough."""
+        :returns: whether there was enough.
+        """
         if not needs.fits(self.free):
             return False
         self._used = self._used + needs
-        self.changes += 1
+        self.change_count += 1
         return True
 
-    def give_back(self, needs: types.Needs) -> None:
-        """A run is over."""
+    def release(self, needs: types.Needs) -> None:
+        """Release the capacity of a run that has ended."""
         self._used = self._used - needs
-        self.changes += 1
+        self.change_count += 1
 
-    def grants(self, now: float) -> list[Grant]:
-        """Keep free room for those that wait, the most urgent first."""
+    def issue_grants(self, now: float) -> list[Grant]:
+        """Grant free capacity to waiting entries, the most urgent first."""
         self._expire(now)
-        found: list[Grant] = []
+        grants: list[Grant] = []
         while any(share.want for share in self._shares.values()):
             free = self.free
             waiting = [
-                (share.urgency(), name)
+                (share.latest_start(), name)
                 for name, share in self._shares.items()
-                if _may_take(share, free)
+                if _can_grant(share, free)
             ]
             if not waiting:
-                return found
-            found.append(self._grant(min(waiting)[1], free, now))
-        return found
+                return grants
+            grants.append(self._grant(min(waiting)[1], free, now))
+        return grants
 
     def next_expiry(self) -> float | None:
-        """Instant at which a grant runs out."""
+        """Return the instant at which the next grant expires, or ``None``."""
         ends = [
-            share.granted_at + share.patience
+            share.granted_at + share.grant_seconds
             for share in self._shares.values()
             if share.grant
         ]
@@ -166,24 +180,24 @@
         share = self._shares[name]
         assert share.want is not None
         room = room.at_most(share.want.total)
-        self._granted += 1
-        self.changes += 1
-        share.grant = self._granted
+        self._last_grant_number += 1
+        self.change_count += 1
+        share.grant = self._last_grant_number
         share.granted = room
         share.granted_at = now
-        # The answer brings a new want if tasks still wait.
+        # The answer contains a new request if tasks still wait.
         share.want = None
         return Grant(name, share.grant, room)
 
     def _expire(self, now: float) -> None:
         for share in self._shares.values():
-            if share.grant and now >= share.granted_at + share.patience:
+            if share.grant and now >= share.granted_at + share.grant_seconds:
                 share.grant = 0
-                self.changes += 1
-            if share.want and now >= share.wanted_at + WANT_SECONDS:
+                self.change_count += 1
+            if share.want and now >= share.wanted_since + WANT_TTL_SECONDS:
                 share.want = None
 
 
-def _may_take(share: Share, free: types.Needs) -> bool:
+def _can_grant(share: Share, free: types.Needs) -> bool:
     want = share.want
     return want is not None and not share.grant and want.least.fits(free)
