--- a/src/agatepick/bench/__init__.py
+++ b/src/agatepick/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the programs against an ideal scheduler."""
+"""Benchmark of the programs against an ideal scheduler."""
--- a/src/agatepick/bench/bench.py
+++ b/src/agatepick/bench/bench.py
@@ -1,8 +1,8 @@
-"""``agatepick bench``: one pattern against a real installation, measured.
+"""``agatepick bench``: measurement of one pattern on a real installation.
 
 ``agatepick bench PATTERN --seed=N`` plays a pattern once
-(:mod:`agatepick.bench.bench_run`) and prints its report; ``--baselines`` plays
-the placement policies that the project keeps for comparison on the same load.
+(:mod:`agatepick.bench.bench_run`) and prints its report; ``--baselines`` also
+plays the same load with the placement policies that are kept for comparison.
 """
 
 import dataclasses
@@ -17,14 +17,14 @@
 
 PLOTTED_LOADS = (0.5, 0.8, 0.95)
 BASELINES = ('random-worker', 'least-known-load', 'two-probes')
-COMPARED = ('p99', 'wasted_messages_share', 'refused_starts_share')
+COMPARED_FIGURES = ('p99', 'wasted_messages_share', 'refused_starts_share')
 SLOPES = 'slopes'
 
 
-def with_baselines(
-    options: bench_run.Options, played: bench_run.Played
-) -> bench_run.Played:
-    """Figures of the baselines on the same load, each beside our policy."""
+def add_baseline_figures(
+    options: bench_run.Options, played: bench_run.PlayResult
+) -> bench_run.PlayResult:
+    """Add the figures of each baseline policy on the same load."""
     name = 'response_over_ideal_mean'
     figures: bench_run.Figures = {}
     own = played.report.figures.get(name)
@@ -34,17 +34,19 @@
         ).report
         mean = other.figures.get(name)
         figures[f'{policy}_{name}'] = mean
-        for copied in COMPARED:
-            figures[f'{policy}_{copied}'] = other.figures.get(copied)
+        for compared in COMPARED_FIGURES:
+            figures[f'{policy}_{compared}'] = other.figures.get(compared)
         if isinstance(own, float) and isinstance(mean, float):
             figures[f'{policy}_over_ours'] = mean / own
-    return bench_run.with_figures(played, figures)
+    return bench_run.add_figures(played, figures)
 
 
-def draw(
-    options: bench_run.Options, played: bench_run.Played, path: pathlib.Path
+def draw_plot(
+    options: bench_run.Options,
+    played: bench_run.PlayResult,
+    path: pathlib.Path,
 ) -> None:
-    """Draw a run: a zone's departure over time, else response by load."""
+    """Plot work over time if a zone departed, else response by load."""
     if played.evidence.departures:
         bench_report.plot_work(played.report, played.evidence.departures, path)
         return
@@ -67,10 +69,10 @@
     baselines: bool = False,
     **options: typing.Any,
 ) -> commands.Output:
-    """Run ``agatepick bench``: play, then show and draw what was asked.
+    """Run ``agatepick bench``: play, then print the report and plot it.
 
-    :param policy: placement policy; empty for the product's own.
-    :param baselines: play the baselines too.
+    :param policy: placement policy; empty for the default one.
+    :param baselines: whether to play the baseline policies too.
     """
     if pattern == SLOPES:
         return slopes_command.run(json=json, **options)
@@ -79,8 +81,8 @@
     )
     played = bench_run.run(chosen)
     if baselines:
-        played = with_baselines(chosen, played)
+        played = add_baseline_figures(chosen, played)
     report = played.report
     if plot:
-        draw(chosen, played, pathlib.Path(plot))
+        draw_plot(chosen, played, pathlib.Path(plot))
     return commands.Output(report.as_json() if json else report.as_table())
--- a/src/agatepick/bench/bench_arrivals.py
+++ b/src/agatepick/bench/bench_arrivals.py
@@ -1,8 +1,8 @@
 """Seeded load for the bench: arrivals, run times, sizes and planned faults.
 
-Everything is drawn from one ``random.Random(seed)``, so a pattern and a seed
-give the same jobs on every machine.  Instants are seconds from the start of
-the run.
+All random values come from one ``random.Random(seed)``, so a pattern and a
+seed give the same jobs on every machine.  Instants are seconds from the start
+of the run.
 """
 
 import collections.abc
@@ -11,20 +11,20 @@
 
 from agatepick.bench import bench_plan
 
-SHORTEST_SECONDS = 0.05
-LONGEST_SHORT_SECONDS = 1.0
-LONG_SHARE = 0.05
-"""Share of tasks that take several seconds."""
-LONG_SECONDS = (2.0, 5.0)
+SHORTEST_TASK_SECONDS = 0.05
+LONGEST_SHORT_TASK_SECONDS = 1.0
+LONG_TASK_SHARE = 0.05
+"""Share of tasks that run for several seconds."""
+LONG_TASK_SECONDS = (2.0, 5.0)
 KINDS = ('kind-0', 'kind-1', 'kind-2', 'kind-3', 'long', 'short')
 TEAMS = 8
 HOT_TEAMS = 3
 HOT_SHARE = 0.8
-"""Share of the load that the three hot callers send."""
-LARGEST_JOB = 130
+"""Share of the load that the three hot teams send."""
+MAX_TASKS_PER_JOB = 130
 DEADLINE_SECONDS = 30.0
 SATURATION_WAIT_SECONDS = 2.0
-SATURATION_FACTOR = 2.0
+SATURATION_RUN_TIME_FACTOR = 2.0
 
 
 DEFAULT_LOADS = {
@@ -38,13 +38,18 @@
     bench_plan.Pattern.FAILING_WORKER: 0.6,
     bench_plan.Pattern.SLOW_UPSTREAM: 0.6,
 }
-"""Share of all slots that the arrivals keep busy; 0.8 if not named here."""
-COMMON_LOAD = 0.8
+"""Share of all slots that the arrivals keep busy, by pattern."""
+DEFAULT_LOAD = 0.8
+"""Load of the patterns that :data:`DEFAULT_LOADS` doesn't list."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskPlan:
-    """One task: its true run time and what its caller declares."""
+    """One task: its actual run time and the figures that its caller declares.
+
+    :param seconds: actual run time.
+    :param expected_seconds: run time that the caller declares.
+    """
 
     kind: str
     seconds: float
@@ -54,12 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobPlan:
-    """One job and what its caller will do about it.
+    """One job and the planned behaviour of its caller.
 
-    :param resubmit_after: seconds after which the caller sends it again,
-        or None.
-    :param elsewhere: the resubmission goes to another entry.
-    :param possible: False if no worker can ever hold one of its tasks.
+    :param at: arrival.
+    :param resubmit_after: seconds after which the caller submits the job
+        again, or None.
+    :param to_other_entry: whether the resubmission goes to another entry.
+    :param possible: whether a worker is large enough for its tasks.
     """
 
     number: int
@@ -69,21 +75,21 @@
     deadline_after: float = DEADLINE_SECONDS
     urgent: bool = False
     resubmit_after: float | None = None
-    elsewhere: bool = False
+    to_other_entry: bool = False
     possible: bool = True
 
     @property
     def work(self) -> float:
-        """Slot-seconds of all tasks."""
+        """Total run time of all tasks, in slot-seconds."""
         return sum(task.seconds for task in self.tasks)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """All that happens in one run, fixed by pattern and seed.
+    """Jobs and faults of one run, determined by pattern and seed.
 
-    :param slow: factor on the run time by worker number.
-    :param failing: numbers of the workers that fail all they start.
+    :param slow_factors: pairs of worker number and factor on run times.
+    :param failing_workers: numbers of the workers that fail every task.
     """
 
     pattern: bench_plan.Pattern
@@ -92,50 +98,50 @@
     load: float
     jobs: tuple[JobPlan, ...]
     steps: tuple[bench_plan.Step, ...] = ()
-    slow: tuple[tuple[int, float], ...] = ()
-    failing: tuple[int, ...] = ()
+    slow_factors: tuple[tuple[int, float], ...] = ()
+    failing_workers: tuple[int, ...] = ()
 
 
 def draw_seconds(rng: random.Random) -> float:
-    """A run time: most from 50 ms to a second, a few of several seconds."""
-    if rng.random() < LONG_SHARE:
-        return rng.uniform(*LONG_SECONDS)
-    spread = LONGEST_SHORT_SECONDS / SHORTEST_SECONDS
-    return float(SHORTEST_SECONDS * spread ** rng.random())
+    """Draw a run time: mostly 50 ms to 1 s, a few of several seconds."""
+    if rng.random() < LONG_TASK_SHARE:
+        return rng.uniform(*LONG_TASK_SECONDS)
+    spread = LONGEST_SHORT_TASK_SECONDS / SHORTEST_TASK_SECONDS
+    return float(SHORTEST_TASK_SECONDS * spread ** rng.random())
 
 
 def draw_size(rng: random.Random) -> int:
-    """Tasks of a job: mostly a few, some tens, seldom up to 130."""
+    """Draw a number of tasks: mostly a few, some tens, seldom up to 130."""
     share = rng.random()
     if share < 0.6:
         return rng.randint(1, 4)
     if share < 0.95:
         return rng.randint(5, 20)
-    return rng.randint(21, LARGEST_JOB)
+    return rng.randint(21, MAX_TASKS_PER_JOB)
 
 
-Maker = collections.abc.Callable[[random.Random, int, float], JobPlan]
+JobFactory = collections.abc.Callable[[random.Random, int, float], JobPlan]
 
 
 def draw_team(rng: random.Random) -> str:
-    """Any of the teams, all alike."""
+    """Draw a team from a uniform distribution."""
     return f'team-{rng.randrange(TEAMS)}'
 
 
 def draw_hot_team(rng: random.Random) -> str:
-    """One of three heavy teams for most of the load, else a light one."""
+    """Draw one of three heavy teams in 80% of cases, else a light one."""
     if rng.random() < HOT_SHARE:
         return f'heavy-{rng.randrange(HOT_TEAMS)}'
     return f'light-{rng.randrange(TEAMS - HOT_TEAMS)}'
 
 
-def plain_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """A job whose caller guesses its run times well."""
+def draw_plain_job(rng: random.Random, number: int, at: float) -> JobPlan:
+    """Draw a job whose caller declares the actual run times."""
     return JobPlan(number, at, draw_team(rng), draw_tasks(rng))
 
 
 def draw_tasks(rng: random.Random) -> tuple[TaskPlan, ...]:
-    """Tasks of one job, of one kind."""
+    """Draw the tasks of one job, all of one kind."""
     kind = f'kind-{rng.randrange(4)}'
     return tuple(
         TaskPlan(kind, secs, secs)
@@ -143,25 +149,25 @@
     )
 
 
-def hot_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """A job of the pattern in which three callers are 80% of the load."""
+def draw_hot_job(rng: random.Random, number: int, at: float) -> JobPlan:
+    """Draw a job of a load of which three teams send 80%."""
     return JobPlan(number, at, draw_hot_team(rng), draw_tasks(rng))
 
 
-def saturating_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """A job of at most 20 tasks with a deadline that a queue would miss.
+def draw_saturating_job(rng: random.Random, number: int, at: float) -> JobPlan:
+    """Draw a job of at most 20 tasks with a deadline that a queue would miss.
 
-    Its caller waits two seconds beyond twice its longest task.
+    The deadline is two seconds plus twice the longest task.
     """
     tasks = draw_tasks(rng)[:20]
     longest = max(task.seconds for task in tasks)
-    wait = SATURATION_WAIT_SECONDS + SATURATION_FACTOR * longest
+    wait = SATURATION_WAIT_SECONDS + SATURATION_RUN_TIME_FACTOR * longest
     team = draw_team(rng)
     return JobPlan(number, at, team, tasks, deadline_after=wait)
 
 
-def mixed_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """A tenth of the jobs are long ones, all others very short."""
+def draw_mixed_job(rng: random.Random, number: int, at: float) -> JobPlan:
+    """Draw a job: one in ten is long, all others are very short."""
     if rng.random() < 0.1:
         secs, kind, size = (4.0, 8.0), 'long', rng.randint(1, 8)
     else:
@@ -171,8 +177,14 @@
     return JobPlan(number, at, draw_team(rng), tasks)
 
 
-def misdeclared_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """Declared times ten times off either way; one job in 50 fits nowhere."""
+def draw_misdeclared_job(
+    rng: random.Random, number: int, at: float
+) -> JobPlan:
+    """Draw a job with wrong declared run times.
+
+    Declared run times are a tenth, once or ten times the actual ones.  One
+    job in 50 fits on no worker.
+    """
     possible = rng.random() >= 0.02
     tasks = tuple(
         dataclasses.replace(
@@ -185,31 +197,39 @@
     return JobPlan(number, at, draw_team(rng), tasks, possible=possible)
 
 
-def resubmitted_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """A tenth of the jobs is sent again, half of those to another entry."""
-    job = plain_job(rng, number, at)
+def draw_resubmitted_job(
+    rng: random.Random, number: int, at: float
+) -> JobPlan:
+    """Draw a job: one in ten is resubmitted.
+
+    Half of the resubmissions go to another entry.
+    """
+    job = draw_plain_job(rng, number, at)
     if rng.random() >= 0.1:
         return job
     return dataclasses.replace(
         job,
         resubmit_after=rng.uniform(0.01, 2.0),
-        elsewhere=rng.random() < 0.5,
+        to_other_entry=rng.random() < 0.5,
     )
 
 
-def full_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """The largest job, of the shortest tasks: cost of dispatch counts."""
-    tasks = (TaskPlan('short', 0.05, 0.05),) * LARGEST_JOB
+def draw_full_job(rng: random.Random, number: int, at: float) -> JobPlan:
+    """Return the largest job, of the shortest tasks.
+
+    Such jobs make the cost of dispatch dominate.
+    """
+    tasks = (TaskPlan('short', 0.05, 0.05),) * MAX_TASKS_PER_JOB
     return JobPlan(number, at, draw_team(rng), tasks)
 
 
-MAKERS: dict[bench_plan.Pattern, Maker] = {
-    bench_plan.Pattern.HOT: hot_job,
-    bench_plan.Pattern.SATURATION: saturating_job,
-    bench_plan.Pattern.LONG_AMONG_SHORT: mixed_job,
-    bench_plan.Pattern.WRONG_SIZES: misdeclared_job,
-    bench_plan.Pattern.RESUBMIT: resubmitted_job,
-    bench_plan.Pattern.THROUGHPUT: full_job,
+JOB_FACTORIES: dict[bench_plan.Pattern, JobFactory] = {
+    bench_plan.Pattern.HOT: draw_hot_job,
+    bench_plan.Pattern.SATURATION: draw_saturating_job,
+    bench_plan.Pattern.LONG_AMONG_SHORT: draw_mixed_job,
+    bench_plan.Pattern.WRONG_SIZES: draw_misdeclared_job,
+    bench_plan.Pattern.RESUBMIT: draw_resubmitted_job,
+    bench_plan.Pattern.THROUGHPUT: draw_full_job,
 }
 
 
@@ -220,66 +240,73 @@
     load: float | None,
     deployment: bench_plan.Deployment,
 ) -> Load:
-    """All jobs and acts of a run.
+    """Draw all jobs of a run and plan its steps.
 
-    :param load: share of all slots to keep busy; None for the pattern's own.
+    :param load: share of all slots to keep busy; None for the pattern's
+        default.
     """
     rng = random.Random(seed)
     if load is None:
-        load = DEFAULT_LOADS.get(pattern, COMMON_LOAD)
-    jobs = arrivals(rng, pattern, seconds, load, deployment)
+        load = DEFAULT_LOADS.get(pattern, DEFAULT_LOAD)
+    jobs = draw_arrivals(rng, pattern, seconds, load, deployment)
     if pattern is bench_plan.Pattern.BURST:
-        jobs += burst(rng, len(jobs), seconds, deployment)
+        jobs += draw_burst(rng, len(jobs), seconds, deployment)
     return Load(
         pattern,
         seed,
         seconds,
         load,
         tuple(sorted(jobs, key=lambda job: job.at)),
-        steps=bench_plan.steps(pattern, seconds, deployment),
-        slow=((0, 5.0),)
+        steps=bench_plan.plan_steps(pattern, seconds, deployment),
+        slow_factors=((0, 5.0),)
         if pattern is bench_plan.Pattern.SLOW_UPSTREAM
         else (),
-        failing=(0,) if pattern is bench_plan.Pattern.FAILING_WORKER else (),
+        failing_workers=(0,)
+        if pattern is bench_plan.Pattern.FAILING_WORKER
+        else (),
     )
 
 
-def arrivals(
+def draw_arrivals(
     rng: random.Random,
     pattern: bench_plan.Pattern,
     seconds: float,
     load: float,
     deployment: bench_plan.Deployment,
 ) -> list[JobPlan]:
-    """Poisson arrivals whose work is exactly the wanted share of the slots.
+    """Draw Poisson arrivals whose work fills the given share of the slots.
 
-    Jobs are drawn until their work fills the share; their instants are then
-    uniform over the run, which is a Poisson process given its number of
-    arrivals.  Without this a seed's few large jobs would move the load.
+    Jobs are drawn until their work reaches the share; their instants are
+    uniform over the run, which is a Poisson process conditioned on its number
+    of arrivals.  Otherwise the few large jobs of a seed would change the
+    load.
     """
-    maker = MAKERS.get(pattern, plain_job)
-    wanted = load * seconds * deployment.total_slots
+    draw_job = JOB_FACTORIES.get(pattern, draw_plain_job)
+    target_work = load * seconds * deployment.total_slots
     jobs: list[JobPlan] = []
     work = 0.0
-    while work < wanted:
-        job = maker(rng, len(jobs), rng.uniform(0.0, seconds))
+    while work < target_work:
+        job = draw_job(rng, len(jobs), rng.uniform(0.0, seconds))
         jobs.append(job)
         work += job.work if job.possible else 0.0
     return jobs
 
 
-def burst(
+def draw_burst(
     rng: random.Random,
     first: int,
     seconds: float,
     deployment: bench_plan.Deployment,
 ) -> list[JobPlan]:
-    """Work for all slots for a tenth of the run, within a quarter second."""
-    wanted = 0.1 * seconds * deployment.total_slots
+    """Draw a burst of jobs that arrive within a quarter second.
+
+    Their work fills all slots for a tenth of the run.
+    """
+    target_work = 0.1 * seconds * deployment.total_slots
     jobs: list[JobPlan] = []
     work = 0.0
-    while work < wanted:
+    while work < target_work:
         at = seconds / 3 + rng.uniform(0.0, 0.25)
-        jobs.append(plain_job(rng, first + len(jobs), at))
+        jobs.append(draw_plain_job(rng, first + len(jobs), at))
         work += jobs[-1].work
     return jobs
--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -1,8 +1,8 @@
-"""Callers of the bench: they send jobs over HTTP and keep what they got.
+"""Callers of the bench: they submit jobs over HTTP and record the replies.
 
-A caller stands behind a balancer that knows which entries are ready.  When a
-connection breaks or the outcome is pending it asks again under the same key,
-by another entry, until well past the deadline; a refusal is final.
+A balancer chooses a ready entry for each request.  When a connection breaks or
+the outcome is pending, the caller retries with the same key at another entry,
+up to :data:`OUTCOME_WAIT_SECONDS` past the deadline; a refusal is final.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 
 MAX_OPEN_REQUESTS = 10_000
 CONNECT_SECONDS = 2.0
-SLACK_SECONDS = 10.0
-"""How long after its deadline a caller still waits to learn the outcome."""
-PAUSE_SECONDS = (0.05, 0.25)
+OUTCOME_WAIT_SECONDS = 10.0
+"""Time past a job's deadline during which its caller retries."""
+RETRY_DELAY_SECONDS = (0.05, 0.25)
 
 
 class TaskBody(msgspec.Struct, frozen=True):
-    """One task of an answer; the body stays as the bytes that came."""
+    """One task of an answer; the body keeps the received bytes."""
 
     id: str
     outcome: types.Outcome
@@ -39,7 +39,7 @@
 
 
 class AnswerBody(msgspec.Struct, frozen=True):
-    """An answer or a problem document, as far as the bench reads it."""
+    """The fields of an answer or problem document that the bench reads."""
 
     job: str = ''
     run: str = ''
@@ -49,28 +49,28 @@
 
 
 class Balancer(typing.Protocol):
-    """Says where a caller's next connection goes."""
+    """Selection of the entry for a caller's next request."""
 
     def pick(self, avoid: str = '') -> str:
-        """URL of a ready entry, another than ``avoid`` if there is one."""
+        """Return the URL of a ready entry, if possible not ``avoid``."""
         ...
 
 
 @dataclasses.dataclass
-class Cuts:
-    """Requests that ended without an answer, by the error seen."""
+class ConnectionErrors:
+    """Numbers of requests that ended without an answer, by error."""
 
     by_error: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def add(self, error: str) -> None:
-        """Count one."""
+        """Count one request."""
         self.by_error[error] = self.by_error.get(error, 0) + 1
 
 
 class Callers:
     """All callers of one run.
 
-    :param latency: one-way seconds between a caller and an entry.
+    :param latency: one-way latency between a caller and an entry, seconds.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.keys: dict[int, str] = {}
         self.open: dict[int, str] = {}
         self.cancelled: set[int] = set()
-        self.cuts = Cuts()
+        self.connection_errors = ConnectionErrors()
         self._balancer = balancer
         self._book = book
         self._latency = latency
@@ -98,16 +98,16 @@
         self._http.close()
 
     async def submit(self, job: bench_arrivals.JobPlan) -> None:
-        """Send one job, and again if its plan says so."""
+        """Submit one job, and resubmit it if its plan says so."""
         key = str(uuid_utils.uuid7())
         self.keys[job.number] = key
         self.open[job.number] = key
-        body = job_body(job)
+        body = encode_job(job)
         url = self._balancer.pick()
-        sendings = [self._send(job, key, body, url, False)]
+        submissions = [self._send(job, key, body, url, False)]
         if job.resubmit_after is not None:
-            sendings.append(self._resubmit(job, key, body, url))
-        await asyncio.gather(*sendings)
+            submissions.append(self._resubmit(job, key, body, url))
+        await asyncio.gather(*submissions)
 
     async def cancel(self, number: int) -> None:
         """Cancel a job by its number."""
@@ -124,7 +124,7 @@
         self, job: bench_arrivals.JobPlan, key: str, body: bytes, url: str
     ) -> None:
         await asyncio.sleep(job.resubmit_after or 0.0)
-        if job.elsewhere:
+        if job.to_other_entry:
             url = self._balancer.pick(avoid=url)
         await self._send(job, key, body, url, True)
 
@@ -134,18 +134,18 @@
         key: str,
         body: bytes,
         url: str,
-        again: bool,
+        resubmission: bool,
     ) -> None:
         sent = self._book.now()
-        until = sent + job.deadline_after + SLACK_SECONDS
+        give_up_at = sent + job.deadline_after + OUTCOME_WAIT_SECONDS
         while True:
-            answer, error = await self._post(key, body, url, until)
+            answer, error = await self._post(key, body, url, give_up_at)
             final = answer is not None and (
                 answer.status is not types.JobStatus.PENDING
             )
-            if final or self._book.now() >= until:
+            if final or self._book.now() >= give_up_at:
                 break
-            await asyncio.sleep(self._rng.uniform(*PAUSE_SECONDS))
+            await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_SECONDS))
             url = self._balancer.pick(avoid=url)
         self.open.pop(job.number, None)
         self.replies.append(
@@ -155,14 +155,14 @@
                 sent,
                 self._book.now(),
                 answer,
-                resubmission=again,
+                resubmission=resubmission,
                 cancelled=job.number in self.cancelled,
                 error=error,
             )
         )
 
     async def _post(
-        self, key: str, body: bytes, url: str, until: float
+        self, key: str, body: bytes, url: str, give_up_at: float
     ) -> tuple[types.JobAnswer | None, str]:
         await asyncio.sleep(self._latency)
         response = await self._fetch(
@@ -175,7 +175,7 @@
                     'Idempotency-Key': key,
                 },
                 connect_timeout=CONNECT_SECONDS,
-                request_timeout=max(1.0, until - self._book.now()),
+                request_timeout=max(1.0, give_up_at - self._book.now()),
             )
         )
         await asyncio.sleep(self._latency)
@@ -189,16 +189,16 @@
         try:
             return await self._http.fetch(req, raise_error=False)
         except ConnectionRefusedError as exc:
-            # The balancer's knowledge was old; no request was in progress.
-            self.cuts.add(f'refused {type(exc).__name__}')
+            # The balancer's state was stale; no request was in progress.
+            self.connection_errors.add(f'refused {type(exc).__name__}')
             return None
         except (OSError, tornado.httpclient.HTTPError) as exc:
-            self.cuts.add(type(exc).__name__)
+            self.connection_errors.add(type(exc).__name__)
             return None
 
 
-def job_body(job: bench_arrivals.JobPlan) -> bytes:
-    """Body of ``POST /v1/jobs``."""
+def encode_job(job: bench_arrivals.JobPlan) -> bytes:
+    """Return the body of ``POST /v1/jobs``."""
     return msgspec.json.encode(
         {
             'team': job.team,
@@ -206,13 +206,13 @@
             'urgent': job.urgent,
             'tasks': [
                 {
-                    'id': bench_truth.task_id(place),
+                    'id': bench_truth.task_id(position),
                     'kind': task.kind,
                     'payload': standin_upstream.Payload(task.seconds),
                     'needs': {'cpu': task.cpu},
                     'expected_seconds': task.expected_seconds,
                 }
-                for place, task in enumerate(job.tasks)
+                for position, task in enumerate(job.tasks)
             ],
         }
     )
@@ -221,10 +221,10 @@
 def read_answer(
     body: bytes, status: int, key: types.JobKey
 ) -> types.JobAnswer | None:
-    """What an HTTP answer says; None if it says nothing of a job.
+    """Return the answer in an HTTP response, or None if there is none.
 
-    A refusal at the door names no job: then it is the sender's own key that
-    was refused.
+    A refusal by admission control names no job, so its answer gets the key of
+    the request.
     """
     try:
         parsed = msgspec.json.decode(body, type=AnswerBody)
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -1,8 +1,8 @@
 """The installation under test: real entries and agents over real sockets.
 
-All run in the bench's own process and event loop; the stand-in table
-service and the stand-in upstreams too.  Latency between availability zones
-is added to each message on its way out.
+Entries, agents, the stand-in table service and the stand-in upstreams all run
+in the bench's own process and event loop.  Each outgoing message to another
+availability zone is delayed by the latency between zones.
 """
 
 import asyncio
@@ -33,14 +33,14 @@
 ANY_PORT = '127.0.0.1:0'
 READY_SECONDS = 30.0
 POLL_SECONDS = 0.05
-ANNOUNCED_SECONDS = 5.0
-NO_URL = 'http://127.0.0.1:1'
+ANNOUNCE_TERM_SECONDS = 5.0
+UNUSED_URL = 'http://127.0.0.1:1'
 OPERATOR_TOKEN = 'bench-operator-token'
-OUTAGE_FAULTS = standin_table.Faults(outage=True)
+TABLE_OUTAGE = standin_table.Faults(outage=True)
 
 
 class ZoneDelay:
-    """Latency towards a peer in another zone; none within a zone."""
+    """Latency towards a peer in another zone; zero within a zone."""
 
     def __init__(self, zone: str, seconds: float, zones: dict[str, str]):
         self._zone = zone
@@ -48,29 +48,32 @@
         self._zones = zones
 
     def seconds(self, peer: types.PeerName) -> float:
-        """Seconds by which delivery to ``peer`` is held up."""
+        """Return the delay of messages to ``peer``."""
         return 0.0 if self._zones.get(peer) == self._zone else self._seconds
 
 
 @dataclasses.dataclass
 class Counts:
-    """Tasks sent to agents and refused by them, and notes of all."""
+    """Counts of tasks sent to agents, tasks they refused, and notes.
+
+    :param first_note_at: seconds from the run's start, by note name.
+    """
 
     started: int = 0
     refused: int = 0
     notes: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    first_note: dict[str, float] = dataclasses.field(default_factory=dict)
+    first_note_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
     @property
     def refused_share(self) -> float:
-        """Refused tasks over tasks sent."""
+        """Share of sent tasks that agents refused."""
         return self.refused / self.started if self.started else 0.0
 
 
 class CountingReducer:
-    """Passes events on to a reducer and counts what it sends."""
+    """Wrapper of a reducer that counts the messages it sends."""
 
     def __init__(
         self,
@@ -83,16 +86,16 @@
         self._now = now
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Take one event."""
+        """Pass one event to the wrapped reducer and count its effects."""
         effects = self._reducer.reduce(event, now)
         for effect in effects:
-            self._count(effect)
+            self._count_effect(effect)
         return effects
 
-    def _count(self, effect: object) -> None:
+    def _count_effect(self, effect: object) -> None:
         if isinstance(effect, core.Note):
             self._counts.notes[effect.name] += 1
-            self._counts.first_note.setdefault(effect.name, self._now())
+            self._counts.first_note_at.setdefault(effect.name, self._now())
             return
         if not isinstance(effect, core.Send):
             return
@@ -107,32 +110,32 @@
 
 @dataclasses.dataclass
 class EntrySite:
-    """One entry and whether it still runs."""
+    """One entry process and whether it still runs."""
 
     process: processes.EntryProcess
     alive: bool = True
 
     @property
     def url(self) -> str:
-        """Where callers reach it."""
+        """URL of the entry for callers."""
         return f'http://{self.process.http_address}'
 
-    def ready(self) -> bool:
-        """Whether the balancer's health check passes."""
+    def is_ready(self) -> bool:
+        """Return whether the balancer's health check passes."""
         now = self.process.outside.clock.now()
         return self.alive and self.process.entry.ready(now)
 
 
 @dataclasses.dataclass
 class AgentSite:
-    """One agent with the upstream beside it."""
+    """One agent process and its stand-in upstream."""
 
     process: processes.AgentProcess
     upstream: standin_upstream.LocalUpstream
 
 
 class Cluster:
-    """All processes of one run; also the callers' balancer."""
+    """All processes of one run, and the balancer of the callers."""
 
     def __init__(
         self,
@@ -153,21 +156,23 @@
         self._policy = policy
         self._rng = random.Random(load.seed)
         self._zones: dict[str, str] = {}
-        self._stopped: collections.Counter[str] = collections.Counter()
-        self._names = 0
+        self._stopped_traffic: collections.Counter[str] = collections.Counter()
+        self._name_count = 0
 
     async def start(self) -> None:
-        """Start everything and wait until every slot is on offer."""
+        """Start all processes and wait until the entries see every slot."""
         self.table = await standin_table.TableServer.start()
         for number in range(self._deployment.entries):
             self.entries.append(await self._start_entry(number))
-        await self._until(lambda: all(site.ready() for site in self.entries))
+        await self._wait_until(
+            lambda: all(site.is_ready() for site in self.entries)
+        )
         for number in range(self._deployment.workers):
             self.agents.append(await self._start_agent(number))
-        await self._until(self._is_whole)
+        await self._wait_until(self._are_all_slots_offered)
 
     async def stop(self) -> None:
-        """End everything at once."""
+        """Stop all processes without draining them."""
         for agent in self.agents:
             agent.upstream.end()
             agent.process.kill()
@@ -176,37 +181,37 @@
         await self.table.stop()
 
     def pick(self, avoid: str = '') -> str:
-        """URL of a ready entry, another than ``avoid`` if there is one."""
-        ready = [site.url for site in self.entries if site.ready()]
+        """Return the URL of a ready entry, if possible not ``avoid``."""
+        ready = [site.url for site in self.entries if site.is_ready()]
         others = [url for url in ready if url != avoid]
         urls = others or ready
         urls = urls or [site.url for site in self.entries if site.alive]
         return self._rng.choice(urls)
 
     def traffic(self) -> collections.Counter[str]:
-        """Messages by kind that all processes have sent so far."""
-        total = collections.Counter(self._stopped)
+        """Return the number of messages sent by all processes, by kind."""
+        total = collections.Counter(self._stopped_traffic)
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         for site in sites:
             total.update(site.process.links.traffic.by_kind)
         return total
 
     def bytes_sent(self) -> int:
-        """Bytes that all processes have sent so far to one another."""
+        """Return the number of bytes that the processes sent each other."""
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         return sum(site.process.links.traffic.bytes_out for site in sites)
 
     def evidence_traffic(
         self, before: collections.Counter[str]
     ) -> bench_evidence.Traffic:
-        """Messages sent since ``before``."""
+        """Return the messages sent since the counts in ``before``."""
         counts = self.traffic() - before
         return bench_evidence.Traffic(counts, self.counts.refused_share)
 
     async def change(self, change: cluster.Change) -> cluster.Proposed:
-        """Propose a change at a ready entry, again while it conflicts."""
+        """Propose a change at a ready entry; retry until it is accepted."""
         while True:
-            site = next(site for site in self.entries if site.ready())
+            site = next(site for site in self.entries if site.is_ready())
             verdict = await site.process.calls.call(
                 lambda number: calls.ChangeProposed(number, change)
             )
@@ -217,21 +222,21 @@
             await asyncio.sleep(POLL_SECONDS)
 
     def set_store_down(self, down: bool) -> None:
-        """Begin or end an outage of the table service."""
-        self.table.faults = OUTAGE_FAULTS if down else standin_table.Faults()
+        """Start or end an outage of the table service."""
+        self.table.faults = TABLE_OUTAGE if down else standin_table.Faults()
 
     async def kill_entry(self, number: int) -> None:
-        """End an entry at once."""
+        """Kill an entry."""
         site = self.entries[number]
         site.alive = False
-        self._stopped.update(site.process.links.traffic.by_kind)
+        self._stopped_traffic.update(site.process.links.traffic.by_kind)
         site.process.links.traffic.by_kind.clear()
         site.process.kill()
 
     async def replace_entry(self, number: int) -> None:
         """Start a new entry, then stop the old one gracefully."""
         new = await self._start_entry(number)
-        await self._until(new.ready)
+        await self._wait_until(new.is_ready)
         old = self.entries[number]
         self.entries.append(new)
         await old.process.stop()
@@ -242,14 +247,14 @@
         old = self.agents[number]
         await old.process.stop()
         old.upstream.end()
-        self._stopped.update(old.process.links.traffic.by_kind)
+        self._stopped_traffic.update(old.process.links.traffic.by_kind)
         self.agents[number] = await self._start_agent(number)
 
     def _new_name(self, prefix: str, number: int) -> str:
-        self._names += 1
-        return f'{prefix}-{number}-{self._names}'
+        self._name_count += 1
+        return f'{prefix}-{number}-{self._name_count}'
 
-    def _outside(self, name: str, zone: str) -> processes.Outside:
+    def _make_outside(self, name: str, zone: str) -> processes.Outside:
         self._zones[name] = zone
         seconds = self._deployment.zone_latency
         return processes.Outside(
@@ -269,11 +274,11 @@
             tokens=settings.Tokens(operator=OPERATOR_TOKEN),
             tls=settings.Tls(enabled=False),
         )
-        outside = self._outside(name, zone)
+        outside = self._make_outside(name, zone)
         policy = self._policy or placement.DEFAULT_POLICY
         process = processes.EntryProcess.from_settings(cfg, outside, policy)
         await process.start()
-        self._count(process)
+        self._count_messages(process)
         return EntrySite(process)
 
     async def _start_agent(self, number: int) -> AgentSite:
@@ -289,25 +294,27 @@
             upstream=settings.Upstreams(listen=ANY_PORT),
             tls=settings.Tls(enabled=False),
         )
-        made: list[standin_upstream.LocalUpstream] = []
+        created: list[standin_upstream.LocalUpstream] = []
 
         def runner(feed: processes.Feed) -> standin_upstream.LocalUpstream:
-            made.append(self._upstream(name, number, zone, feed))
-            return made[0]
+            created.append(self._make_upstream(name, number, zone, feed))
+            return created[0]
 
-        outside = dataclasses.replace(self._outside(name, zone), runner=runner)
+        outside = dataclasses.replace(
+            self._make_outside(name, zone), runner=runner
+        )
         process = processes.AgentProcess.from_settings(cfg, outside)
         await process.start()
-        self._count(process)
-        made[0].begin()
-        return AgentSite(process, made[0])
+        self._count_messages(process)
+        created[0].begin()
+        return AgentSite(process, created[0])
 
-    def _upstream(
+    def _make_upstream(
         self, name: str, number: int, zone: str, feed: processes.Feed
     ) -> standin_upstream.LocalUpstream:
         faults = standin_upstream.Faults(
-            fail_all=number in self._load.failing,
-            slow_factor=dict(self._load.slow).get(number, 1.0),
+            fail_all=number in self._load.failing_workers,
+            slow_factor=dict(self._load.slow_factors).get(number, 1.0),
         )
         worker = bench_upstream.Worker(number, zone, self._book, faults)
         announced = upstream.Announced(
@@ -315,17 +322,17 @@
             bench_arrivals.KINDS,
             self._deployment.slots,
             types.Needs(self._deployment.cores, self._deployment.memory_mb),
-            NO_URL,
-            ANNOUNCED_SECONDS,
+            UNUSED_URL,
+            ANNOUNCE_TERM_SECONDS,
         )
         return standin_upstream.LocalUpstream(worker, feed, announced)
 
-    def _count(self, process: processes.Process) -> None:
+    def _count_messages(self, process: processes.Process) -> None:
         process.shell.reducer = CountingReducer(
             process.shell.reducer, self.counts, self._book.now
         )
 
-    def _is_whole(self) -> bool:
+    def _are_all_slots_offered(self) -> bool:
         now = self._clock.now()
         offered = sum(
             site.process.entry.status(now).dispatch.slots
@@ -333,7 +340,9 @@
         )
         return offered >= self._deployment.total_slots
 
-    async def _until(self, done: collections.abc.Callable[[], bool]) -> None:
+    async def _wait_until(
+        self, condition: collections.abc.Callable[[], bool]
+    ) -> None:
         async with asyncio.timeout(READY_SECONDS):
-            while not done():
+            while not condition():
                 await asyncio.sleep(POLL_SECONDS)
--- a/src/agatepick/bench/bench_evidence.py
+++ b/src/agatepick/bench/bench_evidence.py
@@ -1,4 +1,4 @@
-"""What a bench run leaves behind, seen from outside the product."""
+"""Records of a bench run, made outside the programs under test."""
 
 import collections.abc
 import dataclasses
@@ -13,9 +13,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One start that a stand-in upstream counted.
+    """One run of a task, recorded by a stand-in upstream.
 
-    :param start: seconds from the run's start; ``end`` likewise.
+    :param start: seconds from the start of the bench run; ``end`` likewise.
     """
 
     key: types.JobKey
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What one caller got for one sending of a job.
+    """The reply to one submission of a job.
 
-    :param answer: None if the connection broke or nothing came.
     :param sent: seconds from the run's start; ``got`` likewise.
+    :param answer: None if the connection broke or no answer arrived.
     """
 
     job: int
@@ -47,7 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Departure:
-    """A zone's stay out: instants from the run's start, in seconds."""
+    """Departure of a zone; instants are seconds from the run's start.
+
+    :param asked: when the change was requested.
+    :param accepted: when an entry accepted the change.
+    :param in_force: from when on no task may start in the zone.
+    :param returned: when the zone was in use again.
+    """
 
     zone: str
     asked: float
@@ -58,19 +64,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """Messages that the processes sent one another, by kind.
+    """Messages that the processes sent each other, by kind.
 
-    :param refused_starts: refused tasks over all tasks sent to agents.
+    :param refused_starts: share of the tasks sent to agents that the agents
+        refused.
     """
 
     counts: collections.abc.Mapping[str, int]
     refused_starts: float = 0.0
 
     def wasted_share(self, ignored: frozenset[str] = frozenset()) -> float:
-        """Share of messages that are neither a start nor a result.
+        """Return the share of messages that are neither a start nor a result.
+
+        A batch counts as one message.  The refused share of starts and
+        results counts as wasted too.
 
-        A batch counts as one message; of starts and results the share that
-        was refused is wasted too.
+        :param ignored: kinds of messages to leave out.
         """
         kept = {
             kind: count
@@ -86,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evidence:
-    """All that a run left behind."""
+    """All records of one run."""
 
     load: bench_arrivals.Load
     deployment: bench_plan.Deployment
--- a/src/agatepick/bench/bench_ideal.py
+++ b/src/agatepick/bench/bench_ideal.py
@@ -1,8 +1,8 @@
-"""The ideal that every run is compared with.
+"""The ideal scheduler that every run is compared with.
 
-One central queue in order of arrival, no latency, no message, perfect
-knowledge of free slots: the same jobs with the same run times over the same
-slots.  A job's response ends with its last task.
+It has one central queue in order of arrival, no latency, no messages and exact
+knowledge of free slots.  It runs the same jobs with the same run times on the
+same slots.  A job's response time ends with its last task.
 """
 
 import collections.abc
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Closure:
-    """A zone in which no task may start from one instant to another."""
+    """An interval during which no task may start in a zone."""
 
     zone: str
     since: float
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ideal:
-    """What the central queue would have done.
+    """Schedule of the central queue.
 
-    :param responses: seconds by number of the job.
+    :param responses: response time in seconds, by job number.
     :param runs: start and end of each task, seconds from the run's start.
     """
 
@@ -39,7 +39,7 @@
     deployment: bench_plan.Deployment,
     closures: collections.abc.Sequence[Closure] = (),
 ) -> Ideal:
-    """Play jobs through the central queue."""
+    """Simulate the central queue for the given jobs."""
     free = [
         (0.0, worker, slot)
         for worker in range(deployment.workers)
@@ -66,7 +66,11 @@
     deployment: bench_plan.Deployment,
     closures: collections.abc.Sequence[Closure],
 ) -> tuple[float, int, int]:
-    """The slot that lets a task of ``at`` start soonest, and that instant."""
+    """Take the slot in which a task can start first.
+
+    :param at: arrival of the task.
+    :returns: start of the task, worker number and slot number.
+    """
     while True:
         since, worker, slot = heapq.heappop(free)
         start = max(since, at)
@@ -90,7 +94,7 @@
     since: float,
     until: float,
 ) -> float:
-    """Slot-seconds that runs spent inside a window."""
+    """Return the slot-seconds that runs spent inside a window."""
     return sum(
         max(0.0, min(stop, until) - max(start, since)) for start, stop in runs
     )
--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -1,8 +1,8 @@
-"""How late the bench's own event loop is.
+"""Lag of the bench's own event loop.
 
-All processes of a run share one core, so a busy loop delays starts that real
-processes would not.  A run with much lag says more of the bench than of the
-product; the report shows it beside the responses.
+All processes of a run share one core, so a busy loop delays starts that
+separate processes would not delay.  With a high lag the response times reflect
+the bench more than agatepick, so the report shows both.
 """
 
 import asyncio
@@ -12,27 +12,28 @@
 PERIOD_SECONDS = 0.02
 
 
-class Lag:
-    """Measures by how much short sleeps overrun."""
+class LoopLag:
+    """Measurement of the event loop's lag by the overrun of short sleeps."""
 
     def __init__(self) -> None:
-        self._hist = bench_measures.recorder()
+        self._histogram = bench_measures.new_histogram()
         self._task: asyncio.Task[None] | None = None
 
-    def begin(self) -> None:
-        """Measure from now on."""
+    def start(self) -> None:
+        """Start measuring."""
         self._task = asyncio.get_running_loop().create_task(self._watch())
 
-    def end(self) -> None:
-        """Measure no more."""
+    def stop(self) -> None:
+        """Stop measuring."""
         if self._task is not None:
             self._task.cancel()
 
     def figures(self) -> dict[str, float | int | str | None]:
-        """Mean and 99th percentile, in milliseconds."""
+        """Return the mean and 99th percentile of the lag in milliseconds."""
         return {
-            'loop_lag_mean_ms': self._hist.get_mean_value() / 1e3,
-            'loop_lag_p99_ms': bench_measures.quantile(self._hist, 99.0) / 1e3,
+            'loop_lag_mean_ms': self._histogram.get_mean_value() / 1e3,
+            'loop_lag_p99_ms': bench_measures.quantile(self._histogram, 99.0)
+            / 1e3,
         }
 
     async def _watch(self) -> None:
@@ -40,6 +41,6 @@
         while True:
             due = loop.time() + PERIOD_SECONDS
             await asyncio.sleep(PERIOD_SECONDS)
-            late = (loop.time() - due) * 1e6
+            overrun = (loop.time() - due) * 1e6
             lowest = bench_measures.LOWEST_MICROSECONDS
-            self._hist.record_value(max(lowest, round(late)))
+            self._histogram.record_value(max(lowest, round(overrun)))
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -18,9 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Responses:
-    """Response over the ideal, as a ratio of the two distributions.
+    """Ratios of the response time distribution to the ideal one.
 
-    :param own_median: median of each job's own ratio to its own ideal.
+    :param own_median: median of the jobs' individual ratios.
+    :param own_p99: 99th percentile of the jobs' individual ratios.
     """
 
     response_over_ideal_mean: float
@@ -33,18 +34,21 @@
     jobs: int
 
 
-def recorder() -> histogram.HdrHistogram:
-    """An empty histogram of microseconds."""
+def new_histogram() -> histogram.HdrHistogram:
+    """Return an empty histogram of microseconds."""
     return histogram.HdrHistogram(
         LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
     )
 
 
-def fill(
+def build_histogram(
     seconds: collections.abc.Iterable[float],
 ) -> histogram.HdrHistogram:
-    """A histogram of durations."""
-    hist = recorder()
+    """Return a histogram of durations.
+
+    :param seconds: the durations.
+    """
+    hist = new_histogram()
     for value in seconds:
         hist.record_value(max(LOWEST_MICROSECONDS, round(value * 1e6)))
     return hist
@@ -53,7 +57,10 @@
 def first_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
-    """The reply to the first sending of each job that was not cancelled."""
+    """Return the first submission's reply of each job not cancelled.
+
+    :returns: replies by job number.
+    """
     return {
         reply.job: reply
         for reply in reversed(evidence.replies)
@@ -61,10 +68,10 @@
     }
 
 
-def completed(
+def completed_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
-    """First replies that were complete, by number of the job."""
+    """Return the first replies with status complete, by job number."""
     return {
         number: reply
         for number, reply in first_replies(evidence).items()
@@ -74,37 +81,41 @@
 
 
 def response_times(evidence: bench_evidence.Evidence) -> dict[int, float]:
-    """Seconds from a completed job's planned arrival to its answer.
+    """Return the seconds from planned arrival to answer of completed jobs.
 
-    Counted from the plan and not from the sending, so that a bench that
-    falls behind doesn't hide it.
+    Response times start at the planned arrival instead of the submission;
+    otherwise a bench that submits late would report too short times.
     """
     plans = {job.number: job for job in evidence.load.jobs}
     return {
         number: reply.got - plans[number].at
-        for number, reply in completed(evidence).items()
+        for number, reply in completed_replies(evidence).items()
     }
 
 
-def compare(
+def compare_to_ideal(
     actual: collections.abc.Mapping[int, float],
     ideal: collections.abc.Mapping[int, float],
 ) -> Responses | None:
-    """Response over ideal for the jobs in ``actual``; None if there is none.
+    """Compare response times with the ideal ones of the same jobs.
 
-    The ideal's distribution is taken over the same jobs.
+    :param actual: response times in seconds, by job number.
+    :returns: None if ``actual`` is empty.
     """
     if not actual:
         return None
-    real = fill(actual.values())
-    best = fill(ideal[number] for number in actual)
-    own = fill(value / ideal[num] / 1e3 for num, value in actual.items())
+    measured = build_histogram(actual.values())
+    ideal_histogram = build_histogram(ideal[number] for number in actual)
+    own_ratios = build_histogram(
+        value / ideal[num] / 1e3 for num, value in actual.items()
+    )
     return Responses(
-        response_over_ideal_mean=real.get_mean_value() / best.get_mean_value(),
-        median=quantile(real, 50.0) / quantile(best, 50.0),
-        p99=quantile(real, 99.0) / quantile(best, 99.0),
-        own_median=quantile(own, 50.0) / 1e3,
-        own_p99=quantile(own, 99.0) / 1e3,
+        response_over_ideal_mean=measured.get_mean_value()
+        / ideal_histogram.get_mean_value(),
+        median=quantile(measured, 50.0) / quantile(ideal_histogram, 50.0),
+        p99=quantile(measured, 99.0) / quantile(ideal_histogram, 99.0),
+        own_median=quantile(own_ratios, 50.0) / 1e3,
+        own_p99=quantile(own_ratios, 99.0) / 1e3,
         mean_seconds=statistics.fmean(actual.values()),
         ideal_mean_seconds=statistics.fmean(ideal[num] for num in actual),
         jobs=len(actual),
@@ -112,7 +123,7 @@
 
 
 def quantile(hist: histogram.HdrHistogram, percentile: float) -> float:
-    """A percentile of a histogram, at least its lowest value."""
+    """Return a percentile of a histogram, at least its lowest value."""
     value = hist.get_value_at_percentile(percentile)
     return float(max(LOWEST_MICROSECONDS, value))
 
@@ -121,7 +132,10 @@
     evidence: bench_evidence.Evidence,
     ideal: collections.abc.Mapping[int, float],
 ) -> float:
-    """Jain's index over the teams' response over ideal; 1.0 is even."""
+    """Return Jain's index of the teams' response over ideal.
+
+    1.0 means that the ratio is the same for all teams.
+    """
     by_team: dict[str, list[tuple[float, float]]] = {}
     plans = {job.number: job for job in evidence.load.jobs}
     for number, value in response_times(evidence).items():
@@ -138,17 +152,19 @@
 
 
 def missed_deadlines(evidence: bench_evidence.Evidence) -> int:
-    """Jobs that were let in and got no complete answer by their deadline."""
+    """Count the accepted jobs without a complete answer by their deadline."""
     plans = {job.number: job for job in evidence.load.jobs}
     return sum(
-        not in_time(reply, plans[number])
+        not met_deadline(reply, plans[number])
         for number, reply in first_replies(evidence).items()
         if not is_refused(reply)
     )
 
 
-def in_time(reply: bench_evidence.Reply, plan: bench_arrivals.JobPlan) -> bool:
-    """Whether a job was complete before its deadline."""
+def met_deadline(
+    reply: bench_evidence.Reply, plan: bench_arrivals.JobPlan
+) -> bool:
+    """Return whether a job was complete by its deadline."""
     return (
         reply.answer is not None
         and reply.answer.status is types.JobStatus.COMPLETE
@@ -157,7 +173,7 @@
 
 
 def is_refused(reply: bench_evidence.Reply) -> bool:
-    """Whether the whole job was answered "not run"."""
+    """Return whether the answer for the whole job was "not run"."""
     return (
         reply.answer is not None
         and reply.answer.status is types.JobStatus.NOT_RUN
@@ -165,14 +181,18 @@
 
 
 def goodput(evidence: bench_evidence.Evidence) -> float:
-    """Work of jobs done in time over what all slots could do meanwhile."""
+    """Return the share of all slot time spent on jobs that met deadlines."""
     plans = {job.number: job for job in evidence.load.jobs}
-    good = {
+    on_time_keys = {
         reply.key
-        for number, reply in completed(evidence).items()
-        if in_time(reply, plans[number])
+        for number, reply in completed_replies(evidence).items()
+        if met_deadline(reply, plans[number])
     }
-    spans = [(run.start, run.end) for run in evidence.runs if run.key in good]
+    spans = [
+        (run.start, run.end)
+        for run in evidence.runs
+        if run.key in on_time_keys
+    ]
     seconds = evidence.load.seconds
     done = bench_ideal.work_between(spans, 0.0, seconds)
     return done / (seconds * evidence.deployment.total_slots)
@@ -181,15 +201,18 @@
 def work_ratio(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> float | None:
-    """Work from a zone's departure to the end of arrivals, over the ideal's.
+    """Return the work done after a zone's departure, over the ideal's.
+
+    The window begins with the request for the departure and ends with the
+    arrivals.  The ideal uses the zone until its departure is in force and
+    again from the instant of its return.
 
-    The ideal uses the zone until its departure is in force and again from
-    the instant of its return; None if no zone left.
+    :returns: None if no zone departed.
     """
     if not evidence.departures:
         return None
-    since = min(gone.asked for gone in evidence.departures)
+    since = min(departure.asked for departure in evidence.departures)
     until = evidence.load.seconds
     spans = [(run.start, run.end) for run in evidence.runs]
-    best = bench_ideal.work_between(ideal.runs, since, until)
-    return bench_ideal.work_between(spans, since, until) / best
+    ideal_work = bench_ideal.work_between(ideal.runs, since, until)
+    return bench_ideal.work_between(spans, since, until) / ideal_work
--- a/src/agatepick/bench/bench_plan.py
+++ b/src/agatepick/bench/bench_plan.py
@@ -1,4 +1,4 @@
-"""What a bench run consists of besides its jobs: pattern, size, planned acts.
+"""Parts of a bench run besides its jobs: pattern, deployment, planned steps.
 
 Instants are seconds from the start of the run.
 """
@@ -8,7 +8,7 @@
 
 
 class Pattern(enum.StrEnum):
-    """The kinds of load and fault that the bench can play."""
+    """Patterns of load and faults that the bench can play."""
 
     STEADY = 'steady'
     BURST = 'burst'
@@ -43,11 +43,11 @@
 
     @property
     def total_slots(self) -> int:
-        """Slots of all workers."""
+        """Number of slots of all workers."""
         return self.workers * self.slots
 
     def zone_of(self, worker: int) -> str:
-        """Zone of a worker by its number."""
+        """Return the zone of a worker by its number."""
         return self.zones[worker % len(self.zones)]
 
 
@@ -72,7 +72,7 @@
 
 
 class Action(enum.StrEnum):
-    """What the bench does to the installation during a run."""
+    """Operations on the installation during a run."""
 
     ZONE_OUT = 'zone_out'
     ZONE_IN = 'zone_in'
@@ -86,17 +86,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One planned act; ``target`` is a zone or the number of a process."""
+    """One planned operation.
+
+    :param target: zone, or number of an entry or agent.
+    """
 
     at: float
     action: Action
     target: str = ''
 
 
-def steps(
+def plan_steps(
     pattern: Pattern, seconds: float, deployment: Deployment
 ) -> tuple[Step, ...]:
-    """Acts on the installation that belong to a pattern."""
+    """Return the steps that belong to a pattern."""
     third = seconds / 3
     half = seconds / 2
     if pattern is Pattern.ZONE:
@@ -116,20 +119,25 @@
     if pattern is Pattern.CANCEL_WAVE:
         return (Step(half, Action.CANCEL_HALF),)
     if pattern is Pattern.ROLLING:
-        return rolling_steps(seconds, deployment)
+        return plan_rolling_steps(seconds, deployment)
     return ()
 
 
-def rolling_steps(seconds: float, deployment: Deployment) -> tuple[Step, ...]:
-    """Replace each entry, then each agent, spread over the run."""
-    acts = [
+def plan_rolling_steps(
+    seconds: float, deployment: Deployment
+) -> tuple[Step, ...]:
+    """Return steps that replace each entry, then each agent.
+
+    The steps are spread evenly over the run.
+    """
+    replacements = [
         (Action.REPLACE_ENTRY, str(num)) for num in range(deployment.entries)
     ]
-    acts += [
+    replacements += [
         (Action.REPLACE_AGENT, str(num)) for num in range(deployment.workers)
     ]
-    gap = seconds * 0.9 / len(acts)
+    gap = seconds * 0.9 / len(replacements)
     return tuple(
-        Step(gap * (place + 0.5), action, target)
-        for place, (action, target) in enumerate(acts)
+        Step(gap * (position + 0.5), action, target)
+        for position, (action, target) in enumerate(replacements)
     )
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -1,4 +1,4 @@
-"""Plays one load against a running installation: jobs and planned acts."""
+"""Playback of one load, its jobs and steps, on a running installation."""
 
 import asyncio
 import collections.abc
@@ -13,26 +13,26 @@
 from agatepick.config import cluster
 
 DRAIN_SECONDS = 45.0
-"""How long after the last arrival the bench waits for answers."""
+"""Time after the end of arrivals during which the bench awaits answers."""
 
 
 class Player:
-    """Plays one load against a running installation."""
+    """Player of one load on a running installation."""
 
     def __init__(
         self,
         load: bench_arrivals.Load,
-        site: bench_cluster.Cluster,
+        installation: bench_cluster.Cluster,
         callers: bench_callers.Callers,
         book: bench_upstream.StartBook,
     ):
         self.departures: dict[str, bench_evidence.Departure] = {}
         self.step_errors: list[str] = []
         self._load = load
-        self._site = site
+        self._installation = installation
         self._callers = callers
         self._book = book
-        self._acts: dict[
+        self._step_handlers: dict[
             bench_plan.Action,
             collections.abc.Callable[
                 [str], collections.abc.Coroutine[object, object, None]
@@ -49,19 +49,23 @@
         }
 
     async def play(self) -> None:
-        """Play all jobs and acts; wait until every caller has an answer."""
+        """Play all jobs and steps; wait for the answers.
+
+        Jobs without an answer :data:`DRAIN_SECONDS` after the arrivals are
+        cancelled in the bench.
+        """
         tasks = [
             asyncio.create_task(self._play_job(job)) for job in self._load.jobs
         ]
-        acts = asyncio.create_task(self._play_steps())
-        left = self._load.seconds + DRAIN_SECONDS - self._book.now()
-        _, late = await asyncio.wait([*tasks, acts], timeout=left)
-        for task in late:
+        steps = asyncio.create_task(self._play_steps())
+        remaining = self._load.seconds + DRAIN_SECONDS - self._book.now()
+        _, unfinished = await asyncio.wait([*tasks, steps], timeout=remaining)
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*tasks, acts, return_exceptions=True)
+        await asyncio.gather(*tasks, steps, return_exceptions=True)
 
     def unanswered(self) -> list[bench_evidence.Reply]:
-        """Replies that never came, for the jobs still open."""
+        """Return a reply without an answer for each job still open."""
         now = self._book.now()
         return [
             bench_evidence.Reply(number, key, 0.0, now, None, error='silent')
@@ -76,40 +80,40 @@
         for step in self._load.steps:
             await asyncio.sleep(step.at - self._book.now())
             try:
-                await self._acts[step.action](step.target)
+                await self._step_handlers[step.action](step.target)
             except Exception as exc:
                 self.step_errors.append(f'{step.action}: {exc!r}')
 
     async def _zone_out(self, zone: str) -> None:
-        asked = self._book.now()
-        verdict = await self._site.change(cluster.ZoneOut(zone))
-        accepted = self._book.now()
+        requested_at = self._book.now()
+        verdict = await self._installation.change(cluster.ZoneOut(zone))
+        accepted_at = self._book.now()
         in_force = self._book.seconds_at(verdict.in_force_at)
         self.departures[zone] = bench_evidence.Departure(
-            zone, asked, accepted, in_force, float('inf')
+            zone, requested_at, accepted_at, in_force, float('inf')
         )
 
     async def _zone_in(self, zone: str) -> None:
-        verdict = await self._site.change(cluster.ZoneIn(zone))
+        verdict = await self._installation.change(cluster.ZoneIn(zone))
         returned = self._book.seconds_at(verdict.in_force_at)
         self.departures[zone] = dataclasses.replace(
             self.departures[zone], returned=returned
         )
 
     async def _store_down(self, target: str) -> None:
-        self._site.set_store_down(True)
+        self._installation.set_store_down(True)
 
     async def _store_up(self, target: str) -> None:
-        self._site.set_store_down(False)
+        self._installation.set_store_down(False)
 
     async def _kill_entry(self, target: str) -> None:
-        await self._site.kill_entry(int(target))
+        await self._installation.kill_entry(int(target))
 
     async def _replace_entry(self, target: str) -> None:
-        await self._site.replace_entry(int(target))
+        await self._installation.replace_entry(int(target))
 
     async def _replace_agent(self, target: str) -> None:
-        await self._site.replace_agent(int(target))
+        await self._installation.replace_agent(int(target))
 
     async def _cancel_half(self, target: str) -> None:
         numbers = sorted(self._callers.open)[::2]
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -1,4 +1,4 @@
-"""What a bench run tells: one report as JSON, as a table, or as a picture."""
+"""Report of a bench run as JSON, as a table or as a plot."""
 
 import collections.abc
 import dataclasses
@@ -11,9 +11,9 @@
 from agatepick.bench import bench_measures
 from agatepick.bench import bench_truth
 
-PICTURE_DPI = 120
+PLOT_DPI = 120
 WORK_BINS = 60
-"""Bins of the picture of work over time."""
+"""Number of bins in the plot of work over time."""
 
 Figure = float | int | str | None
 
@@ -22,7 +22,8 @@
 class Report:
     """Figures of one run in the order in which they are shown.
 
-    :param series: work over time as (seconds, busy slots, the ideal's).
+    :param series: work over time as triples (seconds, busy slots, busy slots
+        of the ideal).
     """
 
     title: str
@@ -30,23 +31,23 @@
     series: tuple[tuple[float, float, float], ...] = ()
 
     def as_json(self) -> str:
-        """One JSON object, figures at its top level."""
-        body = {name: rounded(val) for name, val in self.figures.items()}
+        """Return one JSON object with the figures as its members."""
+        body = {name: round_figure(val) for name, val in self.figures.items()}
         return json.dumps(body, indent=2)
 
     def as_table(self) -> str:
-        """Two columns for a person."""
+        """Return the title and a table of two columns, name and value."""
         width = max(map(len, self.figures), default=0)
         lines = [self.title]
         lines += [
-            f'  {name:<{width}}  {rounded(value)}'
+            f'  {name:<{width}}  {round_figure(value)}'
             for name, value in self.figures.items()
         ]
         return '\n'.join(lines)
 
 
-def rounded(value: Figure) -> Figure:
-    """A figure with no more digits than it can carry."""
+def round_figure(value: Figure) -> Figure:
+    """Round a float to four decimal places; keep any other figure."""
     return round(value, 4) if isinstance(value, float) else value
 
 
@@ -55,7 +56,10 @@
     ideal: bench_ideal.Ideal,
     extra: collections.abc.Mapping[str, Figure] | None = None,
 ) -> Report:
-    """All figures of one run."""
+    """Return the report with all figures of one run.
+
+    :param extra: further figures to add.
+    """
     load = evidence.load
     figures: dict[str, Figure] = {
         'pattern': load.pattern.value,
@@ -79,9 +83,9 @@
 def response_figures(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> dict[str, Figure]:
-    """Response times of the completed jobs beside the ideal's."""
+    """Return the figures of the completed jobs' response times."""
     times = bench_measures.response_times(evidence)
-    found = bench_measures.compare(times, ideal.responses)
+    found = bench_measures.compare_to_ideal(times, ideal.responses)
     figures: dict[str, Figure] = {
         'fairness': bench_measures.fairness(evidence, ideal.responses)
     }
@@ -92,7 +96,7 @@
 
 
 def message_figures(evidence: bench_evidence.Evidence) -> dict[str, Figure]:
-    """Messages between the processes and the part that was wasted."""
+    """Return the figures of messages between the processes."""
     traffic = evidence.traffic
     total = sum(traffic.counts.values())
     starts = len(evidence.runs)
@@ -115,10 +119,10 @@
 
 
 def outcome_figures(evidence: bench_evidence.Evidence) -> dict[str, Figure]:
-    """How the jobs ended, from their callers' side."""
+    """Return the outcomes of the jobs as their callers received them."""
     firsts = list(bench_measures.first_replies(evidence).values())
     refused = sum(map(bench_measures.is_refused, firsts))
-    done = len(bench_measures.completed(evidence))
+    done = len(bench_measures.completed_replies(evidence))
     missed = bench_measures.missed_deadlines(evidence)
     accepted = len(firsts) - refused
     return {
@@ -134,18 +138,18 @@
 def departure_figures(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> dict[str, Figure]:
-    """Work and last starts around the departures of zones."""
+    """Return the figures of the first zone departure, if there is one."""
     if not evidence.departures:
         return {}
-    gone = evidence.departures[0]
+    departure = evidence.departures[0]
     starts = [
-        run.start - gone.accepted
+        run.start - departure.accepted
         for run in evidence.runs
-        if run.zone == gone.zone and run.start < gone.returned
+        if run.zone == departure.zone and run.start < departure.returned
     ]
     return {
         'work_ratio': bench_measures.work_ratio(evidence, ideal),
-        'accepted_after_asked_seconds': gone.accepted - gone.asked,
+        'accepted_after_asked_seconds': departure.accepted - departure.asked,
         'last_start_after_acceptance': max(starts, default=None),
     }
 
@@ -153,20 +157,22 @@
 def work_series(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> tuple[tuple[float, float, float], ...]:
-    """Busy slots over time, the run's and the ideal's."""
+    """Return the busy slots over time, of the run and of the ideal."""
     width = evidence.load.seconds / WORK_BINS
     spans = [(run.start, run.end) for run in evidence.runs]
     return tuple(
         (
-            place * width,
-            bench_ideal.work_between(spans, place * width, (place + 1) * width)
+            bin_index * width,
+            bench_ideal.work_between(
+                spans, bin_index * width, (bin_index + 1) * width
+            )
             / width,
             bench_ideal.work_between(
-                ideal.runs, place * width, (place + 1) * width
+                ideal.runs, bin_index * width, (bin_index + 1) * width
             )
             / width,
         )
-        for place in range(WORK_BINS)
+        for bin_index in range(WORK_BINS)
     )
 
 
@@ -175,26 +181,29 @@
     departures: collections.abc.Iterable[bench_evidence.Departure],
     path: pathlib.Path,
 ) -> None:
-    """Draw busy slots over time, with each zone's stay out shaded."""
-    figure, axes = new_picture()
+    """Plot busy slots over time, with the zones' departures shaded."""
+    figure, axes = new_plot()
     times = [point[0] for point in report.series]
     axes.step(times, [point[1] for point in report.series], label='measured')
     axes.step(
         times, [point[2] for point in report.series], '--', label='ideal'
     )
-    for gone in departures:
+    for departure in departures:
         axes.axvspan(
-            gone.in_force, gone.returned, alpha=0.15, label=f'{gone.zone} out'
+            departure.in_force,
+            departure.returned,
+            alpha=0.15,
+            label=f'{departure.zone} out',
         )
     axes.set(title=report.title, xlabel='seconds', ylabel='busy slots')
-    finish_picture(figure, axes, path)
+    save_plot(figure, axes, path)
 
 
 def plot_loads(
     reports: collections.abc.Sequence[Report], path: pathlib.Path
 ) -> None:
-    """Draw response over ideal by load, one point a report."""
-    figure, axes = new_picture()
+    """Plot response over ideal by load, with one point per report."""
+    figure, axes = new_plot()
     loads = [report.figures['load'] for report in reports]
     for name in ('response_over_ideal_mean', 'median', 'p99'):
         values = [report.figures.get(name) for report in reports]
@@ -205,11 +214,15 @@
         xlabel='load (share of all slots)',
         ylabel='measured / ideal',
     )
-    finish_picture(figure, axes, path)
+    save_plot(figure, axes, path)
+
 
+def new_plot() -> tuple[typing.Any, typing.Any]:
+    """Return an empty plot.
 
-def new_picture() -> tuple[typing.Any, typing.Any]:
-    """An empty picture; matplotlib is loaded only here, for its memory."""
+    The import is here because matplotlib needs much memory, which only plots
+    are to cost.
+    """
     import matplotlib
 
     matplotlib.use('Agg')
@@ -219,14 +232,14 @@
     return figure, axes
 
 
-def finish_picture(
+def save_plot(
     figure: typing.Any, axes: typing.Any, path: pathlib.Path
 ) -> None:
-    """Write a picture to a file and let go of it."""
+    """Write a plot to a file and release its memory."""
     from matplotlib import pyplot
 
     axes.set_ylim(bottom=0)
     axes.legend(loc='lower right')
     figure.tight_layout()
-    figure.savefig(path, dpi=PICTURE_DPI)
+    figure.savefig(path, dpi=PLOT_DPI)
     pyplot.close(figure)
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -1,8 +1,8 @@
-"""Plays one pattern against a real installation and measures it.
+"""Run of one pattern on a real installation, with its measurement.
 
-Entries, agents and stand-ins start in the bench's own process; callers send
-the pattern's jobs over HTTP.  What they got is compared with the ideal and
-with the upstreams' own count of starts.
+Entries, agents and stand-ins start in the bench's own process; callers submit
+the pattern's jobs over HTTP.  The replies are compared with the ideal and with
+the upstreams' own records of starts.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 from agatepick.net import clocks
 
 DEFAULT_SECONDS = 20.0
-LIGHT = 'light'
+LIGHT_TEAM_PREFIX = 'light'
 EJECTED_NOTE = 'worker_ejected'
 
 Figures = dict[str, bench_report.Figure]
@@ -35,7 +35,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """What to play, on what, and by which placement policy."""
+    """Pattern, deployment and placement policy of one run.
+
+    :param seconds: length of the arrivals.
+    :param load: share of all slots to keep busy; None for the pattern's
+        default.
+    """
 
     pattern: bench_plan.Pattern
     seed: int = 1
@@ -46,15 +51,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
-    """One run: its report, and the evidence that the report sums up."""
+class PlayResult:
+    """Report of one run, and the evidence that it summarizes."""
 
     report: bench_report.Report
     evidence: bench_evidence.Evidence
 
 
-def run(options: Options) -> Played:
-    """Play one pattern; ``hot`` also without its heavy callers."""
+def run(options: Options) -> PlayResult:
+    """Play one pattern; play ``hot`` a second time without heavy teams."""
     deployment = bench_plan.DEPLOYMENTS[options.deployment]
     load = bench_arrivals.plan(
         options.pattern,
@@ -66,11 +71,13 @@
     played = asyncio.run(play(load, deployment, options.policy))
     if options.pattern is not bench_plan.Pattern.HOT:
         return played
-    light = tuple(job for job in load.jobs if job.team.startswith(LIGHT))
+    light = tuple(
+        job for job in load.jobs if job.team.startswith(LIGHT_TEAM_PREFIX)
+    )
     alone = asyncio.run(
         play(dataclasses.replace(load, jobs=light), deployment, options.policy)
     )
-    return with_figures(played, light_figures(played, alone))
+    return add_figures(played, light_figures(played, alone))
 
 
 async def play(
@@ -78,34 +85,37 @@
     deployment: bench_plan.Deployment,
     policy: str = '',
     first_changes: tuple[cluster.Change, ...] = (),
-) -> Played:
+) -> PlayResult:
     """Play one load once.
 
-    :param first_changes: changes of the configuration before it begins.
+    :param first_changes: configuration changes to apply before the load
+        starts.
     """
     clock = clocks.ProcessClock.start()
     book = bench_upstream.StartBook(clock)
-    site = bench_cluster.Cluster(load, deployment, clock, book, policy)
+    installation = bench_cluster.Cluster(load, deployment, clock, book, policy)
     rng = random.Random(load.seed)
-    callers = bench_callers.Callers(site, book, deployment.client_latency, rng)
-    player = bench_player.Player(load, site, callers, book)
+    callers = bench_callers.Callers(
+        installation, book, deployment.client_latency, rng
+    )
+    player = bench_player.Player(load, installation, callers, book)
     try:
-        await site.start()
+        await installation.start()
         for change in first_changes:
-            await site.change(change)
-        before, sent = site.traffic(), site.bytes_sent()
+            await installation.change(change)
+        before, sent = installation.traffic(), installation.bytes_sent()
         book.begin()
-        lag = bench_lag.Lag()
-        lag.begin()
+        lag = bench_lag.LoopLag()
+        lag.start()
         cpu = time.process_time()
         await player.play()
         cpu = time.process_time() - cpu
-        lag.end()
-        traffic = site.evidence_traffic(before)
-        sent = site.bytes_sent() - sent
+        lag.stop()
+        traffic = installation.evidence_traffic(before)
+        sent = installation.bytes_sent() - sent
     finally:
         callers.close()
-        await site.stop()
+        await installation.stop()
     evidence = bench_evidence.Evidence(
         load,
         deployment,
@@ -116,29 +126,29 @@
     )
     extra: Figures = {
         'policy': policy or 'default',
-        **run_figures(evidence, callers, player, site),
+        **run_figures(evidence, callers, player, installation),
         'bytes': sent,
         **lag.figures(),
         'cpu_seconds_all_processes_and_bench': cpu,
         'starts_per_cpu_second_of_all': len(book.runs) / cpu,
     }
-    report = bench_report.summarize(evidence, ideal_of(evidence), extra)
-    return Played(report, evidence)
+    report = bench_report.summarize(evidence, simulate_ideal(evidence), extra)
+    return PlayResult(report, evidence)
 
 
-def ideal_of(evidence: bench_evidence.Evidence) -> bench_ideal.Ideal:
-    """The ideal for the jobs that were let in.
+def simulate_ideal(evidence: bench_evidence.Evidence) -> bench_ideal.Ideal:
+    """Simulate the ideal scheduler for the accepted jobs.
 
-    Refused and cancelled jobs take no slots in the run, so they take none
-    in the ideal.
+    Refused and cancelled jobs are left out: they use no slots in the run, so
+    they use none in the ideal.
     """
-    gone = {
+    excluded = {
         number
         for number, reply in bench_measures.first_replies(evidence).items()
         if bench_measures.is_refused(reply)
     }
-    gone |= {reply.job for reply in evidence.replies if reply.cancelled}
-    jobs = [job for job in evidence.load.jobs if job.number not in gone]
+    excluded |= {reply.job for reply in evidence.replies if reply.cancelled}
+    jobs = [job for job in evidence.load.jobs if job.number not in excluded]
     closures = [
         bench_ideal.Closure(one.zone, one.in_force, one.returned)
         for one in evidence.departures
@@ -150,44 +160,46 @@
     evidence: bench_evidence.Evidence,
     callers: bench_callers.Callers,
     player: bench_player.Player,
-    site: bench_cluster.Cluster,
+    installation: bench_cluster.Cluster,
 ) -> Figures:
-    """What only the bench itself saw."""
+    """Return the figures that are measured by the bench itself."""
     figures: Figures = {
-        'cut_requests': sum(callers.cuts.by_error.values()),
-        'store_reads': site.table.counts.reads,
-        'store_writes': site.table.counts.writes,
+        'cut_requests': sum(callers.connection_errors.by_error.values()),
+        'store_reads': installation.table.counts.reads,
+        'store_writes': installation.table.counts.writes,
         'failed_steps': len(player.step_errors),
         'step_errors': '; '.join(player.step_errors) or None,
-        'second_starts': bench_truth.second_starts(evidence) or None,
+        'second_starts': bench_truth.describe_second_starts(evidence) or None,
     }
     figures |= {
         f'answers_{code}': count
         for code, count in sorted(answer_codes(evidence).items())
     }
     figures |= outage_figures(evidence)
-    if evidence.load.failing:
-        figures |= failing_figures(evidence, site)
+    if evidence.load.failing_workers:
+        figures |= failing_figures(evidence, installation)
     return figures
 
 
 def outage_figures(evidence: bench_evidence.Evidence) -> Figures:
-    """How the jobs ended that came while the table service was down."""
+    """Return the figures of jobs that arrived during the table outage."""
     steps = {step.action: step.at for step in evidence.load.steps}
     down = steps.get(bench_plan.Action.STORE_DOWN)
     if down is None:
         return {}
     until = steps[bench_plan.Action.STORE_UP]
-    came = {job.number for job in evidence.load.jobs if down <= job.at < until}
-    done = came & bench_measures.completed(evidence).keys()
+    arrived = {
+        job.number for job in evidence.load.jobs if down <= job.at < until
+    }
+    done = arrived & bench_measures.completed_replies(evidence).keys()
     return {
-        'jobs_during_outage': len(came),
-        'completed_during_outage_share': len(done) / max(1, len(came)),
+        'jobs_during_outage': len(arrived),
+        'completed_during_outage_share': len(done) / max(1, len(arrived)),
     }
 
 
 def answer_codes(evidence: bench_evidence.Evidence) -> dict[str, int]:
-    """First answers by status and code."""
+    """Count the first answers by status and code."""
     counts: dict[str, int] = {}
     for reply in bench_measures.first_replies(evidence).values():
         if reply.answer is None:
@@ -199,31 +211,31 @@
 
 
 def failing_figures(
-    evidence: bench_evidence.Evidence, site: bench_cluster.Cluster
+    evidence: bench_evidence.Evidence, installation: bench_cluster.Cluster
 ) -> Figures:
-    """How many tasks met a worker that fails all it starts."""
-    met = [run.start for run in evidence.runs if run.failed]
-    ejected = site.counts.first_note.get(EJECTED_NOTE)
+    """Return the figures of starts on a worker that fails every task."""
+    failed_starts = [run.start for run in evidence.runs if run.failed]
+    ejected_at = installation.counts.first_note_at.get(EJECTED_NOTE)
     figures: Figures = {
-        'failed_starts': len(met),
-        'failed_starts_share': len(met) / max(1, len(evidence.runs)),
-        'ejected_at': ejected,
+        'failed_starts': len(failed_starts),
+        'failed_starts_share': len(failed_starts) / max(1, len(evidence.runs)),
+        'ejected_at': ejected_at,
     }
-    if ejected is not None:
-        later = [run for run in evidence.runs if run.start >= ejected]
-        bad = sum(run.failed for run in later)
-        figures['met_after_ejection_share'] = bad / max(1, len(later))
+    if ejected_at is not None:
+        later = [run for run in evidence.runs if run.start >= ejected_at]
+        later_failed = sum(run.failed for run in later)
+        figures['met_after_ejection_share'] = later_failed / max(1, len(later))
     return figures
 
 
-def light_figures(with_heavy: Played, alone: Played) -> Figures:
-    """The light teams' mean response beside and without the heavy ones."""
+def light_figures(with_heavy: PlayResult, alone: PlayResult) -> Figures:
+    """Return the light teams' mean response with and without heavy teams."""
     plans = {job.number: job for job in with_heavy.evidence.load.jobs}
     times = bench_measures.response_times(with_heavy.evidence)
     beside = [
         value
         for number, value in times.items()
-        if plans[number].team.startswith(LIGHT)
+        if plans[number].team.startswith(LIGHT_TEAM_PREFIX)
     ]
     free = list(bench_measures.response_times(alone.evidence).values())
     if not beside or not free:
@@ -236,8 +248,8 @@
     }
 
 
-def with_figures(played: Played, figures: Figures) -> Played:
-    """A run with further figures in its report."""
+def add_figures(played: PlayResult, figures: Figures) -> PlayResult:
+    """Return a run with further figures in its report."""
     merged = {**played.report.figures, **figures}
     report = dataclasses.replace(played.report, figures=merged)
     return dataclasses.replace(played, report=report)
--- a/src/agatepick/bench/bench_truth.py
+++ b/src/agatepick/bench/bench_truth.py
@@ -1,9 +1,9 @@
-"""Promises held against the upstreams' own count of starts.
+"""Check of the callers' answers against the upstreams' records of starts.
 
-The stand-in upstreams count starts themselves.  Whether a task ran twice,
-whether a "not run" is true and whether an answer belongs to its request is
-found by comparing that count with what callers were told; nothing that the
-product says of itself is believed.
+The stand-in upstreams record starts themselves.  Comparing these records with
+the callers' answers shows whether a task ran twice, whether a "not run" is
+true and whether an answer belongs to its request.  No figure that agatepick
+reports about itself is used.
 """
 
 import collections
@@ -17,12 +17,19 @@
 from agatepick import types
 
 TASK_PREFIX = 't'
-TRACED = 3
+MAX_LISTED_TASKS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Truth:
-    """Broken promises; every figure has to be 0."""
+class Violations:
+    """Numbers of broken guarantees; each has to be 0.
+
+    :param starts_after_fence: starts in a zone while its departure was in
+        force.
+    :param lost: jobs without a final answer.
+    :param false_not_run: tasks that were started although their answer is
+        "not run".
+    """
 
     duplicate_starts: int
     starts_after_fence: int
@@ -32,40 +39,45 @@
     wrong_answers: int
 
 
-def key_starts(
+def count_starts(
     runs: collections.abc.Iterable[bench_evidence.Run],
 ) -> collections.Counter[tuple[str, str]]:
-    """Starts by job key and task id."""
+    """Count the starts by job key and task id."""
     return collections.Counter((run.key, run.task) for run in runs)
 
 
-def judge(evidence: bench_evidence.Evidence) -> Truth:
-    """Hold the callers' answers against the upstreams' count of starts."""
-    starts = key_starts(evidence.runs)
+def judge(evidence: bench_evidence.Evidence) -> Violations:
+    """Check the callers' answers against the upstreams' records."""
+    starts = count_starts(evidence.runs)
     plans = {job.number: job for job in evidence.load.jobs}
-    judged = [
+    answered = [
         (reply, plans[reply.job])
         for reply in evidence.replies
         if reply.answer is not None
     ]
-    return Truth(
+    return Violations(
         duplicate_starts=sum(count - 1 for count in starts.values()),
-        starts_after_fence=len(late_starts(evidence)),
-        lost=lost_jobs(evidence.replies),
+        starts_after_fence=len(find_starts_after_fence(evidence)),
+        lost=count_lost_jobs(evidence.replies),
         false_not_run=sum(
-            false_refusals(reply, plan, starts) for reply, plan in judged
+            count_false_not_run(reply, plan, starts)
+            for reply, plan in answered
         ),
         incomplete_answers=sum(
-            is_incomplete(reply, plan) for reply, plan in judged
+            is_incomplete_answer(reply, plan) for reply, plan in answered
+        ),
+        wrong_answers=sum(
+            is_wrong_answer(reply, starts) for reply, _ in answered
         ),
-        wrong_answers=sum(is_wrong(reply, starts) for reply, _ in judged),
     )
 
 
-def second_starts(evidence: bench_evidence.Evidence) -> str:
-    """The first few tasks that were started twice, for a person to trace."""
+def describe_second_starts(evidence: bench_evidence.Evidence) -> str:
+    """List the first few tasks with several starts, with their runs."""
     doubled = [
-        pair for pair, count in key_starts(evidence.runs).items() if count > 1
+        pair
+        for pair, count in count_starts(evidence.runs).items()
+        if count > 1
     ]
     return '; '.join(
         f'{key}/{task}: '
@@ -74,22 +86,27 @@
             for run in evidence.runs
             if (run.key, run.task) == (key, task)
         )
-        for key, task in doubled[:TRACED]
+        for key, task in doubled[:MAX_LISTED_TASKS]
     )
 
 
-def late_starts(evidence: bench_evidence.Evidence) -> list[bench_evidence.Run]:
-    """Starts in a zone while its departure was in force."""
+def find_starts_after_fence(
+    evidence: bench_evidence.Evidence,
+) -> list[bench_evidence.Run]:
+    """Return the starts in a zone while its departure was in force."""
     return [
         run
         for run in evidence.runs
-        for gone in evidence.departures
-        if run.zone == gone.zone and gone.in_force <= run.start < gone.returned
+        for departure in evidence.departures
+        if run.zone == departure.zone
+        and departure.in_force <= run.start < departure.returned
     ]
 
 
-def lost_jobs(replies: collections.abc.Iterable[bench_evidence.Reply]) -> int:
-    """Jobs for which no sending ever got a final answer."""
+def count_lost_jobs(
+    replies: collections.abc.Iterable[bench_evidence.Reply],
+) -> int:
+    """Count the jobs for which no submission got a final answer."""
     answered: dict[int, bool] = {}
     for reply in replies:
         final = (
@@ -100,17 +117,17 @@
     return sum(not done for done in answered.values())
 
 
-def false_refusals(
+def count_false_not_run(
     reply: bench_evidence.Reply,
     plan: bench_arrivals.JobPlan,
     starts: collections.abc.Mapping[tuple[str, str], int],
 ) -> int:
-    """Tasks called "not run" that an upstream did start."""
+    """Count the tasks answered "not run" that an upstream started."""
     answer = reply.answer
     if answer is None:
         return 0
     if answer.status is types.JobStatus.NOT_RUN:
-        claimed = {task_id(place) for place in range(len(plan.tasks))}
+        claimed = {task_id(position) for position in range(len(plan.tasks))}
     else:
         claimed = {
             task.id
@@ -120,22 +137,22 @@
     return sum(starts.get((reply.key, task), 0) > 0 for task in claimed)
 
 
-def task_id(place: int) -> str:
-    """The caller's name for a task of a job."""
-    return f'{TASK_PREFIX}{place}'
+def task_id(position: int) -> str:
+    """Return the caller's id of a task by its index in the job."""
+    return f'{TASK_PREFIX}{position}'
 
 
-def is_incomplete(
+def is_incomplete_answer(
     reply: bench_evidence.Reply, plan: bench_arrivals.JobPlan
 ) -> bool:
-    """Whether a final answer lacks tasks, or calls itself whole wrongly."""
+    """Return whether a final answer lacks tasks or has a wrong status."""
     answer = reply.answer
     if answer is None or answer.status in (
         types.JobStatus.PENDING,
         types.JobStatus.NOT_RUN,
     ):
         return False
-    wanted = [task_id(place) for place in range(len(plan.tasks))]
+    wanted = [task_id(position) for position in range(len(plan.tasks))]
     if sorted(task.id for task in answer.tasks) != sorted(wanted):
         return True
     finished = all(
@@ -145,11 +162,11 @@
     return finished != complete and not reply.cancelled
 
 
-def is_wrong(
+def is_wrong_answer(
     reply: bench_evidence.Reply,
     starts: collections.abc.Mapping[tuple[str, str], int],
 ) -> bool:
-    """Whether an answer is another request's, or tells of a run never made."""
+    """Return whether an answer is another job's, or reports no real run."""
     answer = reply.answer
     if answer is None:
         return False
@@ -166,6 +183,6 @@
 
 
 def echo(key: types.JobKey, task: str) -> bytes:
-    """What the stand-in upstream answers for a task."""
+    """Return the body with which the stand-in upstream answers a task."""
     index = int(task.removeprefix(TASK_PREFIX))
     return msgspec.json.encode({'job': key, 'index': index})
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -1,7 +1,7 @@
-"""Stand-in workers of the bench: each start is written down with its time.
+"""Stand-in workers of the bench, which record each start with its time.
 
-The count owes nothing to the product: a worker here writes a start down when
-it is asked to run a task, whoever asked and however often.
+The records are independent of agatepick: a worker records every request to run
+a task, from any sender and including repeated ones.
 """
 
 import dataclasses
@@ -13,7 +13,10 @@
 
 
 class StartBook:
-    """Every start at any upstream of one run, in seconds from its begin."""
+    """Record of the starts at all upstreams of one run.
+
+    Instants are seconds from the start of the run.
+    """
 
     def __init__(self, clock: types.Clock):
         self.runs: list[bench_evidence.Run] = []
@@ -21,31 +24,31 @@
         self._begin = clock.now()
 
     def begin(self) -> None:
-        """The run begins now."""
+        """Set the start of the run to the present instant."""
         self._begin = self._clock.now()
 
     def now(self) -> float:
-        """Seconds since the run began."""
+        """Return the seconds since the start of the run."""
         return self.seconds_at(self._clock.now())
 
     def seconds_at(self, instant: float) -> float:
-        """An instant as seconds since the run began."""
+        """Convert an instant to seconds since the start of the run."""
         return instant - self._begin
 
     def started(self, run: bench_evidence.Run) -> int:
-        """Write a start down; returns its place for :meth:`ended`."""
+        """Record a start; return its position for :meth:`ended`."""
         self.runs.append(run)
         return len(self.runs) - 1
 
-    def ended(self, place: int, failed: bool) -> None:
-        """Write the end of a run down."""
-        self.runs[place] = dataclasses.replace(
-            self.runs[place], end=self.now(), failed=failed
+    def ended(self, position: int, failed: bool) -> None:
+        """Record the end of a run."""
+        self.runs[position] = dataclasses.replace(
+            self.runs[position], end=self.now(), failed=failed
         )
 
 
 class Worker(standin_upstream.StandIn):
-    """One worker, by its number, in its zone."""
+    """Stand-in worker that records its starts."""
 
     def __init__(
         self,
@@ -65,13 +68,13 @@
         payload: bytes,
         done: standin_upstream.Done,
     ) -> None:
-        """Start a task and write it down."""
+        """Start a task and record the start."""
         if self.faults.dead:
             return
         key, index = task
         now = self._book.now()
-        # Still running until told otherwise.
-        place = self._book.started(
+        # The run counts as unfinished until its end is recorded.
+        position = self._book.started(
             bench_evidence.Run(
                 key,
                 bench_truth.task_id(index),
@@ -83,7 +86,7 @@
         )
 
         def ended(state: types.TaskState, body: bytes, reason: str) -> None:
-            self._book.ended(place, state is types.TaskState.FAILED)
+            self._book.ended(position, state is types.TaskState.FAILED)
             done(state, body, reason)
 
         super().start(task, payload, ended)
--- a/tests/test_bench_measures.py
+++ b/tests/test_bench_measures.py
@@ -10,7 +10,7 @@
 ):
     seen = bench_seen(bench_answer(types.JobStatus.COMPLETE))
     times = bench_measures.response_times(seen)
-    found = bench_measures.compare(times, {0: 1.0})
+    found = bench_measures.compare_to_ideal(times, {0: 1.0})
     assert found.response_over_ideal_mean == pytest.approx(2.0, rel=1e-2)
     assert found.p99 == pytest.approx(2.0, rel=1e-2)
     assert found.own_p99 == pytest.approx(2.0, rel=1e-2)
--- a/tests/test_bench_truth.py
+++ b/tests/test_bench_truth.py
@@ -6,7 +6,7 @@
 from agatepick.bench import bench_truth
 from agatepick import types
 
-CLEAN = bench_truth.Truth(0, 0, 0, 0, 0, 0)
+CLEAN = bench_truth.Violations(0, 0, 0, 0, 0, 0)
 NOT_RUN = types.TaskAnswer('t1', types.Outcome.NOT_RUN)
 COMPLETE = types.JobStatus.COMPLETE
 FAULTS = {
--- a/tests/test_bench_upstream.py
+++ b/tests/test_bench_upstream.py
@@ -57,6 +57,6 @@
 
 def test_a_jobs_body_carries_each_tasks_run_time():
     tasks = (bench_arrivals.TaskPlan('short', 0.25, 0.5),)
-    body = bench_callers.job_body(bench_arrivals.JobPlan(0, 0.0, 't', tasks))
+    body = bench_callers.encode_job(bench_arrivals.JobPlan(0, 0.0, 't', tasks))
     assert b'"payload":{"seconds":0.25,"fail":false}' in body
     assert b'"expected_seconds":0.5' in body
