--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -57,12 +57,14 @@
         tasks = [
             asyncio.create_task(self._play_job(job)) for job in self._load.jobs
         ]
-        steps = asyncio.create_task(self._play_steps())
+        step_task = asyncio.create_task(self._play_steps())
         remaining = self._load.seconds + DRAIN_SECONDS - self._book.now()
-        _, unfinished = await asyncio.wait([*tasks, steps], timeout=remaining)
+        _, unfinished = await asyncio.wait(
+            [*tasks, step_task], timeout=remaining
+        )
         for task in unfinished:
             task.cancel()
-        await asyncio.gather(*tasks, steps, return_exceptions=True)
+        await asyncio.gather(*tasks, step_task, return_exceptions=True)
 
     def unanswered(self) -> list[bench_evidence.Reply]:
         """Return a reply without an answer for each job still open."""
--- a/src/agatepick/bench/bench_truth.py
+++ b/src/agatepick/bench/bench_truth.py
@@ -50,7 +50,7 @@
     """Check the callers' answers against the upstreams' records."""
     starts = count_starts(evidence.runs)
     plans = {job.number: job for job in evidence.load.jobs}
-    answered = [
+    replies_with_plans = [
         (reply, plans[reply.job])
         for reply in evidence.replies
         if reply.answer is not None
@@ -61,13 +61,14 @@
         lost=count_lost_jobs(evidence.replies),
         false_not_run=sum(
             count_false_not_run(reply, plan, starts)
-            for reply, plan in answered
+            for reply, plan in replies_with_plans
         ),
         incomplete_answers=sum(
-            is_incomplete_answer(reply, plan) for reply, plan in answered
+            is_incomplete_answer(reply, plan)
+            for reply, plan in replies_with_plans
         ),
         wrong_answers=sum(
-            is_wrong_answer(reply, starts) for reply, _ in answered
+            is_wrong_answer(reply, starts) for reply, _ in replies_with_plans
         ),
     )
 
--- a/src/agatepick/capacity/__init__.py
+++ b/src/agatepick/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of cost by size, and what follows at the planned size."""
+"""Cost of the programs by size, extrapolated to the planned size."""
--- a/src/agatepick/capacity/capacity.py
+++ b/src/agatepick/capacity/capacity.py
@@ -1,9 +1,9 @@
-"""Makes the tables of ``docs/CAPACITY.md`` from a measurement's JSON.
+"""Generator of the tables in ``docs/CAPACITY.md`` from a measurement's JSON.
 
-Every figure of the plan's size in the page comes from here: a line of
-:mod:`agatepick.capacity.slopes`, extended to the size.  The page keeps its
-tables between markers; ``update`` writes them anew, and a test finds a page
-whose tables are not those of the measurement beside it.
+The page's figures for the planned size are all computed here: a line of
+:mod:`agatepick.capacity.slopes` is extrapolated to that size.  The tables are
+between markers in the page; ``update`` regenerates them, and a test fails if
+they don't match the measurement in the same folder.
 """
 
 import collections.abc
@@ -16,53 +16,64 @@
 
 WORKERS = 9100
 STARTS_PER_SECOND = 510_000
-TASKS_A_JOB = 130
+TASKS_PER_JOB = 130
 TEAMS = 150
 ZONES = 8
-CHANGES_A_DAY = 31_000
+CHANGES_PER_DAY = 31_000
 DAY_SECONDS = 86_400
 CORE_LIMIT = 0.041
 MEMORY_LIMIT = 64_000_000
 BYTES_LIMIT = 2048
 READS_LIMIT = 2000
 WRITES_LIMIT = 400
-"""Several hundred a second; the stand-in table's own limit."""
-ENTRY_CORE_USE = 0.7
-"""Share of its core that an entry fills at the plan's size: the rest is for
-bursts and for the work of a lost neighbour."""
+"""Several hundred per second: the limit of the stand-in table."""
+ENTRY_CORE_SHARE = 0.7
+"""Share of its core that an entry uses at the planned size.
+
+The rest is for bursts and for the work of a failed neighbour."""
 RETENTION_SECONDS = 600
-VMS_LOST_A_DAY = 99
-VMS_REPLACED_A_DAY = 690
+VMS_LOST_PER_DAY = 99
+VMS_REPLACED_PER_DAY = 690
 RACK_SIZE = 3
 
-MARKED = re.compile(
+TABLE_BLOCK = re.compile(
     r'(<!-- table: (?P<name>\w+) -->\n).*?(<!-- end -->)', re.DOTALL
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Sizes that follow from the measurement.
+    """Sizes computed from the measurement.
 
+    :param cpu_per_task: processor time of an entry, seconds.
     :param entries: processes of one core each.
-    :param subset: agents that one entry may know within the byte limit.
-    :param owners: entries that one agent then serves.
+    :param agents_per_entry: agents per entry within the byte limit.
+    :param entries_per_agent: entries that one agent then serves.
     """
 
     cpu_per_task: float
     entries: int
-    subset: int
-    owners: float
+    agents_per_entry: int
+    entries_per_agent: float
 
     @classmethod
-    def from_slopes(cls, found: slopes.Slopes) -> 'Plan':
-        """The plan's sizes by the measured costs."""
-        line = found.line('entry_cpu_by_tasks')
-        cpu = line.at(TASKS_A_JOB) / TASKS_A_JOB
-        entries = math.ceil(STARTS_PER_SECOND * cpu / ENTRY_CORE_USE)
-        control = found.line('entry_control_bytes')
-        subset = max(1, math.floor(control.size_at(BYTES_LIMIT)))
-        return cls(cpu, entries, subset, entries * subset / WORKERS)
+    def from_slopes(cls, measurement: slopes.Slopes) -> 'Plan':
+        """Compute the sizes from the measured costs."""
+        line = measurement.line('entry_cpu_by_tasks')
+        cpu_per_task = line.at(TASKS_PER_JOB) / TASKS_PER_JOB
+        entries = math.ceil(
+            STARTS_PER_SECOND * cpu_per_task / ENTRY_CORE_SHARE
+        )
+        control_line = measurement.line('entry_control_bytes')
+        agents_per_entry = max(
+            1, math.floor(control_line.size_at(BYTES_LIMIT))
+        )
+        return cls(
+            cpu_per_task,
+            entries,
+            agents_per_entry,
+            entries * agents_per_entry / WORKERS,
+        )
 
 
 Row = tuple[str, ...]
@@ -70,18 +81,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """One row of the control table."""
+    """One row of the control table.
+
+    :param line_name: name of the measured line.
+    :param size: planned size.
+    """
 
     role: str
-    what: str
-    line: str
+    description: str
+    line_name: str
     size: float
     limit: float
     module: str
 
 
-def number(value: float) -> str:
-    """A figure with three digits that count."""
+def format_number(value: float) -> str:
+    """Format a figure with three significant digits."""
     if math.isinf(value):
         return 'never'
     if value == 0:
@@ -90,18 +105,18 @@
     return f'{round(value, digits):,.{min(digits, 6)}f}'
 
 
-def table(
-    heads: Row, rows: collections.abc.Iterable[Row]
+def format_table(
+    headers: Row, rows: collections.abc.Iterable[Row]
 ) -> collections.abc.Iterator[str]:
-    """Lines of a Markdown table."""
-    yield '| ' + ' | '.join(heads) + ' |'
-    yield '|' + ' --- |' * len(heads)
+    """Yield the lines of a Markdown table."""
+    yield '| ' + ' | '.join(headers) + ' |'
+    yield '|' + ' --- |' * len(headers)
     for row in rows:
         yield '| ' + ' | '.join(row) + ' |'
 
 
-def lines_table(found: slopes.Slopes) -> list[str]:
-    """All lines with their points: what was measured."""
+def make_lines_table(measurement: slopes.Slopes) -> list[str]:
+    """Return the table of all lines with their measured points."""
     rows = [
         (
             f'`{line.name}`',
@@ -109,15 +124,16 @@
             line.over,
             line.fixed,
             ', '.join(
-                f'{number(size)}: {number(cost)}' for size, cost in line.points
+                f'{format_number(size)}: {format_number(cost)}'
+                for size, cost in line.points
             ),
-            f'{number(line.slope)} {line.unit}',
-            number(line.intercept),
+            f'{format_number(line.slope)} {line.unit}',
+            format_number(line.intercept),
             f'{line.residual:.1%}',
         )
-        for line in found.lines
+        for line in measurement.lines
     ]
-    heads = (
+    headers = (
         'line',
         'source',
         'over',
@@ -127,53 +143,55 @@
         'at 0',
         'residual',
     )
-    return list(table(heads, rows))
+    return list(format_table(headers, rows))
 
 
-def plan_table(found: slopes.Slopes) -> list[str]:
-    """Sizes that follow from the measured costs."""
-    plan = Plan.from_slopes(found)
-    jobs = STARTS_PER_SECOND / TASKS_A_JOB / plan.entries
+def make_plan_table(measurement: slopes.Slopes) -> list[str]:
+    """Return the table of sizes computed from the measured costs."""
+    plan = Plan.from_slopes(measurement)
+    jobs = STARTS_PER_SECOND / TASKS_PER_JOB / plan.entries
     rows = [
         (
             'entry CPU a task, jobs of 130',
-            f'{number(plan.cpu_per_task * 1e6)} µs',
+            f'{format_number(plan.cpu_per_task * 1e6)} µs',
             'measured',
         ),
         (
             'starts/s of one entry on a whole core',
-            number(1 / plan.cpu_per_task),
+            format_number(1 / plan.cpu_per_task),
             'extrapolated',
         ),
         (
             'entry processes for 510,000 starts/s, each 70% of a core',
-            number(plan.entries),
+            format_number(plan.entries),
             'extrapolated; 70% assumed',
         ),
-        ('jobs/s an entry', number(jobs), 'extrapolated'),
+        ('jobs/s an entry', format_number(jobs), 'extrapolated'),
         (
             'agents that one entry can hear within 2 KB/s',
-            number(plan.subset),
+            format_number(plan.agents_per_entry),
             'extrapolated',
         ),
         (
             'entries that then know one agent',
-            number(plan.owners),
+            format_number(plan.entries_per_agent),
             'extrapolated',
         ),
         (
             'agents that one entry can hear within 4.1% of a core',
-            number(found.line('entry_idle_core').size_at(CORE_LIMIT)),
+            format_number(
+                measurement.line('entry_idle_core').size_at(CORE_LIMIT)
+            ),
             'extrapolated',
         ),
     ]
-    return list(table(('what', 'figure', 'kind'), rows))
+    return list(format_table(('what', 'figure', 'kind'), rows))
 
 
-def costs(found: slopes.Slopes) -> list[Cost]:
-    """Control costs by role, each with its line, size and limit."""
-    entries = Plan.from_slopes(found).entries
-    changes = CHANGES_A_DAY / DAY_SECONDS
+def list_costs(measurement: slopes.Slopes) -> list[Cost]:
+    """Return the control costs by role, with line, size and limit."""
+    entries = Plan.from_slopes(measurement).entries
+    changes = CHANGES_PER_DAY / DAY_SECONDS
     return [
         Cost(
             'entry as owner',
@@ -290,35 +308,45 @@
     ]
 
 
-def control_table(found: slopes.Slopes) -> list[str]:
-    """Each control cost at the plan's size beside its limit."""
-    known = {line.name for line in found.lines}
+def make_control_table(measurement: slopes.Slopes) -> list[str]:
+    """Return the table of control costs at the planned size."""
+    measured_names = {line.name for line in measurement.lines}
     rows = []
-    for cost in costs(found):
-        if cost.line not in known:
+    for cost in list_costs(measurement):
+        if cost.line_name not in measured_names:
             rows.append(
-                (cost.role, cost.what, '', 'not measured', '', '', cost.module)
+                (
+                    cost.role,
+                    cost.description,
+                    '',
+                    'not measured',
+                    '',
+                    '',
+                    cost.module,
+                )
             )
             continue
-        line = found.line(cost.line)
-        at_plan = line.at(cost.size)
-        held = 'yes' if at_plan <= cost.limit else 'no'
-        breaks = (
-            '' if math.isinf(cost.limit) else number(line.size_at(cost.limit))
+        line = measurement.line(cost.line_name)
+        cost_at_plan = line.at(cost.size)
+        within_limit = 'yes' if cost_at_plan <= cost.limit else 'no'
+        breaks_at = (
+            ''
+            if math.isinf(cost.limit)
+            else format_number(line.size_at(cost.limit))
         )
-        limit = '' if math.isinf(cost.limit) else number(cost.limit)
+        limit = '' if math.isinf(cost.limit) else format_number(cost.limit)
         rows.append(
             (
                 cost.role,
-                cost.what,
-                number(cost.size),
-                number(at_plan),
-                f'{limit} {held}' if limit else '',
-                breaks,
+                cost.description,
+                format_number(cost.size),
+                format_number(cost_at_plan),
+                f'{limit} {within_limit}' if limit else '',
+                breaks_at,
                 cost.module,
             )
         )
-    heads = (
+    headers = (
         'role',
         'cost',
         'plan size',
@@ -327,102 +355,115 @@
         'breaks at',
         'module',
     )
-    return list(table(heads, rows))
+    return list(format_table(headers, rows))
 
 
-def carry_table(found: slopes.Slopes) -> list[str]:
-    """Messages, bytes and processor time of carrying work."""
-    plan = Plan.from_slopes(found)
-    messages = found.line('job_messages').at(TASKS_A_JOB) / TASKS_A_JOB
-    size = found.line('job_bytes').at(TASKS_A_JOB) / TASKS_A_JOB
-    each = STARTS_PER_SECOND / plan.entries
-    per_agent = STARTS_PER_SECOND / WORKERS
+def make_work_table(measurement: slopes.Slopes) -> list[str]:
+    """Return the table of messages and bytes of task traffic."""
+    plan = Plan.from_slopes(measurement)
+    messages_per_task = (
+        measurement.line('job_messages').at(TASKS_PER_JOB) / TASKS_PER_JOB
+    )
+    bytes_per_task = (
+        measurement.line('job_bytes').at(TASKS_PER_JOB) / TASKS_PER_JOB
+    )
+    starts_per_entry = STARTS_PER_SECOND / plan.entries
+    starts_per_agent = STARTS_PER_SECOND / WORKERS
     rows = [
-        ('messages a task, both ways', number(messages), '', ''),
-        ('bytes a task, both ways', number(size), '', ''),
+        (
+            'messages a task, both ways',
+            format_number(messages_per_task),
+            '',
+            '',
+        ),
+        ('bytes a task, both ways', format_number(bytes_per_task), '', ''),
         (
             'entry: messages/s, MB/s',
             '',
-            number(each * messages),
-            number(each * size / 1e6),
+            format_number(starts_per_entry * messages_per_task),
+            format_number(starts_per_entry * bytes_per_task / 1e6),
         ),
         (
             'agent: messages/s, MB/s',
             '',
-            number(per_agent * messages),
-            number(per_agent * size / 1e6),
+            format_number(starts_per_agent * messages_per_task),
+            format_number(starts_per_agent * bytes_per_task / 1e6),
         ),
         (
             'all: messages/s, MB/s',
             '',
-            number(STARTS_PER_SECOND * messages),
-            number(STARTS_PER_SECOND * size / 1e6),
+            format_number(STARTS_PER_SECOND * messages_per_task),
+            format_number(STARTS_PER_SECOND * bytes_per_task / 1e6),
         ),
     ]
-    heads = ('carrying work', 'a task', 'messages/s', 'MB/s')
-    return list(table(heads, rows))
+    headers = ('carrying work', 'a task', 'messages/s', 'MB/s')
+    return list(format_table(headers, rows))
 
 
-def failure_table(found: slopes.Slopes) -> list[str]:
-    """Load of failures and of a start of everything at once."""
-    plan = Plan.from_slopes(found)
-    per_agent = STARTS_PER_SECOND / WORKERS
-    running = per_agent * MEAN_TASK_SECONDS
+def make_failure_table(measurement: slopes.Slopes) -> list[str]:
+    """Return the table of failures and of a start of all processes."""
+    plan = Plan.from_slopes(measurement)
+    starts_per_agent = STARTS_PER_SECOND / WORKERS
+    running_tasks = starts_per_agent * MEAN_TASK_SECONDS
     listings = plan.entries
     rows = [
         (
-            f'{VMS_LOST_A_DAY} VMs lost a day',
-            f'one each {number(DAY_SECONDS / VMS_LOST_A_DAY / 60)} min',
-            f'{number(running)} tasks unknown each',
+            f'{VMS_LOST_PER_DAY} VMs lost a day',
+            f'one each '
+            f'{format_number(DAY_SECONDS / VMS_LOST_PER_DAY / 60)} min',
+            f'{format_number(running_tasks)} tasks unknown each',
         ),
         (
-            f'{VMS_REPLACED_A_DAY} VMs replaced a day',
-            f'one each {number(DAY_SECONDS / VMS_REPLACED_A_DAY)} s',
+            f'{VMS_REPLACED_PER_DAY} VMs replaced a day',
+            f'one each {format_number(DAY_SECONDS / VMS_REPLACED_PER_DAY)} s',
             'graceful: none',
         ),
         (
             'a rack lost',
             f'{RACK_SIZE} workers at once',
-            f'{number(RACK_SIZE * running)} tasks unknown',
+            f'{format_number(RACK_SIZE * running_tasks)} tasks unknown',
         ),
         (
             'a zone lost without a departure',
-            f'{number(WORKERS / ZONES)} workers at once',
-            f'{number(WORKERS / ZONES * running)} tasks unknown',
+            f'{format_number(WORKERS / ZONES)} workers at once',
+            f'{format_number(WORKERS / ZONES * running_tasks)} tasks unknown',
         ),
         (
             'start of everything at once',
-            f'{number(listings)} listings at {number(WRITES_LIMIT)} writes/s',
-            f'{number(listings / WRITES_LIMIT)} s at least, one head row: '
-            'each listing is a compare-and-swap after another',
+            f'{format_number(listings)} listings at '
+            f'{format_number(WRITES_LIMIT)} writes/s',
+            f'{format_number(listings / WRITES_LIMIT)} s at least, '
+            'one head row: each listing is a compare-and-swap after another',
         ),
     ]
-    return list(table(('event', 'rate or size', 'effect'), rows))
+    return list(format_table(('event', 'rate or size', 'effect'), rows))
 
 
 MEAN_TASK_SECONDS = 0.4
-"""Assumed: between the brief's 50 ms and a second, with a few longer."""
+"""Most tasks run between 50 ms and one second, a few longer."""
 
 TABLES: dict[str, collections.abc.Callable[[slopes.Slopes], list[str]]] = {
-    'lines': lines_table,
-    'plan': plan_table,
-    'control': control_table,
-    'carry': carry_table,
-    'failures': failure_table,
+    'lines': make_lines_table,
+    'plan': make_plan_table,
+    'control': make_control_table,
+    'carry': make_work_table,
+    'failures': make_failure_table,
 }
 
 
-def update(page: str, found: slopes.Slopes) -> str:
-    """The page with every marked table made anew."""
+def update(page: str, measurement: slopes.Slopes) -> str:
+    """Return the page with every marked table regenerated."""
 
-    def fill(match: re.Match[str]) -> str:
-        rows = TABLES[match['name']](found)
+    def replace_table(match: re.Match[str]) -> str:
+        rows = TABLES[match['name']](measurement)
         return match[1] + '\n'.join(rows) + '\n' + match[3]
 
-    return MARKED.sub(fill, page)
+    return TABLE_BLOCK.sub(replace_table, page)
 
 
-def update_file(page: pathlib.Path, measurement: pathlib.Path) -> None:
-    """Write the tables of a page anew from a measurement."""
+def update_file(page: pathlib.Path, measurement_path: pathlib.Path) -> None:
+    """Regenerate the tables of a page from a measurement file."""
     text = page.read_text(encoding='utf-8')
-    page.write_text(update(text, slopes.load(measurement)), encoding='utf-8')
+    page.write_text(
+        update(text, slopes.load(measurement_path)), encoding='utf-8'
+    )
--- a/src/agatepick/capacity/slopes.py
+++ b/src/agatepick/capacity/slopes.py
@@ -1,7 +1,7 @@
 """Costs as straight lines over a size: least squares, residual, JSON.
 
-The capacity page extrapolates from these lines only.  A line carries its
-points, so that a reader sees what was measured and what was not.
+The capacity page extrapolates from these lines only.  A line includes its
+points, which show the measured range.
 """
 
 import collections.abc
@@ -14,14 +14,14 @@
 
 from agatepick import exceptions
 
-LEAST_POINTS = 4
+MIN_SIZES = 4
 
 
 class Line(msgspec.Struct, frozen=True):
     """One cost over one size.
 
-    :param over: what grows, such as ``agents``.
-    :param fixed: sizes that stay the same meanwhile.
+    :param over: the size that varies, such as ``agents``.
+    :param fixed: sizes that are constant meanwhile.
     :param source: ``wire`` for counters of the links, ``process`` for
         figures read from running processes.
     :param residual: root mean square error over the mean of all costs.
@@ -38,11 +38,11 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """The cost at a size, on the fitted line."""
+        """Return the cost at a size, on the fitted line."""
         return self.intercept + self.slope * size
 
     def size_at(self, cost: float) -> float:
-        """The size at which the cost is reached; infinite if never."""
+        """Return the size at which a cost is reached; infinite if never."""
         if self.slope <= 0:
             return math.inf
         return (cost - self.intercept) / self.slope
@@ -54,9 +54,10 @@
     lines: tuple[Line, ...]
 
     def line(self, name: str) -> Line:
-        """The line of a name.
+        """Return a line by its name.
 
-        :raises agatepick.exceptions.BadSettings: if it wasn't measured.
+        :raises agatepick.exceptions.BadSettings: if the measurement has no
+            such line.
         """
         for line in self.lines:
             if line.name == name:
@@ -66,14 +67,14 @@
         )
 
     def as_json(self) -> str:
-        """The measurement as JSON."""
+        """Return the measurement as JSON."""
         data = msgspec.json.encode(self)
         return msgspec.json.format(data, indent=1).decode()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Subject:
-    """What a line is about; see :class:`Line`."""
+class LineSpec:
+    """Description of a line to fit; for its fields see :class:`Line`."""
 
     name: str
     over: str
@@ -83,33 +84,33 @@
 
 
 def fit(
-    subject: Subject,
+    spec: LineSpec,
     points: collections.abc.Iterable[tuple[float, float]],
 ) -> Line:
-    """The least-squares line through at least four points.
+    """Fit a least-squares line through points of at least four sizes.
 
     :raises agatepick.exceptions.BadSettings: for fewer sizes.
     """
-    found = tuple(sorted(points))
-    if len({size for size, _ in found}) < LEAST_POINTS:
+    sorted_points = tuple(sorted(points))
+    if len({size for size, _ in sorted_points}) < MIN_SIZES:
         raise exceptions.BadSettings(
-            f'{subject.name}: {len(found)} points; '
-            f'allowed: {LEAST_POINTS} sizes or more',
+            f'{spec.name}: {len(sorted_points)} points; '
+            f'allowed: {MIN_SIZES} sizes or more',
             step='slopes',
         )
-    slope, intercept = least_squares(found)
-    mean = sum(cost for _, cost in found) / len(found)
+    slope, intercept = least_squares(sorted_points)
+    mean = sum(cost for _, cost in sorted_points) / len(sorted_points)
     squares = sum(
-        (cost - intercept - slope * size) ** 2 for size, cost in found
+        (cost - intercept - slope * size) ** 2 for size, cost in sorted_points
     )
-    error = math.sqrt(squares / len(found))
+    error = math.sqrt(squares / len(sorted_points))
     return Line(
-        subject.name,
-        subject.over,
-        subject.unit,
-        subject.source,
-        subject.fixed,
-        found,
+        spec.name,
+        spec.over,
+        spec.unit,
+        spec.source,
+        spec.fixed,
+        sorted_points,
         slope,
         intercept,
         error / abs(mean) if mean else 0.0,
@@ -119,20 +120,24 @@
 def least_squares(
     points: collections.abc.Sequence[tuple[float, float]],
 ) -> tuple[float, float]:
-    """Slope and intercept."""
+    """Return the slope and the intercept of the least-squares line."""
     count = len(points)
     mean_size = sum(size for size, _ in points) / count
     mean_cost = sum(cost for _, cost in points) / count
-    spread = sum((size - mean_size) ** 2 for size, _ in points)
-    joint = sum(
+    sum_of_squares = sum((size - mean_size) ** 2 for size, _ in points)
+    sum_of_products = sum(
         (size - mean_size) * (cost - mean_cost) for size, cost in points
     )
-    slope = joint / spread
+    slope = sum_of_products / sum_of_squares
     return slope, mean_cost - slope * mean_size
 
 
 def load(path: pathlib.Path) -> Slopes:
-    """The measurement in a file."""
+    """Load a measurement from a file.
+
+    :raises agatepick.exceptions.BadSettings: if the file can't be read or
+        decoded.
+    """
     try:
         return msgspec.json.decode(path.read_bytes(), type=Slopes)
     except (OSError, msgspec.DecodeError) as exc:
@@ -143,11 +148,9 @@
 
 
 def fit_all(
-    subjects: collections.abc.Iterable[Subject], points: Points
+    specs: collections.abc.Iterable[LineSpec], points: Points
 ) -> tuple[Line, ...]:
-    """Lines for all subjects that have points."""
+    """Fit the lines of all specs that have points."""
     return tuple(
-        fit(subject, points[subject.name])
-        for subject in subjects
-        if subject.name in points
+        fit(spec, points[spec.name]) for spec in specs if spec.name in points
     )
--- a/src/agatepick/capacity/slopes_command.py
+++ b/src/agatepick/capacity/slopes_command.py
@@ -1,9 +1,9 @@
-"""``agatepick bench slopes``: measure costs over sizes, print lines.
+"""``agatepick bench slopes``: measurement of costs over sizes.
 
-Without options it measures what the links count, in its own process.  The
-other options serve ``scripts/measure_slopes.sh``, which starts processes:
-``--write=DIR`` leaves their settings, ``--read=DIR`` watches them and
-``--points=FILE`` adds the points so gained to the lines.
+Without options the command measures, in its own process, the traffic that the
+links count.  The other options are for ``scripts/measure_slopes.sh``, which
+starts processes: ``--write=DIR`` writes their settings, ``--read=DIR``
+measures them, and ``--points=FILE`` adds the measured points to the lines.
 """
 
 import pathlib
@@ -25,18 +25,18 @@
     mode: str = slopes_programs.IDLE_BY_AGENTS,
     points: str = '',
 ) -> commands.Output:
-    """One step of a measurement; see the module's text."""
+    """Run one step of a measurement; see the module's docstring."""
     if write:
-        slopes_programs.write(pathlib.Path(write), entries, agents)
+        slopes_programs.write_settings(pathlib.Path(write), entries, agents)
         return commands.Output('')
     if read:
-        found = slopes_programs.read(pathlib.Path(read), mode)
+        found = slopes_programs.measure_points(pathlib.Path(read), mode)
         lines = [msgspec.json.encode(one).decode() for one in found]
         return commands.Output('\n'.join(lines))
     measured = slopes_wire.measure()
     if points:
         measured += slopes.fit_all(
-            slopes_programs.SUBJECTS,
+            slopes_programs.LINE_SPECS,
             slopes_programs.load_points(pathlib.Path(points)),
         )
     result = slopes.Slopes(measured)
@@ -44,7 +44,7 @@
 
 
 def as_table(found: slopes.Slopes) -> str:
-    """One line of text for each fitted line."""
+    """Return one line of text for each fitted line."""
     return '\n'.join(
         f'{line.name:<32} {line.slope:12.4g} {line.unit} per {line.over}, '
         f'{line.intercept:.4g} at 0, residual {line.residual:.1%}'
--- a/src/agatepick/capacity/slopes_process.py
+++ b/src/agatepick/capacity/slopes_process.py
@@ -1,7 +1,7 @@
-"""Reads processor time, memory and traffic of running processes by pid.
+"""Processor time and memory of running processes, read by pid.
 
-A process of the product starts no other process, so a script of the
-repository starts them; this module only reads what the kernel says.
+agatepick's processes start no other process, so a script of the repository
+starts them; this module only reads the kernel's figures.
 """
 
 import collections.abc
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One process at one instant.
+    """Figures of one process at one instant.
 
     :param cpu_seconds: user and system time since its start.
     :param resident_bytes: resident memory.
@@ -27,8 +27,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Use:
-    """What one process used between two samples.
+class Usage:
+    """Resource usage of one process between two samples.
 
     :param core_share: share of one core.
     """
@@ -37,34 +37,34 @@
     resident_bytes: int
 
 
-def sample(pid: int, proc: pathlib.Path = PROC) -> Sample:
-    """Read one process; memory from ``VmRSS``."""
+def take_sample(pid: int, proc: pathlib.Path = PROC) -> Sample:
+    """Read the figures of one process; memory from ``VmRSS``."""
     stat = (proc / str(pid) / 'stat').read_text()
-    # The name in parentheses may hold blanks.
+    # The process name in parentheses may contain blanks.
     fields = stat.rpartition(')')[2].split()
     ticks = int(fields[11]) + int(fields[12])
     seconds = ticks / os.sysconf('SC_CLK_TCK')
-    return Sample(pid, seconds, resident(pid, proc))
+    return Sample(pid, seconds, read_resident_bytes(pid, proc))
 
 
-def resident(pid: int, proc: pathlib.Path = PROC) -> int:
-    """Resident bytes of a process."""
+def read_resident_bytes(pid: int, proc: pathlib.Path = PROC) -> int:
+    """Return the resident bytes of a process."""
     for line in (proc / str(pid) / 'status').read_text().splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1]) * KIB
     return 0
 
 
-def use(before: Sample, after: Sample, seconds: float) -> Use:
-    """Use between two samples that lie ``seconds`` apart."""
+def compute_usage(before: Sample, after: Sample, seconds: float) -> Usage:
+    """Compute the usage between two samples taken ``seconds`` apart."""
     share = (after.cpu_seconds - before.cpu_seconds) / seconds
-    return Use(share, after.resident_bytes)
+    return Usage(share, after.resident_bytes)
 
 
-def mean_use(uses: collections.abc.Sequence[Use]) -> Use:
-    """Mean over processes of one role."""
-    count = len(uses)
-    return Use(
-        sum(one.core_share for one in uses) / count,
-        sum(one.resident_bytes for one in uses) // count,
+def mean_usage(usages: collections.abc.Sequence[Usage]) -> Usage:
+    """Compute the mean usage of the processes of one role."""
+    count = len(usages)
+    return Usage(
+        sum(usage.core_share for usage in usages) / count,
+        sum(usage.resident_bytes for usage in usages) // count,
     )
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -1,8 +1,9 @@
-"""Figures of real processes: settings to start them by, and their reading.
+"""Measurement of separate processes, and the settings to start them with.
 
 ``scripts/measure_slopes.sh`` starts the processes from the settings that
-:func:`write` leaves in a directory and notes their pids there; :func:`read`
-then watches them and prints one point a line.
+:func:`write_settings` writes to a directory, and records their pids in it.
+:func:`measure_points` then samples the processes and returns points, which the
+command prints one per line.
 """
 
 import asyncio
@@ -25,14 +26,14 @@
 HOST = '127.0.0.1'
 SLOTS = 8
 SETTLE_SECONDS = 8.0
-READ_SECONDS = 10.0
+WATCH_SECONDS = 10.0
 TASK_SECONDS = 0.02
-TASKS_A_STEP = 5200
-"""Tasks sent for one point under load: 40 jobs of 130 tasks."""
-TASKS_A_JOB = (1, 8, 32, 130)
+TASKS_PER_POINT = 5200
+"""Tasks submitted for one point under load: 40 jobs of 130 tasks."""
+TASKS_PER_JOB = (1, 8, 32, 130)
 MEMORY_STEPS = 5
-OPEN_TASKS = 260
-"""Tasks under way at once; more would only wait in the entry's queue."""
+MAX_OPEN_TASKS = 260
+"""Further tasks would only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
 IDLE_BY_AGENTS = 'idle-by-agents'
@@ -40,37 +41,37 @@
 LOADED = 'loaded'
 REMEMBERED = 'remembered'
 
-SUBJECTS = (
-    slopes.Subject(
+LINE_SPECS = (
+    slopes.LineSpec(
         'entry_idle_core', 'agents', 'cores', 'process', '2 entries, idle'
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_resident', 'agents', 'B', 'process', '2 entries, idle'
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'agent_idle_core', 'entries', 'cores', 'process', '4 agents, idle'
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'agent_resident', 'entries', 'B', 'process', '4 agents, idle'
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_cpu_by_tasks', 'tasks a job', 's/job', 'process', 'one entry'
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'agent_cpu_by_tasks',
         'tasks a job',
         's/job',
         'process',
         'one entry, all agents',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_resident_by_jobs',
         'remembered jobs',
         'B',
         'process',
         'jobs of one task',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_resident_by_tasks',
         'remembered tasks',
         'B',
@@ -81,7 +82,10 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured point, a line of JSON in the script's file."""
+    """One measured point: a line of JSON in the script's file.
+
+    :param line: name of the line that the point belongs to.
+    """
 
     line: str
     size: float
@@ -97,12 +101,12 @@
     config: str
 
     def as_line(self) -> str:
-        """The line that the script reads, parted by tabs."""
+        """Return the line for the script, with fields separated by tabs."""
         return f'{self.role}\t{self.command}\t{self.config}'
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens on just now."""
+    """Return ports that are free at present."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((HOST, 0))
@@ -112,45 +116,55 @@
     return ports
 
 
-def write(place: pathlib.Path, entries: int, agents: int) -> None:
+def write_settings(directory: pathlib.Path, entries: int, agents: int) -> None:
     """Write settings for a table service, entries, agents and upstreams."""
-    place.mkdir(parents=True, exist_ok=True)
+    directory.mkdir(parents=True, exist_ok=True)
     ports = iter(free_ports(1 + 2 * entries + 2 * agents))
-    programs = [_table(place, table := next(ports))]
+    programs = [_write_table_settings(directory, table := next(ports))]
     http, peers = [], []
     for number in range(entries):
         http.append(next(ports))
         peers.append(next(ports))
-        text = _entry_text(number, http[-1], peers[-1], table)
-        programs.append(_program(place, 'entry', 'entry', number, text))
+        text = _format_entry_settings(number, http[-1], peers[-1], table)
+        programs.append(
+            _write_program_settings(directory, 'entry', 'entry', number, text)
+        )
     for number in range(agents):
         announce, run = next(ports), next(ports)
-        text = _agent_text(number, announce, peers)
-        programs.append(_program(place, 'agent', 'agent', number, text))
-        text = _upstream_text(number, announce, run)
+        text = _format_agent_settings(number, announce, peers)
+        programs.append(
+            _write_program_settings(directory, 'agent', 'agent', number, text)
+        )
+        text = _format_upstream_settings(number, announce, run)
         programs.append(
-            _program(place, 'upstream', 'standin upstream', number, text)
+            _write_program_settings(
+                directory, 'upstream', 'standin upstream', number, text
+            )
         )
     lines = ''.join(program.as_line() + '\n' for program in programs)
-    (place / 'programs').write_text(lines)
+    (directory / 'programs').write_text(lines)
     urls = ''.join(f'http://{HOST}:{port}\n' for port in http)
-    (place / 'urls').write_text(urls)
+    (directory / 'urls').write_text(urls)
 
 
-def _program(
-    place: pathlib.Path, role: str, command: str, number: int, text: str
+def _write_program_settings(
+    directory: pathlib.Path, role: str, command: str, number: int, text: str
 ) -> Program:
-    path = place / f'{role}-{number}.toml'
+    path = directory / f'{role}-{number}.toml'
     path.write_text(text)
     return Program(role, command, str(path))
 
 
-def _table(place: pathlib.Path, port: int) -> Program:
+def _write_table_settings(directory: pathlib.Path, port: int) -> Program:
     text = f'[table]\nlisten = "{HOST}:{port}"\n'
-    return _program(place, 'table', 'standin table', 0, text)
+    return _write_program_settings(
+        directory, 'table', 'standin table', 0, text
+    )
 
 
-def _entry_text(number: int, http: int, peers: int, table: int) -> str:
+def _format_entry_settings(
+    number: int, http: int, peers: int, table: int
+) -> str:
     return (
         f'[process]\nname = "entry-{number}"\nzone = "zone-{number % 4}"\n'
         f'[http]\nlisten = "{HOST}:{http}"\n'
@@ -161,7 +175,9 @@
     )
 
 
-def _agent_text(number: int, announce: int, peers: list[int]) -> str:
+def _format_agent_settings(
+    number: int, announce: int, peers: list[int]
+) -> str:
     seeds = ', '.join(f'"{HOST}:{port}"' for port in peers)
     return (
         f'[process]\nname = "agent-{number}"\nzone = "zone-{number % 4}"\n'
@@ -172,7 +188,7 @@
     )
 
 
-def _upstream_text(number: int, announce: int, run: int) -> str:
+def _format_upstream_settings(number: int, announce: int, run: int) -> str:
     return (
         f'[worker]\nname = "worker-{number}"\n'
         f'listen = "{HOST}:{run}"\n'
@@ -181,80 +197,82 @@
     )
 
 
-def read(place: pathlib.Path, mode: str) -> list[Point]:
-    """Watch the processes that the script has started."""
-    pids = _pids(place)
+def measure_points(directory: pathlib.Path, mode: str) -> list[Point]:
+    """Measure the processes that the script has started."""
+    pids = _read_pids(directory)
     time.sleep(SETTLE_SECONDS)
     if mode in (LOADED, REMEMBERED):
-        return asyncio.run(_loaded(place, pids, mode))
-    return _idle(pids, mode)
+        return asyncio.run(_measure_loaded(directory, pids, mode))
+    return _measure_idle(pids, mode)
 
 
-def _pids(place: pathlib.Path) -> dict[str, list[int]]:
+def _read_pids(directory: pathlib.Path) -> dict[str, list[int]]:
     pids: dict[str, list[int]] = {}
-    for line in (place / 'pids').read_text().splitlines():
+    for line in (directory / 'pids').read_text().splitlines():
         role, pid = line.split('\t')
         pids.setdefault(role, []).append(int(pid))
     return pids
 
 
-def _samples(pids: list[int]) -> list[slopes_process.Sample]:
-    return [slopes_process.sample(pid) for pid in pids]
+def _take_samples(pids: list[int]) -> list[slopes_process.Sample]:
+    return [slopes_process.take_sample(pid) for pid in pids]
 
 
-def _idle(pids: dict[str, list[int]], mode: str) -> list[Point]:
+def _measure_idle(pids: dict[str, list[int]], mode: str) -> list[Point]:
     role = 'entry' if mode == IDLE_BY_AGENTS else 'agent'
     size = len(pids['agent' if role == 'entry' else 'entry'])
-    before = _samples(pids[role])
-    time.sleep(READ_SECONDS)
-    after = _samples(pids[role])
-    used = slopes_process.mean_use(
+    before = _take_samples(pids[role])
+    time.sleep(WATCH_SECONDS)
+    after = _take_samples(pids[role])
+    usage = slopes_process.mean_usage(
         [
-            slopes_process.use(old, new, READ_SECONDS)
+            slopes_process.compute_usage(old, new, WATCH_SECONDS)
             for old, new in zip(before, after, strict=True)
         ]
     )
     return [
-        Point(f'{role}_idle_core', size, used.core_share),
-        Point(f'{role}_resident', size, used.resident_bytes),
+        Point(f'{role}_idle_core', size, usage.core_share),
+        Point(f'{role}_resident', size, usage.resident_bytes),
     ]
 
 
-class FixedBalancer:
-    """Callers of the running programs; takes entries in turn."""
+class RoundRobinBalancer:
+    """Balancer that selects the entries in turn."""
 
     def __init__(self, urls: list[str]):
         self._urls = urls
         self._next = 0
 
     def pick(self, avoid: str = '') -> str:
-        """The next entry."""
+        """Return the URL of the next entry."""
         self._next += 1
         return self._urls[self._next % len(self._urls)]
 
 
-async def _loaded(
-    place: pathlib.Path, pids: dict[str, list[int]], mode: str
+async def _measure_loaded(
+    directory: pathlib.Path, pids: dict[str, list[int]], mode: str
 ) -> list[Point]:
-    urls = (place / 'urls').read_text().split()
+    urls = (directory / 'urls').read_text().split()
     book = bench_upstream.StartBook(clocks.ProcessClock.start())
     callers = bench_callers.Callers(
-        FixedBalancer(urls), book, 0.0, random.Random(1)
+        RoundRobinBalancer(urls), book, 0.0, random.Random(1)
     )
     points: list[Point] = []
     try:
         if mode == REMEMBERED:
             line = 'entry_resident_by_tasks'
-            return await _memory(callers, pids, 130, line)
-        points += await _memory(callers, pids, 1, 'entry_resident_by_jobs')
-        for tasks in TASKS_A_JOB:
-            points += await _cpu(callers, pids, tasks)
+            return await _measure_memory(callers, pids, 130, line)
+        points += await _measure_memory(
+            callers, pids, 1, 'entry_resident_by_jobs'
+        )
+        for tasks in TASKS_PER_JOB:
+            points += await _measure_cpu(callers, pids, tasks)
     finally:
         callers.close()
     return points
 
 
-async def _memory(
+async def _measure_memory(
     callers: bench_callers.Callers,
     pids: dict[str, list[int]],
     tasks: int,
@@ -263,35 +281,35 @@
     points = []
     sent = 0
     for _ in range(MEMORY_STEPS):
-        sent += await _send(callers, tasks)
-        resident = slopes_process.mean_use(
+        sent += await _submit_jobs(callers, tasks)
+        resident = slopes_process.mean_usage(
             [
-                slopes_process.use(one, one, 1.0)
-                for one in _samples(pids['entry'])
+                slopes_process.compute_usage(one, one, 1.0)
+                for one in _take_samples(pids['entry'])
             ]
         ).resident_bytes
         points.append(Point(line, sent * tasks, resident))
     return points
 
 
-async def _cpu(
+async def _measure_cpu(
     callers: bench_callers.Callers, pids: dict[str, list[int]], tasks: int
 ) -> list[Point]:
     roles = ('entry', 'agent')
-    before = {role: _samples(pids[role]) for role in roles}
-    jobs = await _send(callers, tasks)
-    after = {role: _samples(pids[role]) for role in roles}
+    before = {role: _take_samples(pids[role]) for role in roles}
+    jobs = await _submit_jobs(callers, tasks)
+    after = {role: _take_samples(pids[role]) for role in roles}
     return [
         Point(
             f'{role}_cpu_by_tasks',
             tasks,
-            _cpu_seconds(before[role], after[role]) / jobs,
+            _sum_cpu_seconds(before[role], after[role]) / jobs,
         )
         for role in roles
     ]
 
 
-def _cpu_seconds(
+def _sum_cpu_seconds(
     before: list[slopes_process.Sample], after: list[slopes_process.Sample]
 ) -> float:
     return sum(
@@ -300,17 +318,20 @@
     )
 
 
-async def _send(callers: bench_callers.Callers, tasks: int) -> int:
-    """Send jobs of one size, a bounded number at once; how many."""
-    count = max(40, TASKS_A_STEP // tasks)
+async def _submit_jobs(callers: bench_callers.Callers, tasks: int) -> int:
+    """Submit jobs of one size with bounded concurrency.
+
+    :returns: the number of jobs.
+    """
+    count = max(40, TASKS_PER_POINT // tasks)
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
-    gate = asyncio.Semaphore(max(1, OPEN_TASKS // tasks))
+    semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
 
     async def one(number: int) -> None:
         job = bench_arrivals.JobPlan(
             number, 0.0, f'team-{number % 4}', plan * tasks
         )
-        async with gate:
+        async with semaphore:
             await callers.submit(job)
 
     await asyncio.gather(*(one(number) for number in range(count)))
@@ -320,7 +341,7 @@
 def load_points(
     path: pathlib.Path,
 ) -> collections.abc.Mapping[str, list[tuple[float, float]]]:
-    """Points by line from the script's file."""
+    """Load the points by line name from the script's file."""
     points: dict[str, list[tuple[float, float]]] = {}
     for line in path.read_bytes().splitlines():
         point = msgspec.json.decode(line, type=Point)
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -1,7 +1,7 @@
-"""Messages and bytes of real links, over the sizes of an installation.
+"""Messages and bytes on the links, over the sizes of an installation.
 
-The links count every frame exactly, so these figures need no process of
-their own; processor time and memory do
+The links count every frame exactly, so these figures need no separate
+processes, unlike processor time and memory
 (:mod:`agatepick.capacity.slopes_process`).
 """
 
@@ -23,97 +23,97 @@
 IDLE_SECONDS = 8.0
 CHANGE_SECONDS = 12.0
 LOADED_SECONDS = 6.0
-LOAD = 0.5
+LOADED_SHARE = 0.5
 TASK_SECONDS = 0.1
 SETTLE_SECONDS = 2.0
-"""Greetings and listings are over by then."""
+"""Handshakes and the listing of entries are complete by then."""
 AGENT_COUNTS = (4, 8, 16, 32)
 ENTRY_COUNTS = (2, 3, 4, 6)
 FEW_AGENTS = 4
 FEW_ENTRIES = 2
 CHANGES_PER_SECOND = (0.5, 1.0, 2.0, 4.0)
-TASKS_A_JOB = (1, 4, 16, 64, 130)
+TASKS_PER_JOB = (1, 4, 16, 64, 130)
 TEAM_COUNTS = (2, 8, 24, 64)
 
-SUBJECTS = (
-    slopes.Subject(
+LINE_SPECS = (
+    slopes.LineSpec(
         'entry_control_bytes',
         'agents',
         'B/s',
         'wire',
         f'{FEW_ENTRIES} entries, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_control_messages',
         'agents',
         'messages/s',
         'wire',
         f'{FEW_ENTRIES} entries, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_control_bytes_by_entries',
         'entries',
         'B/s',
         'wire',
         f'{FEW_AGENTS} agents, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'agent_control_bytes',
         'entries',
         'B/s',
         'wire',
         f'{FEW_AGENTS} agents, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'table_reads',
         'entries',
         'reads/s',
         'wire',
         f'{FEW_AGENTS} agents, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'table_writes',
         'entries',
         'writes/s',
         'wire',
         f'{FEW_AGENTS} agents, idle',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'entry_bytes_by_changes',
         'changes/s',
         'B/s',
         'wire',
         f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'table_reads_by_changes',
         'changes/s',
         'reads/s',
         'wire',
         f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'table_writes_by_changes',
         'changes/s',
         'writes/s',
         'wire',
         f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'job_messages',
         'tasks a job',
         'messages/job',
         'wire',
         'lectores, half of the slots busy, heartbeats left out',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'job_bytes',
         'tasks a job',
         'B/job',
         'wire',
         'lectores, half of the slots busy',
     ),
-    slopes.Subject(
+    slopes.LineSpec(
         'team_messages',
         'teams',
         'messages/s',
@@ -126,8 +126,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wire:
-    """Traffic of one process between two readings, a second."""
+class TrafficRate:
+    """Traffic of one process per second."""
 
     messages: float
     bytes: float
@@ -135,7 +135,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """Counters of one installation at one instant."""
+    """Counters of one installation at one instant.
+
+    :param entries: messages and bytes of each entry; ``agents`` likewise.
+    :param reads: requests to the table service; ``writes`` likewise.
+    """
 
     entries: tuple[tuple[int, int], ...]
     agents: tuple[tuple[int, int], ...]
@@ -144,86 +148,92 @@
 
 
 def measure() -> tuple[slopes.Line, ...]:
-    """All lines of this module; takes about three minutes."""
+    """Measure all lines of this module in about three minutes."""
     points: Points = collections.defaultdict(list)
     for count in AGENT_COUNTS:
-        asyncio.run(idle(points, FEW_ENTRIES, count, by_agents=True))
+        asyncio.run(measure_idle(points, FEW_ENTRIES, count, by_agents=True))
     for count in ENTRY_COUNTS:
-        asyncio.run(idle(points, count, FEW_AGENTS, by_agents=False))
+        asyncio.run(measure_idle(points, count, FEW_AGENTS, by_agents=False))
     for rate in CHANGES_PER_SECOND:
-        asyncio.run(changing(points, rate))
-    for tasks in TASKS_A_JOB:
-        asyncio.run(loaded(points, tasks))
+        asyncio.run(measure_changes(points, rate))
+    for tasks in TASKS_PER_JOB:
+        asyncio.run(measure_loaded(points, tasks))
     for teams in TEAM_COUNTS:
-        asyncio.run(with_quotas(points, teams))
-    return slopes.fit_all(SUBJECTS, points)
+        asyncio.run(measure_quotas(points, teams))
+    return slopes.fit_all(LINE_SPECS, points)
 
 
-def read(site: bench_cluster.Cluster) -> Reading:
-    """Read all counters."""
-    counts = site.table.counts
+def read_counters(installation: bench_cluster.Cluster) -> Reading:
+    """Read all counters of an installation."""
+    counts = installation.table.counts
     return Reading(
-        tuple(total(one.process.links.traffic) for one in site.entries),
-        tuple(total(one.process.links.traffic) for one in site.agents),
+        tuple(
+            total_traffic(one.process.links.traffic)
+            for one in installation.entries
+        ),
+        tuple(
+            total_traffic(one.process.links.traffic)
+            for one in installation.agents
+        ),
         counts.reads,
         counts.writes,
     )
 
 
-def total(traffic: links.Traffic) -> tuple[int, int]:
-    """Messages and bytes both ways."""
+def total_traffic(traffic: links.Traffic) -> tuple[int, int]:
+    """Return messages and bytes in both directions."""
     return (
         traffic.messages_in + traffic.messages_out,
         traffic.bytes_in + traffic.bytes_out,
     )
 
 
-def mean(
+def mean_traffic(
     before: collections.abc.Sequence[tuple[int, int]],
     after: collections.abc.Sequence[tuple[int, int]],
     seconds: float,
-) -> Wire:
-    """Mean traffic of the processes of one role."""
+) -> TrafficRate:
+    """Compute the mean traffic of the processes of one role."""
     count = len(before) * seconds
     pairs = list(zip(before, after, strict=True))
-    return Wire(
+    return TrafficRate(
         sum(new[0] - old[0] for old, new in pairs) / count,
         sum(new[1] - old[1] for old, new in pairs) / count,
     )
 
 
-def installation(
+def make_installation(
     entries: int, agents: int, jobs: tuple[bench_arrivals.JobPlan, ...] = ()
 ) -> tuple[
     bench_arrivals.Load, bench_plan.Deployment, bench_upstream.StartBook
 ]:
-    """A load, a deployment and a book for one reading."""
+    """Return a load, a deployment and a start book for one measurement."""
     deployment = dataclasses.replace(
         bench_plan.DEPLOYMENTS['lectores'], entries=entries, workers=agents
     )
     pattern = bench_plan.Pattern.STEADY
-    load = bench_arrivals.Load(pattern, 1, LOADED_SECONDS, LOAD, jobs)
+    load = bench_arrivals.Load(pattern, 1, LOADED_SECONDS, LOADED_SHARE, jobs)
     book = bench_upstream.StartBook(clocks.ProcessClock.start())
     return load, deployment, book
 
 
-async def idle(
+async def measure_idle(
     points: Points, entries: int, agents: int, by_agents: bool
 ) -> None:
-    """Read an installation that has nothing to do."""
-    load, deployment, book = installation(entries, agents)
+    """Measure an installation without jobs."""
+    load, deployment, book = make_installation(entries, agents)
     clock = clocks.ProcessClock.start()
-    site = bench_cluster.Cluster(load, deployment, clock, book)
+    installation = bench_cluster.Cluster(load, deployment, clock, book)
     try:
-        await site.start()
+        await installation.start()
         await asyncio.sleep(SETTLE_SECONDS)
-        before = read(site)
+        before = read_counters(installation)
         await asyncio.sleep(IDLE_SECONDS)
-        after = read(site)
+        after = read_counters(installation)
     finally:
-        await site.stop()
-    entry = mean(before.entries, after.entries, IDLE_SECONDS)
-    agent = mean(before.agents, after.agents, IDLE_SECONDS)
+        await installation.stop()
+    entry = mean_traffic(before.entries, after.entries, IDLE_SECONDS)
+    agent = mean_traffic(before.agents, after.agents, IDLE_SECONDS)
     if by_agents:
         points['entry_control_bytes'].append((agents, entry.bytes))
         points['entry_control_messages'].append((agents, entry.messages))
@@ -236,39 +246,41 @@
     points['table_writes'].append((entries, writes))
 
 
-async def changing(points: Points, rate: float) -> None:
-    """Read an installation whose configuration changes at a rate."""
-    load, deployment, book = installation(FEW_ENTRIES, FEW_AGENTS)
+async def measure_changes(points: Points, rate: float) -> None:
+    """Measure an installation whose configuration changes at a rate."""
+    load, deployment, book = make_installation(FEW_ENTRIES, FEW_AGENTS)
     clock = clocks.ProcessClock.start()
-    site = bench_cluster.Cluster(load, deployment, clock, book)
+    installation = bench_cluster.Cluster(load, deployment, clock, book)
     try:
-        await site.start()
+        await installation.start()
         await asyncio.sleep(SETTLE_SECONDS)
-        before, since = read(site), book.now()
-        done = 0
+        before, since = read_counters(installation), book.now()
+        change_count = 0
         while book.now() - since < CHANGE_SECONDS:
-            await asyncio.sleep(since + done / rate - book.now())
-            await site.change(cluster.SettingSet('bench', str(done)))
-            done += 1
+            await asyncio.sleep(since + change_count / rate - book.now())
+            await installation.change(
+                cluster.SettingSet('bench', str(change_count))
+            )
+            change_count += 1
         seconds = book.now() - since
-        after = read(site)
+        after = read_counters(installation)
     finally:
-        await site.stop()
-    entry = mean(before.entries, after.entries, seconds)
-    real = done / seconds
-    points['entry_bytes_by_changes'].append((real, entry.bytes))
+        await installation.stop()
+    entry = mean_traffic(before.entries, after.entries, seconds)
+    actual_rate = change_count / seconds
+    points['entry_bytes_by_changes'].append((actual_rate, entry.bytes))
     reads = (after.reads - before.reads) / seconds
     writes = (after.writes - before.writes) / seconds
-    points['table_reads_by_changes'].append((real, reads))
-    points['table_writes_by_changes'].append((real, writes))
+    points['table_reads_by_changes'].append((actual_rate, reads))
+    points['table_writes_by_changes'].append((actual_rate, writes))
 
 
-def even_jobs(
+def make_even_jobs(
     deployment: bench_plan.Deployment, tasks: int, teams: int = 1
 ) -> tuple[bench_arrivals.JobPlan, ...]:
-    """Jobs of equal size at equal distances that fill the load."""
+    """Return jobs of equal size at equal intervals that fill the load."""
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
-    work = LOAD * LOADED_SECONDS * deployment.total_slots
+    work = LOADED_SHARE * LOADED_SECONDS * deployment.total_slots
     count = max(4, round(work / (tasks * TASK_SECONDS)))
     return tuple(
         bench_arrivals.JobPlan(
@@ -281,11 +293,13 @@
     )
 
 
-async def loaded(points: Points, tasks: int) -> None:
-    """Read an installation that carries jobs of one size."""
+async def measure_loaded(points: Points, tasks: int) -> None:
+    """Measure an installation under load with jobs of one size."""
     deployment = bench_plan.DEPLOYMENTS['lectores']
-    jobs = even_jobs(deployment, tasks)
-    load, _, _ = installation(deployment.entries, deployment.workers, jobs)
+    jobs = make_even_jobs(deployment, tasks)
+    load, _, _ = make_installation(
+        deployment.entries, deployment.workers, jobs
+    )
     played = await bench_run.play(load, deployment)
     figures = played.report.figures
     counts = played.evidence.traffic.counts
@@ -296,16 +310,18 @@
     points['job_bytes'].append((tasks, sent / len(jobs)))
 
 
-async def with_quotas(points: Points, teams: int) -> None:
-    """Read the messages about quotas with as many teams at work."""
+async def measure_quotas(points: Points, teams: int) -> None:
+    """Measure the quota messages with a number of active teams."""
     deployment = bench_plan.DEPLOYMENTS['lectores']
-    jobs = even_jobs(deployment, 4, teams)
-    load, _, _ = installation(deployment.entries, deployment.workers, jobs)
+    jobs = make_even_jobs(deployment, 4, teams)
+    load, _, _ = make_installation(
+        deployment.entries, deployment.workers, jobs
+    )
     quotas = tuple(
         cluster.QuotaSet(f'team-{number}', deployment.total_slots)
         for number in range(teams)
     )
     played = await bench_run.play(load, deployment, first_changes=quotas)
     counts = played.evidence.traffic.counts
-    about = counts.get('QuotaAsk', 0) + counts.get('QuotaGrant', 0)
-    points['team_messages'].append((teams, about / LOADED_SECONDS))
+    quota_messages = counts.get('QuotaAsk', 0) + counts.get('QuotaGrant', 0)
+    points['team_messages'].append((teams, quota_messages / LOADED_SECONDS))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -20,7 +20,7 @@
     return slopes.Slopes(
         tuple(
             slopes.fit(
-                slopes.Subject(name, 'x', 'u', 'wire'),
+                slopes.LineSpec(name, 'x', 'u', 'wire'),
                 [(size, size * slope + start) for size in (1, 2, 4, 8)],
             )
             for name, (slope, start) in LINES.items()
@@ -32,8 +32,8 @@
     plan = capacity.Plan.from_slopes(found)
     assert plan.cpu_per_task == pytest.approx(100e-6 + 400e-6 / 130)
     assert plan.entries == 76
-    assert plan.subset == 32
-    assert plan.owners == pytest.approx(76 * 32 / 9100)
+    assert plan.agents_per_entry == 32
+    assert plan.entries_per_agent == pytest.approx(76 * 32 / 9100)
 
 
 def test_only_the_tables_between_markers_are_made_anew(found):
