--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts one of the platform's programs from a checkout."""
+"""Launcher of the platform's programs from a checkout."""
 
 import gc
 import pathlib
@@ -6,11 +6,11 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / 'src'))
-# The script's own folder would hide the package of the same name.
+# The script's own folder would shadow the package of the same name.
 sys.path = [one for one in sys.path if one != str(ROOT / 'deploy')]
 
-# Modules are kept for good, so collections between their imports find
-# nothing; they took a tenth of the time until a restarted program serves.
+# Imported modules stay alive, so garbage collections between imports free
+# nothing; they took a tenth of a restarted program's time until it serves.
 gc.disable()
 from agatepick.platform import programs  # noqa: E402
 
--- a/examples/configuration_cost.py
+++ b/examples/configuration_cost.py
@@ -1,8 +1,9 @@
-"""What the cluster configuration costs, over the number of entries.
+"""Measurement of the cluster configuration's cost by number of entries.
 
-Runs entries in one process over loopback sockets and a stand-in table
-service: bytes and store calls a second while idle, and how long changes take
-to be accepted and to be known by every entry.  Prints a line for each size.
+The script runs entries in one process over loopback sockets and a stand-in
+table service.  It prints a line for each size: bytes and store calls per
+second while idle, and the time until a change is accepted and until every
+entry has it.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 ANY_PORT = '127.0.0.1:0'
 
 
-def entry(table, place):
-    """One entry process, not yet started."""
+def make_entry(table, number):
+    """Return an entry process that isn't started yet."""
     return processes.EntryProcess.from_settings(
         settings.EntrySettings(
-            process=settings.Process(f'entry-{place}', 'talca'),
+            process=settings.Process(f'entry-{number}', 'talca'),
             http=settings.Http(ANY_PORT),
             peers=settings.Peers(ANY_PORT),
             store=settings.Store(f'http://{table.address}'),
@@ -37,32 +38,34 @@
     )
 
 
-async def until(check, seconds=60.0):
-    """Wait until ``check()`` holds; returns how long it took."""
-    began = time.monotonic()
-    while not check():
-        if time.monotonic() - began > seconds:
+async def wait_until(condition, seconds=60.0):
+    """Wait until ``condition()`` is true; return the elapsed seconds."""
+    started_at = time.monotonic()
+    while not condition():
+        if time.monotonic() - started_at > seconds:
             raise TimeoutError
         await asyncio.sleep(0.0005)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
-def listed(process):
-    """How many entries are listed in force, as one of them sees it."""
+def count_listed(process):
+    """Return the number of listed entries in one entry's configuration."""
     now = process.outside.clock.now()
     return len(process.entry.configuration.in_force(now).listed())
 
 
-async def change(entries, place):
-    """Seconds until a change is accepted, and until the last one knows."""
-    began = time.monotonic()
+async def change(entries, change_number):
+    """Return the seconds until a change is accepted and everywhere known."""
+    started_at = time.monotonic()
 
     def propose(number):
-        return calls.ChangeProposed(number, cluster.QuotaSet('team', place))
+        return calls.ChangeProposed(
+            number, cluster.QuotaSet('team', change_number)
+        )
 
-    reply = await entries[place % len(entries)].calls.call(propose)
-    accepted = time.monotonic() - began
-    known = await until(
+    reply = await entries[change_number % len(entries)].calls.call(propose)
+    accepted = time.monotonic() - started_at
+    known = await wait_until(
         lambda: all(
             one.entry.configuration.version >= reply.version for one in entries
         )
@@ -71,19 +74,23 @@
 
 
 async def measure(size):
-    """Figures for one number of entries, as text."""
+    """Return the figures for one number of entries as a line of text."""
     async with contextlib.AsyncExitStack() as stack:
         table = await standin_table.TableServer.start()
         stack.push_async_callback(table.stop)
-        entries = [entry(table, place) for place in range(size)]
+        entries = [make_entry(table, number) for number in range(size)]
         for one in entries:
             await one.start()
             stack.push_async_callback(one.stop)
-        await until(lambda: all(listed(one) == size for one in entries))
+        await wait_until(
+            lambda: all(count_listed(one) == size for one in entries)
+        )
         before = sum(one.links.traffic.bytes_out for one in entries)
         reads, writes = table.counts.reads, table.counts.writes
         await asyncio.sleep(IDLE_SECONDS)
-        spent = sum(one.links.traffic.bytes_out for one in entries) - before
+        bytes_out = (
+            sum(one.links.traffic.bytes_out for one in entries) - before
+        )
         reads = table.counts.reads - reads
         writes = table.counts.writes - writes
         times = [await change(entries, one + 1) for one in range(CHANGES)]
@@ -91,7 +98,7 @@
         known = [one[1] * 1000 for one in times]
         return (
             f'entries={size} '
-            f'bytes_out_per_node_s={spent / size / IDLE_SECONDS:.0f} '
+            f'bytes_out_per_node_s={bytes_out / size / IDLE_SECONDS:.0f} '
             f'store_reads_s={reads / IDLE_SECONDS:.1f} '
             f'store_writes_s={writes / IDLE_SECONDS:.1f} '
             f'accepted_ms_median={statistics.median(accepted):.1f} '
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,8 +1,8 @@
-"""Use the library's parts without the daemons.
+"""Use of the library's parts without the daemons.
 
-A small program takes callers' jobs over HTTP on the library's handlers and
-runs their tasks by a function of its own: no entry, no agent, no table
-service.  Its reducer decides; the library's shell feeds it.  Run it with
+The program accepts jobs over HTTP with the library's handlers and runs their
+tasks in its own reducer, which the library's shell feeds with events.  It has
+no entry, no agent and no table service.  Run it with
 ``python examples/embed.py``.
 """
 
@@ -15,10 +15,10 @@
 
 
 class Adder:
-    """A reducer that adds the numbers in each task's payload at once."""
+    """A reducer that adds the numbers in each task's payload."""
 
     def reduce(self, event: object, now: float) -> list[object]:
-        """Answer a submitted job; there is nothing to tell of others."""
+        """Answer a submitted job; ignore other events."""
         if not isinstance(event, agatepick.JobSubmitted):
             return []
         tasks = tuple(self._run(task) for task in event.job.tasks)
@@ -37,7 +37,7 @@
 
 
 async def main() -> list[int]:
-    """Serve, submit one job over HTTP, return what its tasks gave."""
+    """Serve, submit one job over HTTP and return its tasks' results."""
     clock = agatepick.ProcessClock.start()
     shell = agatepick.Shell(Adder(), clock)
     calls = agatepick.Calls(shell.feed)
--- a/examples/platform_path.py
+++ b/examples/platform_path.py
@@ -1,8 +1,8 @@
-"""The platform's programs at work, on stand-ins of its store and workers.
+"""Demo of the platform's programs with a stand-in store and workers.
 
-Three entries and four agents run as processes of their own, as the platform
-starts them; callers hand jobs in for some seconds.  Printed are the answers
-by status and the story of one job, from the logs of all processes.
+Three entries and four agents run as separate processes, as the platform starts
+them, and callers submit jobs for some seconds.  The demo prints the history of
+one job, from the logs of all processes, and the answers by status.
 
 Run from the checkout by ``make demo-platform``.
 """
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Play a calm day; 0 if all promises were kept."""
+    """Run the demo without faults; return 0 if no promise was broken."""
     with tempfile.TemporaryDirectory() as folder:
         broken, answered = soak.play(1, SECONDS, folder, faults=())
         logs = sorted(str(path) for path in pathlib.Path(folder).glob('*.log'))
--- a/scripts/measure_slopes.sh
+++ b/scripts/measure_slopes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the lines of docs/CAPACITY.md: starts real processes, lets
-# `agatepick bench slopes` read them, ends them by pid.
+# Measures the lines of docs/CAPACITY.md: starts processes, measures them with
+# `agatepick bench slopes` and kills them by pid.
 # usage: scripts/measure_slopes.sh OUT.json
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -16,13 +16,13 @@
 }
 trap 'stop_all; rm -rf "$work"' EXIT
 
-# point ENTRIES AGENTS MODE: one installation, read once.
-point() {
+# measure_point ENTRIES AGENTS MODE: starts and measures one installation.
+measure_point() {
     local dir="$work/$3-$1-$2" role command config
     "$agatepick" bench slopes --write="$dir" --entries="$1" --agents="$2"
     : >"$dir/pids"
     while IFS=$'\t' read -r role command config; do
-        # The command may be two words.
+        # The command may consist of two words.
         # shellcheck disable=SC2086
         "$agatepick" $command --config="$config" \
             >"$config.log" 2>&1 </dev/null &
@@ -33,8 +33,8 @@
     stop_all
 }
 
-for agents in 4 8 16 32; do point 2 "$agents" idle-by-agents; done
-for entries in 2 3 4 6; do point "$entries" 4 idle-by-entries; done
-point 1 10 loaded
-point 1 10 remembered
+for agents in 4 8 16 32; do measure_point 2 "$agents" idle-by-agents; done
+for entries in 2 3 4 6; do measure_point "$entries" 4 idle-by-entries; done
+measure_point 1 10 loaded
+measure_point 1 10 remembered
 "$agatepick" bench slopes --points="$work/points" --json >"$out"
--- a/src/agatepick/standins/__init__.py
+++ b/src/agatepick/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, for a walk on one machine."""
+"""Stand-ins for the platform, to run agatepick on one machine."""
--- a/src/agatepick/standins/standin_table.py
+++ b/src/agatepick/standins/standin_table.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform's transactional table service, with faults.
 
-:class:`MemoryTable` is the table itself and answers at once; tests in
-virtual time use it alone.  :class:`TableServer` puts it behind HTTP and
-brings about the :class:`Faults` that its user sets, in the same process or
-by ``POST /v1/faults``.
+:class:`MemoryTable` is the table itself and responds synchronously; tests in
+virtual time use it directly.  :class:`TableServer` serves it over HTTP and
+injects the :class:`Faults` that are set in the same process or by
+``POST /v1/faults``.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 READS_PER_SECOND = 2000.0
 WRITES_PER_SECOND = 400.0
 
-PATHS: dict[str, type[store.Request]] = {
+REQUEST_TYPES: dict[str, type[store.Request]] = {
     '/v1/rows/read': store.ReadRow,
     '/v1/rows/after': store.ReadAfter,
     '/v1/transact': store.Transact,
@@ -30,29 +30,29 @@
 
 
 class MemoryTable:
-    """Rows in memory; transactions take effect one after another."""
+    """Rows in memory with serialized transactions."""
 
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str], bytes] = {}
 
     def execute(self, request: store.Request) -> store.Rows | store.Committed:
-        """Carry out one request.
+        """Execute one request.
 
         :raises agatepick.exceptions.StoreConflict: if a condition fails.
         """
         match request:
             case store.ReadRow(table, key):
-                return store.Rows(self._row(table, key))
+                return store.Rows(self._read_row(table, key))
             case store.ReadAfter():
-                return store.Rows(self._after(request))
+                return store.Rows(self._read_after(request))
             case store.Transact():
                 return self._transact(request)
 
-    def _row(self, table: str, key: str) -> tuple[store.Row, ...]:
+    def _read_row(self, table: str, key: str) -> tuple[store.Row, ...]:
         value = self._rows.get((table, key))
         return () if value is None else (store.Row(table, key, value),)
 
-    def _after(self, request: store.ReadAfter) -> tuple[store.Row, ...]:
+    def _read_after(self, request: store.ReadAfter) -> tuple[store.Row, ...]:
         keys = sorted(
             key
             for table, key in self._rows
@@ -64,30 +64,34 @@
         )
 
     def _transact(self, request: store.Transact) -> store.Committed:
-        for one in request.conditions:
-            if self._rows.get((one.table, one.key)) != one.value:
+        for condition in request.conditions:
+            if (
+                self._rows.get((condition.table, condition.key))
+                != condition.value
+            ):
                 raise exceptions.StoreConflict(
-                    f'{one.table}/{one.key} differs', step='transact'
+                    f'{condition.table}/{condition.key} differs',
+                    step='transact',
                 )
         for put in request.puts:
             self._rows[put.table, put.key] = put.value
-        for gone in request.deletes:
-            self._rows.pop((gone.table, gone.key), None)
+        for delete in request.deletes:
+            self._rows.pop((delete.table, delete.key), None)
         return store.Committed()
 
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong at the service until it is set otherwise.
+    """Faults to inject, in force until they are changed.
 
-    :param outage: every request is answered 503 and does nothing.
-    :param silent: requests do nothing and are never answered.
+    :param outage: whether every request gets status 503 and has no effect.
+    :param silent: whether requests have no effect and get no answer.
     :param delay: seconds until a request takes effect.
     :param answer_delay: seconds from the effect until the answer.
-    :param answer_delays: the same for the next answers one by one, which
-        lets them overtake another.
-    :param lost_answers: as many next transactions take effect, and their
-        connection ends without an answer.
+    :param answer_delays: answer delays of the next requests, one each, so
+        that answers can overtake each other.
+    :param lost_answers: number of next transactions that take effect but
+        whose connection is closed without an answer.
     """
 
     outage: bool = False
@@ -98,13 +102,16 @@
     lost_answers: int = 0
 
     def next_answer_delay(self) -> float:
-        """Seconds to hold back the next answer."""
+        """Return the delay of the next answer in seconds."""
         if self.answer_delays:
             return self.answer_delays.pop(0)
         return self.answer_delay
 
-    def loses_answer(self) -> bool:
-        """Whether the answer to this transaction is to be lost."""
+    def consume_lost_answer(self) -> bool:
+        """Return whether the answer to this transaction is lost.
+
+        Each call uses up one of ``lost_answers``.
+        """
         if not self.lost_answers:
             return False
         self.lost_answers -= 1
@@ -113,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rates:
-    """Requests a second that the service lets in."""
+    """Rate limits in requests per second."""
 
     reads: float = READS_PER_SECOND
     writes: float = WRITES_PER_SECOND
@@ -121,7 +128,10 @@
 
 @dataclasses.dataclass
 class Counts:
-    """Requests that reached the service."""
+    """Numbers of requests that reached the service.
+
+    :param limited: requests that the rate limit rejected.
+    """
 
     reads: int = 0
     writes: int = 0
@@ -129,7 +139,7 @@
 
 
 class TableServer:
-    """The table service on an HTTP port."""
+    """HTTP server of the table service."""
 
     def __init__(self, table: store.Table, listen: str, rates: Rates):
         self.table = table
@@ -138,7 +148,7 @@
         now = asyncio.get_running_loop().time()
         self._reads = ratelimit.TokenBucket(rates.reads, rates.reads, now)
         self._writes = ratelimit.TokenBucket(rates.writes, rates.writes, now)
-        self._http = tornado.httpserver.HTTPServer(_application(self))
+        self._http = tornado.httpserver.HTTPServer(_make_application(self))
         host, _, port = listen.rpartition(':')
         sockets = tornado.netutil.bind_sockets(int(port), host, socket.AF_INET)
         self._http.add_sockets(sockets)
@@ -151,38 +161,46 @@
         listen: str = '127.0.0.1:0',
         rates: Rates = Rates(),
     ) -> 'TableServer':
-        """A server at ``ip:port``; a new empty table if none is given."""
+        """Start a server.
+
+        :param table: a new empty one if it is None.
+        :param listen: address as ``ip:port``.
+        """
         return cls(MemoryTable() if table is None else table, listen, rates)
 
     async def stop(self) -> None:
-        """Close the port and every connection."""
+        """Close the port and all connections."""
         self._http.stop()
         await self._http.close_all_connections()
 
     def admit(self, request: store.Request) -> bool:
-        """Count a request; whether the rate limit lets it in."""
+        """Count a request; return whether the rate limit admits it."""
         now = asyncio.get_running_loop().time()
-        write = isinstance(request, store.Transact)
-        if write:
+        is_write = isinstance(request, store.Transact)
+        if is_write:
             self.counts.writes += 1
         else:
             self.counts.reads += 1
-        admitted = (self._writes if write else self._reads).take(now)
+        admitted = (self._writes if is_write else self._reads).take(now)
         self.counts.limited += not admitted
         return admitted
 
 
-def _application(server: TableServer) -> tornado.web.Application:
+def _make_application(server: TableServer) -> tornado.web.Application:
     routes = [
-        tornado.web.url(path, _Rows, {'server': server, 'kind': kind})
-        for path, kind in PATHS.items()
+        tornado.web.url(
+            path, _RequestHandler, {'server': server, 'kind': kind}
+        )
+        for path, kind in REQUEST_TYPES.items()
     ]
-    routes.append(tornado.web.url('/v1/faults', _Faults, {'server': server}))
+    routes.append(
+        tornado.web.url('/v1/faults', _FaultsHandler, {'server': server})
+    )
     return tornado.web.Application(routes, log_function=lambda handler: None)
 
 
-class _Rows(tornado.web.RequestHandler):
-    """One request to the table."""
+class _RequestHandler(tornado.web.RequestHandler):
+    """Handler of requests to the table."""
 
     def initialize(
         self, server: TableServer, kind: type[store.Request]
@@ -194,34 +212,37 @@
         try:
             request = msgspec.json.decode(self.request.body, type=self._kind)
         except msgspec.MsgspecError as exc:
-            return self._answer(400, str(exc))
+            return self._reply(400, str(exc))
         if not self._server.admit(request):
-            return self._answer(429, 'too many requests')
+            return self._reply(429, 'too many requests')
         faults = self._server.faults
         if faults.outage:
-            return self._answer(503, 'out of service')
+            return self._reply(503, 'out of service')
         if faults.silent:
             await asyncio.Event().wait()
         await asyncio.sleep(faults.delay)
         try:
             answer = self._server.table.execute(request)
         except exceptions.StoreConflict as exc:
-            return self._answer(409, str(exc))
+            return self._reply(409, str(exc))
         await asyncio.sleep(faults.next_answer_delay())
-        if isinstance(answer, store.Committed) and faults.loses_answer():
-            return self._drop()
+        if (
+            isinstance(answer, store.Committed)
+            and faults.consume_lost_answer()
+        ):
+            return self._close_connection()
         self.finish(msgspec.json.encode(answer))
 
-    def _answer(self, status: int, why: str) -> None:
+    def _reply(self, status: int, text: str) -> None:
         self.set_status(status)
-        self.finish(why)
+        self.finish(text)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         self.detach().close()
 
 
-class _Faults(tornado.web.RequestHandler):
-    """Sets the faults."""
+class _FaultsHandler(tornado.web.RequestHandler):
+    """Handler that sets the faults."""
 
     def initialize(self, server: TableServer) -> None:
         self._server = server
--- a/src/agatepick/standins/standin_upstream.py
+++ b/src/agatepick/standins/standin_upstream.py
@@ -1,8 +1,9 @@
 """A stand-in for a worker's upstream, for tests, the demo and the bench.
 
-It runs a task by waiting for the seconds that its payload names, such as
-``{"seconds": 0.1}``, and has the faults of real ones.  It counts the starts
-of each task by itself, so that what agatepick claims can be held against it.
+It runs a task by waiting for the seconds in the task's payload, such as
+``{"seconds": 0.1}``, and can have the faults of real upstreams.  It counts the
+starts of each task itself, so that agatepick's answers can be checked against
+the counts.
 """
 
 import asyncio
@@ -25,16 +26,15 @@
 REASON_STOPPED = 'stopped'
 REASON_DIED = 'upstream_died'
 THROTTLE_FACTOR = 2.0
-ANNOUNCE_SECONDS = 2.0
-RETRY_SECONDS = 0.2
+ANNOUNCE_TIMEOUT_SECONDS = 2.0
+RETRY_DELAY_SECONDS = 0.2
 
 
 class Payload(msgspec.Struct):
-    """What a task asks of the stand-in.
+    """Payload of a task for the stand-in.
 
-    :param seconds: how long it takes; ``None``: as long as the worker's
-        tasks usually take.
-    :param fail: whether it fails at its end.
+    :param seconds: run time; ``None`` for the worker's default.
+    :param fail: whether the task fails at its end.
     """
 
     seconds: float | None = None
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """How a worker misbehaves; may be changed while it runs.
+    """Faults of a worker; may be changed while it runs.
 
-    :param fail_all: every task it starts fails, at once.
-    :param slow_factor: every task takes that many times as long.
-    :param ignores_stop: tasks that are to stop run on.
-    :param dead: it is gone: tasks neither start nor end.
+    :param fail_all: whether every task fails as soon as it starts.
+    :param slow_factor: factor on the run time of every task.
+    :param ignores_stop: whether tasks continue after a stop action.
+    :param dead: whether the worker is down: tasks neither start nor end.
     """
 
     fail_all: bool = False
@@ -69,7 +69,10 @@
 
 
 class StandIn:
-    """The worker itself: runs tasks on the event loop, counts starts."""
+    """Worker that runs tasks on the event loop and counts their starts.
+
+    :param default_seconds: run time of tasks whose payload has none.
+    """
 
     def __init__(
         self, faults: Faults | None = None, default_seconds: float = 0.0
@@ -77,68 +80,70 @@
         self.faults = faults or Faults()
         self._default_seconds = default_seconds
         self.starts: collections.Counter[TaskKey] = collections.Counter()
-        """How often each task of each job was started."""
-        self.most_running = 0
+        """Number of starts of each task."""
+        self.max_running = 0
         self._runs: dict[int, tuple[TaskKey, _Run]] = {}
-        self._next = 0
+        self._next_run_id = 0
 
     @property
     def running(self) -> int:
-        """Tasks that run now."""
+        """Number of running tasks."""
         return len(self._runs)
 
     def start(self, task: TaskKey, payload: bytes, done: Done) -> None:
-        """Start a task; ``done`` is called once, unless the worker dies."""
+        """Start a task; call ``done`` once, unless the worker dies."""
         if self.faults.dead:
             return
         self.starts[task] += 1
-        asked = msgspec.json.decode(payload or b'{}', type=Payload)
-        seconds = asked.seconds
+        task_payload = msgspec.json.decode(payload or b'{}', type=Payload)
+        seconds = task_payload.seconds
         if seconds is None:
             seconds = self._default_seconds
         seconds *= self.faults.slow_factor
         if self.faults.fail_all:
             seconds = 0.0
-        number = self._next
-        self._next += 1
+        run_id = self._next_run_id
+        self._next_run_id += 1
         timer = asyncio.get_running_loop().call_later(
-            seconds, self._end, number
+            seconds, self._end, run_id
         )
-        self._runs[number] = (task, _Run(done, timer, asked))
-        self.most_running = max(self.most_running, self.running)
+        self._runs[run_id] = (task, _Run(done, timer, task_payload))
+        self.max_running = max(self.max_running, self.running)
 
     def act(self, task: TaskKey, action: upstream.Action) -> None:
-        """Stop or throttle a task; a checkpoint changes nothing here."""
-        for number, (key, run) in list(self._runs.items()):
+        """Stop or throttle a task; a checkpoint has no effect here."""
+        for run_id, (key, run) in list(self._runs.items()):
             if key != task:
                 continue
             if action is upstream.Action.STOP:
-                self._stop(number, run)
+                self._stop(run_id, run)
             elif action is upstream.Action.THROTTLE:
-                self._throttle(number, run)
+                self._throttle(run_id, run)
 
     def die(self) -> None:
-        """Lose all that runs, as a machine does that loses its power."""
+        """Drop all running tasks, as in a power failure."""
         self.faults.dead = True
         for _, run in self._runs.values():
             run.timer.cancel()
         self._runs.clear()
 
-    def _stop(self, number: int, run: _Run) -> None:
+    def _stop(self, run_id: int, run: _Run) -> None:
         if self.faults.ignores_stop:
             return
         run.timer.cancel()
-        del self._runs[number]
+        del self._runs[run_id]
         run.done(types.TaskState.FAILED, b'', REASON_STOPPED)
 
-    def _throttle(self, number: int, run: _Run) -> None:
+    def _throttle(self, run_id: int, run: _Run) -> None:
         loop = asyncio.get_running_loop()
-        left = max(0.0, run.timer.when() - loop.time())
+        remaining = max(0.0, run.timer.when() - loop.time())
         run.timer.cancel()
-        run.timer = loop.call_later(left * THROTTLE_FACTOR, self._end, number)
+        run.timer = loop.call_later(
+            remaining * THROTTLE_FACTOR, self._end, run_id
+        )
 
-    def _end(self, number: int) -> None:
-        task, run = self._runs.pop(number)
+    def _end(self, run_id: int) -> None:
+        task, run = self._runs.pop(run_id)
         if self.faults.fail_all or run.payload.fail:
             run.done(types.TaskState.FAILED, b'', REASON_FAULT)
         else:
@@ -149,7 +154,7 @@
 class LocalUpstream:
     """An :class:`.upstream.Upstream` in the agent's own process.
 
-    :param feed: takes the agent's events.
+    :param feed: function that passes an event to the agent.
     """
 
     def __init__(
@@ -164,7 +169,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        """Announce the worker, and renew as long as it lives."""
+        """Announce the worker, and renew the announcement until it dies."""
         if self._worker.faults.dead:
             return
         self._feed(self._announced)
@@ -173,18 +178,18 @@
         )
 
     def leave(self) -> None:
-        """Announce that the worker leaves."""
+        """Announce the departure of the worker."""
         self._feed(upstream.UpstreamLeft(self._announced.session))
 
     def end(self) -> None:
-        """Stop renewing."""
+        """Stop renewing the announcement."""
         if self._timer is not None:
             self._timer.cancel()
 
     def run(self, effect: upstream.RunTask) -> None:
         """Start a task."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
 
         def done(state: types.TaskState, body: bytes, reason: str) -> None:
             self._feed(
@@ -195,7 +200,7 @@
                     state,
                     body,
                     reason,
-                    loop.time() - began,
+                    loop.time() - started_at,
                 )
             )
 
@@ -203,15 +208,15 @@
         self._worker.start(task, effect.payload, done)
 
     def stop(self, effect: upstream.StopTask) -> None:
-        """Pass an action on to the worker."""
+        """Pass an action to the worker."""
         self._worker.act((effect.job, effect.index), effect.action)
 
 
 class HttpWorker:
-    """The stand-in as a process of its own sees it: HTTP in and out.
+    """The stand-in as a separate process, with HTTP server and client.
 
-    :param agent: URL where the agent takes announcements.
-    :param announced: what is announced; its ``url`` is filled in.
+    :param agent: URL of the agent for announcements.
+    :param announced: announcement to send; :meth:`start` sets its ``url``.
     """
 
     def __init__(
@@ -239,10 +244,10 @@
                 log_function=lambda handler: None,
             )
         )
-        self._renewing: asyncio.Task[None] | None = None
+        self._renewal: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen, and announce until :meth:`leave` or :meth:`stop`."""
+        """Listen and announce until :meth:`leave` or :meth:`stop`."""
         host, _, port = self._listen.rpartition(':')
         sockets = tornado.netutil.bind_sockets(int(port), host)
         self._server.add_sockets(sockets)
@@ -251,38 +256,38 @@
             self.announced, url=f'http://{bound[0]}:{bound[1]}'
         )
         loop = asyncio.get_running_loop()
-        self._renewing = loop.create_task(self._renew())
+        self._renewal = loop.create_task(self._renew_announcement())
 
     async def leave(self) -> None:
-        """Say that it leaves; what runs runs on."""
-        self._end_renewing()
+        """Announce the departure; running tasks continue."""
+        self._cancel_renewal()
         body = msgspec.json.encode(announce.Departure(self.announced.session))
         await self._call('DELETE', body)
 
     async def stop(self) -> None:
-        """Close everything, as a process that ends does."""
-        self._end_renewing()
+        """Drop all tasks and close all connections, as at a process exit."""
+        self._cancel_renewal()
         self.worker.die()
         self._server.stop()
         await self._server.close_all_connections()
         self._client.close()
 
-    def _end_renewing(self) -> None:
-        if self._renewing is not None:
-            self._renewing.cancel()
-            self._renewing = None
+    def _cancel_renewal(self) -> None:
+        if self._renewal is not None:
+            self._renewal.cancel()
+            self._renewal = None
 
-    async def _renew(self) -> None:
-        body = msgspec.json.encode(_announcement(self.announced))
+    async def _renew_announcement(self) -> None:
+        body = msgspec.json.encode(_make_announcement(self.announced))
         while not self.worker.faults.dead:
             try:
                 answer = await self._call('PUT', body)
-                pause = msgspec.json.decode(
+                delay = msgspec.json.decode(
                     answer, type=announce.Accepted
                 ).renew_seconds
             except (OSError, tornado.httpclient.HTTPError):
-                pause = RETRY_SECONDS
-            await asyncio.sleep(pause)
+                delay = RETRY_DELAY_SECONDS
+            await asyncio.sleep(delay)
 
     async def _call(self, method: str, body: bytes) -> bytes:
         response = await self._client.fetch(
@@ -290,19 +295,19 @@
             method=method,
             body=body,
             allow_nonstandard_methods=True,
-            request_timeout=ANNOUNCE_SECONDS,
+            request_timeout=ANNOUNCE_TIMEOUT_SECONDS,
         )
         return response.body
 
 
-def _announcement(said: upstream.Announced) -> announce.Announcement:
-    needs = said.capacity
+def _make_announcement(announced: upstream.Announced) -> announce.Announcement:
+    needs = announced.capacity
     return announce.Announcement(
-        said.session,
-        said.kinds,
-        said.slots,
-        said.url,
-        said.term,
+        announced.session,
+        announced.kinds,
+        announced.slots,
+        announced.url,
+        announced.term,
         announce.Capacity(needs.cpu, needs.memory_mb, needs.accelerators),
     )
 
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -53,7 +53,7 @@
         states = {(one.index, one.state.value) for one in events}
         assert states == {(0, 'finished'), (1, 'failed')}
         assert worker.starts == {('j', 0): 2, ('j', 1): 1}
-        assert worker.most_running == 3
+        assert worker.max_running == 3
 
     run(main)
 
