--- a/tests/test_bench_ideal.py
+++ b/tests/test_bench_ideal.py
@@ -10,20 +10,20 @@
 TWO_SLOTS = dataclasses.replace(ONE_SLOT, slots=2)
 
 
-def job(number, at, *seconds):
+def make_job(number, at, *seconds):
     tasks = tuple(bench_arrivals.TaskPlan('k', val, val) for val in seconds)
     return bench_arrivals.JobPlan(number, at, 'team', tasks)
 
 
-def test_response_is_the_end_of_the_last_task():
-    jobs = [job(0, 1.0, 2.0, 3.0), job(1, 2.0, 1.0)]
+def test_response_time_ends_with_the_last_task():
+    jobs = [make_job(0, 1.0, 2.0, 3.0), make_job(1, 2.0, 1.0)]
     assert bench_ideal.simulate(jobs, TWO_SLOTS).responses == {0: 3.0, 1: 2.0}
 
 
-def test_nothing_starts_in_a_zone_that_is_out_but_running_tasks_end():
+def test_no_task_starts_in_a_departed_zone_but_running_tasks_end():
     zone = ONE_SLOT.zone_of(0)
     closure = bench_ideal.Closure(zone, 1.0, 10.0)
-    jobs = [job(0, 0.5, 2.0), job(1, 1.5, 1.0)]
+    jobs = [make_job(0, 0.5, 2.0), make_job(1, 1.5, 1.0)]
     ideal = bench_ideal.simulate(jobs, ONE_SLOT, [closure])
     assert ideal.runs == ((0.5, 2.5), (10.0, 11.0))
     assert bench_ideal.work_between(ideal.runs, 1.0, 10.5) == 2.0
--- a/tests/test_bench_run.py
+++ b/tests/test_bench_run.py
@@ -7,9 +7,9 @@
 
 
 def test_a_whole_installation_answers_every_job_and_breaks_no_promise():
-    """Callers send jobs to real entries and agents over real sockets.
+    """Callers submit jobs to real entries and agents over real sockets.
 
-    Every caller gets a complete answer, and the upstreams count one start a
+    Every caller gets a complete answer, and the upstreams count one start per
     task.
     """
     lectores = bench_plan.DEPLOYMENTS['lectores']
--- a/tests/test_bench_truth.py
+++ b/tests/test_bench_truth.py
@@ -11,19 +11,19 @@
 COMPLETE = types.JobStatus.COMPLETE
 FAULTS = {
     'a second start': ({'duplicate_starts': 1}, COMPLETE, 'ff', (0, 1, 1)),
-    'a "not run" that ran': (
+    'a task "not run" that was started': (
         {'false_not_run': 1},
         types.JobStatus.FAILED,
         'fn',
         (0, 1),
     ),
-    'a whole "not run" that ran': (
+    'a job "not run" whose tasks were started': (
         {'false_not_run': 2},
         types.JobStatus.NOT_RUN,
         '',
         (0, 1),
     ),
-    'a part sold as whole': (
+    'a partial answer with status complete': (
         {'incomplete_answers': 1},
         COMPLETE,
         'f',
@@ -35,7 +35,12 @@
         'fn',
         (0,),
     ),
-    'an invented result': ({'wrong_answers': 1}, COMPLETE, 'ff', (0,)),
+    'a result of a task that was never started': (
+        {'wrong_answers': 1},
+        COMPLETE,
+        'ff',
+        (0,),
+    ),
     'no final answer': ({'lost': 1}, types.JobStatus.PENDING, '', (0, 1)),
 }
 
@@ -44,26 +49,28 @@
 def test_each_broken_promise_is_found_and_counted_once(
     name, bench_seen, bench_answer, bench_finished
 ):
-    """A run breaks one promise towards its caller.
+    """The upstreams' records contradict the caller's answer.
 
-    The upstream's count and the caller's answer don't fit together, and the
-    bench has to say which promise it was.
+    The bench has to count the contradiction under the guarantee that it
+    breaks, and only there.
     """
-    counts, status, told, starts = FAULTS[name]
+    counts, status, task_letters, starts = FAULTS[name]
     tasks = [
         bench_finished(place) if letter == 'f' else NOT_RUN
-        for place, letter in enumerate(told)
+        for place, letter in enumerate(task_letters)
     ]
-    found = bench_truth.judge(bench_seen(bench_answer(status, *tasks), starts))
-    assert found == dataclasses.replace(CLEAN, **counts)
+    violations = bench_truth.judge(
+        bench_seen(bench_answer(status, *tasks), starts)
+    )
+    assert violations == dataclasses.replace(CLEAN, **counts)
 
 
-def test_a_clean_answer_is_no_fault_but_the_same_under_another_key_is(
+def test_a_correct_answer_passes_but_not_under_another_key(
     bench_seen, bench_answer, bench_finished
 ):
-    """Two answers are crossed on their way.
+    """Two answers are swapped on their way to the callers.
 
-    The caller takes another's meeting date or quote for its own.
+    A caller would take another caller's meeting date or quote for its own.
     """
     tasks = bench_finished(0), bench_finished(1)
     own = bench_seen(bench_answer(COMPLETE, *tasks))
@@ -72,14 +79,14 @@
     assert bench_truth.judge(crossed).wrong_answers == 1
 
 
-def test_a_start_in_a_departed_zone_counts_from_the_fence_on(bench_seen):
-    """A zone is out from 0.4 s on, and a task starts there at 0.5 s.
+def test_a_start_in_a_zone_counts_once_its_departure_is_in_force(bench_seen):
+    """A task starts at 0.5 s in a zone whose departure is in force at 0.4 s.
 
-    The operator believes the zone empty and switches it off: the task dies.
+    An operator who switches off the departed zone would kill the task.
     """
-    gone = bench_evidence.Departure('talca', 0.1, 0.2, 0.4, 9.0)
-    late = bench_seen(None, departures=(gone,))
-    assert bench_truth.judge(late).starts_after_fence == 2
-    gone = dataclasses.replace(gone, in_force=0.6)
-    kept = bench_seen(None, departures=(gone,))
-    assert bench_truth.judge(kept).starts_after_fence == 0
+    departure = bench_evidence.Departure('talca', 0.1, 0.2, 0.4, 9.0)
+    late_starts = bench_seen(None, departures=(departure,))
+    assert bench_truth.judge(late_starts).starts_after_fence == 2
+    departure = dataclasses.replace(departure, in_force=0.6)
+    earlier_starts = bench_seen(None, departures=(departure,))
+    assert bench_truth.judge(earlier_starts).starts_after_fence == 0
--- a/tests/test_bench_upstream.py
+++ b/tests/test_bench_upstream.py
@@ -11,7 +11,7 @@
 KEY = '01900000-0000-7000-8000-000000000000'
 
 
-def test_a_worker_writes_down_each_start_and_answers_with_the_tasks_key(
+def test_a_worker_records_each_start_and_answers_with_the_tasks_key(
     clock,
 ):
     async def main():
@@ -40,22 +40,22 @@
     assert answers == [(types.TaskState.FINISHED, body)]
 
 
-def test_answers_and_problems_are_read_as_the_caller_is_told():
-    found = bench_callers.read_answer(
+def test_answers_and_problem_documents_are_parsed():
+    answer = bench_callers.read_answer(
         b'{"job":"k","run":"failed","tasks":[{"id":"t0","outcome":"unknown"},'
         b'{"id":"t1","outcome":"finished","body":{"a": 1}}]}',
         502,
         'k',
     )
-    assert found.status is types.JobStatus.FAILED
-    assert [task.outcome for task in found.tasks] == ['unknown', 'finished']
-    assert found.tasks[1].body == b'{"a": 1}'
-    refused = b'{"status":503,"run":"not_run","code":"overload"}'
-    assert bench_callers.read_answer(refused, 503, 'k').key == 'k'
+    assert answer.status is types.JobStatus.FAILED
+    assert [task.outcome for task in answer.tasks] == ['unknown', 'finished']
+    assert answer.tasks[1].body == b'{"a": 1}'
+    refusal = b'{"status":503,"run":"not_run","code":"overload"}'
+    assert bench_callers.read_answer(refusal, 503, 'k').key == 'k'
     assert bench_callers.read_answer(b'<html>', 502, 'k') is None
 
 
-def test_a_jobs_body_carries_each_tasks_run_time():
+def test_a_jobs_body_contains_each_tasks_run_time():
     tasks = (bench_arrivals.TaskPlan('short', 0.25, 0.5),)
     body = bench_callers.encode_job(bench_arrivals.JobPlan(0, 0.0, 't', tasks))
     assert b'"payload":{"seconds":0.25,"fail":false}' in body
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture
-def found():
+def measurement():
     return slopes.Slopes(
         tuple(
             slopes.fit(
@@ -28,24 +28,24 @@
     )
 
 
-def test_plan_sizes_follow_from_the_lines(found):
-    plan = capacity.Plan.from_slopes(found)
+def test_plan_sizes_follow_from_the_lines(measurement):
+    plan = capacity.Plan.from_slopes(measurement)
     assert plan.cpu_per_task == pytest.approx(100e-6 + 400e-6 / 130)
     assert plan.entries == 76
     assert plan.agents_per_entry == 32
     assert plan.entries_per_agent == pytest.approx(76 * 32 / 9100)
 
 
-def test_only_the_tables_between_markers_are_made_anew(found):
+def test_only_the_tables_between_markers_are_regenerated(measurement):
     page = 'a\n<!-- table: control -->\nold\n<!-- end -->\nb\n'
-    made = capacity.update(page, found)
-    assert made.startswith('a\n<!-- table: control -->\n| role |')
-    assert made.endswith('|\n<!-- end -->\nb\n')
-    assert 'old' not in made and 'not measured' in made
-    assert capacity.update(made, found) == made
+    updated = capacity.update(page, measurement)
+    assert updated.startswith('a\n<!-- table: control -->\n| role |')
+    assert updated.endswith('|\n<!-- end -->\nb\n')
+    assert 'old' not in updated and 'not measured' in updated
+    assert capacity.update(updated, measurement) == updated
 
 
-def test_the_page_says_what_the_measurement_beside_it_says():
+def test_the_pages_tables_match_the_measurement():
     page = (DOCS / 'CAPACITY.md').read_text(encoding='utf-8')
-    measured = slopes.load(DOCS / 'slopes.json')
-    assert capacity.update(page, measured) == page
+    measurement = slopes.load(DOCS / 'slopes.json')
+    assert capacity.update(page, measurement) == page
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -9,7 +9,7 @@
 LINE_SPEC = slopes.LineSpec('bytes', 'agents', 'B/s', 'wire')
 
 
-def test_a_straight_line_is_found_again_with_no_residual(tmp_path):
+def test_fitting_a_straight_line_leaves_no_residual(tmp_path):
     line = slopes.fit(LINE_SPEC, [(1, 5.0), (2, 7.0), (4, 11.0), (8, 19.0)])
     assert (line.slope, line.intercept) == pytest.approx((2.0, 3.0))
     assert line.residual == pytest.approx(0.0, abs=1e-12)
@@ -20,7 +20,7 @@
     assert slopes.load(path).line('bytes') == line
 
 
-def test_three_points_are_too_few_for_a_line():
+def test_three_sizes_are_too_few_for_a_line():
     with pytest.raises(exceptions.BadSettings):
         slopes.fit(LINE_SPEC, [(1, 5.0), (2, 7.0), (4, 11.0), (4, 12.0)])
 
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -10,14 +10,14 @@
     return asyncio.run(main())
 
 
-def effect(index=0, payload=b'{"seconds": 0.001}'):
+def make_run_task(index=0, payload=b'{"seconds": 0.001}'):
     return upstream.RunTask(
         'j', index, 1, 'k', payload, types.Needs(), 0.0, '', 's'
     )
 
 
 class Events(list):
-    """Events fed, and a way to wait for the next ones."""
+    """Received events, with a method to wait for further ones."""
 
     def __init__(self):
         super().__init__()
@@ -35,20 +35,20 @@
         return self
 
 
-def local(events, **faults):
+def make_local_upstream(events, **faults):
     worker = standin_upstream.StandIn(standin_upstream.Faults(**faults))
     return worker, standin_upstream.LocalUpstream(
         worker, events.feed, agents.announced()
     )
 
 
-def test_it_runs_tasks_counts_starts_and_fails_when_told():
+def test_it_runs_tasks_counts_starts_and_fails_on_request():
     async def main():
         events = Events()
-        worker, found = local(events)
-        found.run(effect(0))
-        found.run(effect(0))
-        found.run(effect(1, b'{"fail": true}'))
+        worker, local_upstream = make_local_upstream(events)
+        local_upstream.run(make_run_task(0))
+        local_upstream.run(make_run_task(0))
+        local_upstream.run(make_run_task(1, b'{"fail": true}'))
         await events.until(3)
         states = {(one.index, one.state.value) for one in events}
         assert states == {(0, 'finished'), (1, 'failed')}
@@ -58,17 +58,17 @@
     run(main)
 
 
-def test_it_stops_a_task_unless_it_ignores_that():
+def test_it_stops_a_task_unless_it_ignores_stops():
     async def main():
         events = Events()
-        worker, found = local(events)
+        worker, local_upstream = make_local_upstream(events)
         stop = upstream.StopTask('j', 0, upstream.Action.STOP, '')
-        found.run(effect(0, b'{"seconds": 600}'))
+        local_upstream.run(make_run_task(0, b'{"seconds": 600}'))
         worker.faults.ignores_stop = True
-        found.stop(stop)
+        local_upstream.stop(stop)
         assert worker.running == 1
         worker.faults.ignores_stop = False
-        found.stop(stop)
+        local_upstream.stop(stop)
         assert [(one.state.value, one.reason) for one in events] == [
             ('failed', 'stopped')
         ]
@@ -76,17 +76,17 @@
     run(main)
 
 
-def test_a_dead_worker_ends_nothing_and_renews_nothing():
+def test_a_dead_worker_neither_ends_tasks_nor_renews():
     async def main():
         events = Events()
-        worker, found = local(events)
-        found.begin()
-        found.run(effect(0))
+        worker, local_upstream = make_local_upstream(events)
+        local_upstream.begin()
+        local_upstream.run(make_run_task(0))
         worker.die()
-        found.run(effect(1))
+        local_upstream.run(make_run_task(1))
         await asyncio.sleep(0.01)
         assert list(events) == [agents.announced()]
         assert worker.starts == {('j', 0): 1}
-        found.end()
+        local_upstream.end()
 
     run(main)
