--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass
-class ConnectionErrors:
+class RequestErrors:
     """Numbers of requests that ended without an answer, by error."""
 
     by_error: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -84,7 +84,7 @@
         self.keys: dict[int, str] = {}
         self.open: dict[int, str] = {}
         self.cancelled: set[int] = set()
-        self.connection_errors = ConnectionErrors()
+        self.request_errors = RequestErrors()
         self._balancer = balancer
         self._book = book
         self._latency = latency
@@ -190,10 +190,10 @@
             return await self._http.fetch(req, raise_error=False)
         except ConnectionRefusedError as exc:
             # The balancer's state was stale; no request was in progress.
-            self.connection_errors.add(f'refused {type(exc).__name__}')
+            self.request_errors.add(f'refused {type(exc).__name__}')
             return None
         except (OSError, tornado.httpclient.HTTPError) as exc:
-            self.connection_errors.add(type(exc).__name__)
+            self.request_errors.add(type(exc).__name__)
             return None
 
 
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -164,7 +164,7 @@
 ) -> Figures:
     """Return the figures that are measured by the bench itself."""
     figures: Figures = {
-        'cut_requests': sum(callers.connection_errors.by_error.values()),
+        'cut_requests': sum(callers.request_errors.by_error.values()),
         'store_reads': installation.table.counts.reads,
         'store_writes': installation.table.counts.writes,
         'failed_steps': len(player.step_errors),
--- a/src/agatepick/bench/bench_truth.py
+++ b/src/agatepick/bench/bench_truth.py
@@ -167,7 +167,10 @@
     reply: bench_evidence.Reply,
     starts: collections.abc.Mapping[tuple[str, str], int],
 ) -> bool:
-    """Return whether an answer is another job's, or reports no real run."""
+    """Return whether an answer is another job's or reports a false result.
+
+    A result is false if its task was never started or has another body.
+    """
     answer = reply.answer
     if answer is None:
         return False
