--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -163,7 +163,7 @@
             case messages.Settle():
                 return self._on_settle(entry, message, now)
             case messages.Ask():
-                self._slots.want(entry.owner, message.want)
+                self._slots.set_demand(entry.owner, message.want)
                 return []
             case messages.StopJob():
                 return self._on_stop_job(entry, message, now)
@@ -196,7 +196,7 @@
     def _on_pong(
         self, entry: entries.Entry, message: messages.Pong, now: float
     ) -> list[object]:
-        sample = clocks.offset(
+        sample = clocks.compute_offset(
             message.sent, message.received, message.replied, now
         )
         entry.clock.add(sample)
@@ -238,27 +238,27 @@
             return [core.note('not_its_owner', peer=entry.owner.name)]
         effects: list[object] = []
         for task in message.tasks:
-            report = self._answer(message.agent_incarnation, task, now)
+            report = self._find_report(message.agent_incarnation, task, now)
             if report is None:
                 reason = self._find_refusal(entry, message, task, now)
                 if not reason:
                     self._ledger.start(task, owner, now)
-                    self._slots.take(owner)
+                    self._slots.acquire(owner)
                     effects.append(self._running.start(task, owner))
                     continue
                 report = self._ledger.refuse(task, owner, reason, now)
             self._reporting.report_now(owner, report)
-        self._slots.want(owner, message.waiting)
+        self._slots.set_demand(owner, message.waiting)
         return effects
 
-    def _answer(
+    def _find_report(
         self,
         incarnation: int,
         ref: messages.StartTask | messages.TaskRef,
         now: float,
     ) -> messages.TaskReport | None:
         if incarnation == self._incarnation:
-            return self._ledger.known(ref, now)
+            return self._ledger.find_report(ref, now)
         # A copy of the message may have reached the incarnation that it
         # names, so "not run" could be false.
         return messages.TaskReport(
@@ -314,7 +314,7 @@
     ) -> list[object]:
         self._reporting.clear_undelivered(entry.owner)
         for ref in message.tasks:
-            report = self._answer(message.agent_incarnation, ref, now)
+            report = self._find_report(message.agent_incarnation, ref, now)
             if report is None:
                 report = self._ledger.refuse(
                     ref, entry.owner, REASON_SETTLED, now
--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -74,7 +74,7 @@
     renew_seconds: float
 
 
-def server(
+def build_server(
     feed: Feed, cfg: settings.Upstreams
 ) -> tornado.httpserver.HTTPServer:
     """Return an HTTP server that feeds announcements to an agent."""
@@ -116,11 +116,11 @@
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
         exc = kwargs.get('exc_info', (None, None, None))[1]
-        detail, field = web.title_of(status_code), ''
+        detail, field = web.get_status_phrase(status_code), ''
         if isinstance(exc, _Faulty):
             status_code, detail, field = exc.status, str(exc), exc.field
         problem = web.Problem(
-            title=web.title_of(status_code),
+            title=web.get_status_phrase(status_code),
             status=status_code,
             detail=detail,
             code='bad_request' if status_code < 500 else 'error',
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -97,7 +97,7 @@
     def __len__(self) -> int:
         return self._tasks
 
-    def known(
+    def find_report(
         self, ref: messages.TaskRef | messages.StartTask, now: float
     ) -> messages.TaskReport | None:
         """Return the report for a recorded or invalid attempt.
@@ -127,7 +127,7 @@
         owner: Owner,
         now: float,
     ) -> None:
-        """Record the start of an attempt that :meth:`known` allowed."""
+        """Record the start of an attempt that :meth:`find_report` allowed."""
         job = self._touch(start.job, owner, now)
         task = _Task(start.attempt, types.TaskState.RUNNING)
         task.digest = task_digest(start.team, start.kind, start.payload)
@@ -141,7 +141,7 @@
         reason: str,
         now: float,
     ) -> messages.TaskReport:
-        """Permanently refuse an attempt that :meth:`known` allowed.
+        """Permanently refuse an attempt that :meth:`find_report` allowed.
 
         At twice the record limit, refusals aren't stored either.  The report
         is then "lost", which stays correct even if a copy of the message
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -90,7 +90,7 @@
         if owner is None:
             return
         self._queue_report(owner, report)
-        if not self._slots.runs(owner):
+        if not self._slots.has_running(owner):
             self._outbox.make_due(owner)
 
     def report_lost(
@@ -120,7 +120,7 @@
         A changed lease is sent together with queued reports if there are any,
         otherwise in an ``Offer``.
         """
-        changed = set(self._slots.revise())
+        changed = set(self._slots.rebalance())
         for owner in changed:
             self._outbox.make_due(owner)
         effects: list[object] = []
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -63,7 +63,7 @@
         lease = self._leases.get(entry)
         return lease.credits if lease is not None else 0
 
-    def runs(self, entry: ledger.Owner) -> bool:
+    def has_running(self, entry: ledger.Owner) -> bool:
         """Return whether any task of an entry holds a slot."""
         lease = self._leases.get(entry)
         if lease is not None:
@@ -90,13 +90,13 @@
             if lease.running:
                 self._unleased_running[entry] = lease.running
 
-    def want(self, entry: ledger.Owner, waiting: int) -> None:
+    def set_demand(self, entry: ledger.Owner, waiting: int) -> None:
         """Set the number of tasks that an entry can't place."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.waiting = waiting
 
-    def take(self, entry: ledger.Owner) -> None:
+    def acquire(self, entry: ledger.Owner) -> None:
         """Acquire a slot for a task of an entry."""
         lease = self._leases.get(entry)
         if lease is not None:
@@ -116,7 +116,7 @@
         if not self._unleased_running[entry]:
             del self._unleased_running[entry]
 
-    def revise(self) -> list[ledger.Owner]:
+    def rebalance(self) -> list[ledger.Owner]:
         """Recompute the leases if they are out of date or demand isn't met.
 
         :returns: the entries whose credits changed.
--- a/src/agatepick/api/callers.py
+++ b/src/agatepick/api/callers.py
@@ -149,7 +149,7 @@
             return
         self.send_problem(
             web.Problem(
-                title=web.title_of(status),
+                title=web.get_status_phrase(status),
                 status=status,
                 detail=answer.reason or answer.code,
                 run=answer.status.value,
@@ -189,7 +189,7 @@
             self.front.clock.now(),
         )
         now = self.front.clock.now()
-        job = job_bodies.job_spec(
+        job = job_bodies.parse_job(
             body, key, team, now, self.front.limits.max_tasks
         )
         hold_seconds = self._get_hold_seconds()
--- a/src/agatepick/api/job_bodies.py
+++ b/src/agatepick/api/job_bodies.py
@@ -81,7 +81,7 @@
     detail: str = ''
 
 
-def job_spec(
+def parse_job(
     body: bytes, key: str, team: str | None, now: float, max_tasks: int
 ) -> types.JobSpec:
     """Return the job described by a request body.
--- a/src/agatepick/api/operators.py
+++ b/src/agatepick/api/operators.py
@@ -365,7 +365,7 @@
         detail = f'{detail}: {proposed.reason}'
     retry = UNAVAILABLE_RETRY_SECONDS if status == 503 else 0.0
     return web.Problem(
-        title=web.title_of(status),
+        title=web.get_status_phrase(status),
         status=status,
         detail=detail,
         code=proposed.verdict,
--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -106,7 +106,7 @@
     ):
         super().__init__(detail)
         self.problem = Problem(
-            title=title_of(status),
+            title=get_status_phrase(status),
             status=status,
             detail=detail,
             run=run,
@@ -118,7 +118,7 @@
         self.headers = headers or {}
 
 
-def title_of(status: int) -> str:
+def get_status_phrase(status: int) -> str:
     """Return the standard reason phrase of an HTTP status."""
     return http.HTTPStatus(status).phrase
 
@@ -231,7 +231,7 @@
         if isinstance(exc, exceptions.TooManyCalls):
             self.send_problem(
                 Problem(
-                    title=title_of(503),
+                    title=get_status_phrase(503),
                     status=503,
                     detail=exc.message,
                     run=self.get_run_before_submission(),
@@ -270,12 +270,12 @@
         run = self.run_if_rejected
         if status >= 500 and run:
             run = types.JobStatus.PENDING.value
-        detail = title_of(status)
+        detail = get_status_phrase(status)
         step = peer = ''
         if isinstance(exc, exceptions.AgatepickError):
             detail, step, peer = exc.message, exc.step, exc.peer
         return Problem(
-            title=title_of(status),
+            title=get_status_phrase(status),
             status=status,
             detail=detail,
             run=run,
--- a/src/agatepick/bench/bench_ledger.py
+++ b/src/agatepick/bench/bench_ledger.py
@@ -62,7 +62,7 @@
     book: ledger.Ledger, tasks: list[messages.StartTask], answer: bytes
 ) -> None:
     for task in tasks:
-        book.known(task, START)
+        book.find_report(task, START)
         book.start(task, OWNER, START)
         # A copy each: no two answers share their bytes in a real agent.
         body = bytes(bytearray(answer))
--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -30,8 +30,8 @@
 
 REQUEST_TIMEOUT_SECONDS = 10.0
 MIN_TIMEOUT_SECONDS = 0.001
-RETRY_PAUSES = backoff.Pauses(first=0.1, most=2.0)
-"""Upper bounds of the random pauses between attempts."""
+RETRY_DELAYS = backoff.BackoffDelays(first=0.1, most=2.0)
+"""Upper bounds of the random delays between attempts."""
 CONNECT_TIMEOUT_SECONDS = 2.0
 PERMANENT_HTTP_STATUSES = (401, 403, 404)
 """Statuses that a retry with the same key and token would get again."""
@@ -122,7 +122,7 @@
     :param entries: URLs, such as ``http://127.0.0.1:8080``.
     :param token: bearer token of the team; empty sends none.
     :param tls: trusted certificates for ``https`` entries.
-    :param rng: random source of the jitter of pauses.
+    :param rng: random source of the jitter of delays.
     """
 
     def __init__(
@@ -232,9 +232,11 @@
         """Return the seconds until the next attempt.
 
         Callers that were rejected together would otherwise retry together
-        and be rejected again; full jitter spreads them over the pause.
+        and be rejected again; full jitter spreads them over the delay.
         """
-        return min_seconds + self._rng.uniform(0, RETRY_PAUSES.after(tries))
+        return min_seconds + self._rng.uniform(
+            0, RETRY_DELAYS.get_delay(tries)
+        )
 
 
 def new_key() -> str:
--- a/src/agatepick/cmd/commands.py
+++ b/src/agatepick/cmd/commands.py
@@ -94,7 +94,7 @@
     def _context(self, url: str) -> typing.Any:
         if not url.startswith('https://'):
             return None
-        return tls.caller_context(self.authority)
+        return tls.make_caller_context(self.authority)
 
 
 async def submit(site: Site, file: str, key: str) -> Output:
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -209,7 +209,7 @@
     def _cut_connections(self, entry: bench_cluster.EntrySite) -> None:
         peers = entry.process.links.connected()
         for peer in peers:
-            entry.process.links.cut(peer)
+            entry.process.links.disconnect(peer)
         self._print_event(
             f'{entry.process.name}: {len(peers)} connections cut'
         )
--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -29,7 +29,9 @@
 
         :param now: when the pong arrived, by the local clock.
         """
-        sample = clocks.offset(pong.sent, pong.received, pong.replied, now)
+        sample = clocks.compute_offset(
+            pong.sent, pong.received, pong.replied, now
+        )
         estimate = self._peers.setdefault(peer, clocks.OffsetEstimate())
         estimate.add(sample)
         self._sampled_at[peer] = now
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -116,12 +116,12 @@
         return self._known.latest
 
     @property
-    def left(self) -> bool:
+    def may_exit(self) -> bool:
         """Return whether a stopping entry may exit.
 
         It may once it is delisted in force, or its time to leave is over.
         """
-        return self._listing.left
+        return self._listing.may_exit
 
     def in_force(self, now: float) -> cluster.ClusterConfig:
         """Return the document in force at ``now``."""
@@ -270,7 +270,7 @@
         if self._is_due('listing', self._cfg.listing, now):
             effects += self._maintain_entries(now)
         effects += self._advance(now)
-        self._listing.update_left(now)
+        self._listing.update_may_exit(now)
         return [*effects, core.WakeAt(min(self._due_at.values()))]
 
     def propose(
@@ -292,7 +292,9 @@
         return self._advance(now)
 
     def leave(self, stopped_at: float, now: float) -> list[object]:
-        """Start to delist this entry for a graceful stop; see :attr:`left`.
+        """Start to delist this entry for a graceful stop.
+
+        Once that is done, :attr:`may_exit` is true.
 
         :param stopped_at: instant since which this entry admits no jobs.
         """
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -38,7 +38,7 @@
         self._leave_seconds = leave
         self._leave_deadline = math.inf
         self._stopped_at = 0.0
-        self.left = False
+        self.may_exit = False
         """Whether this stopping entry is delisted in force or out of time."""
 
     @property
@@ -55,15 +55,17 @@
         self._leave_deadline = min(
             self._leave_deadline, now + self._leave_seconds
         )
-        self.update_left(now)
+        self.update_may_exit(now)
         self._delist()
 
-    def update_left(self, now: float) -> None:
-        """Update :attr:`left`."""
+    def update_may_exit(self, now: float) -> None:
+        """Update :attr:`may_exit`."""
         if self._leave_deadline == math.inf:
             return
         listed = self.listed or self._known.in_force(now).lists(self._me)
-        self.left = self.left or not listed or now >= self._leave_deadline
+        self.may_exit = (
+            self.may_exit or not listed or now >= self._leave_deadline
+        )
 
     def maintain(self) -> list[object]:
         """Request this entry's listing, or its removal if it is stopping."""
@@ -112,7 +114,7 @@
         return [core.Send(peer, messages.Intent(version, data))]
 
     def _delist(self) -> None:
-        if self.listed and not self.left:
+        if self.listed and not self.may_exit:
             self._submit(
                 cluster.EntryRemoved(
                     self._me.name, self._me.incarnation, self._stopped_at
--- a/src/agatepick/decisions/backoff.py
+++ b/src/agatepick/decisions/backoff.py
@@ -1,7 +1,7 @@
 """Exponential backoff between attempts at an operation that fails.
 
 Load pattern: a peer refuses connections, resets them or answers with an
-error at once.  Without a pause the client would retry thousands of times a
+error at once.  Without a delay the client would retry thousands of times a
 second: each attempt opens a connection, and the client's process does
 nothing else meanwhile.
 """
@@ -10,34 +10,34 @@
 import random
 
 GROWTH = 2.0
-"""Factor from one pause to the next."""
+"""Factor from one delay to the next."""
 
 MIN_JITTER_FACTOR = 0.5
-"""Lower bound of the random factor by which a pause is shortened."""
+"""Lower bound of the random factor by which a delay is shortened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pauses:
-    """The bounds of the pauses after consecutive failures, in seconds.
+class BackoffDelays:
+    """The bounds of the delays after consecutive failures, in seconds.
 
-    :param first: pause after the first failure.
-    :param most: longest pause.
+    :param first: delay after the first failure.
+    :param most: longest delay.
     """
 
     first: float
     most: float
 
-    def after(self, failures: int) -> float:
-        """Return the pause after a number of consecutive failures.
+    def get_delay(self, failures: int) -> float:
+        """Return the delay after a number of consecutive failures.
 
         :param failures: number of failures, at least 1.
         """
-        pause = self.first
+        delay = self.first
         for _ in range(failures - 1):
-            pause *= GROWTH
-            if pause >= self.most:
+            delay *= GROWTH
+            if delay >= self.most:
                 break
-        return min(pause, self.most)
+        return min(delay, self.most)
 
 
 class Backoff:
@@ -48,20 +48,20 @@
     """
 
     def __init__(
-        self, pauses: Pauses, rng: random.Random | None = None
+        self, delays: BackoffDelays, rng: random.Random | None = None
     ) -> None:
-        self._pauses = pauses
+        self._delays = delays
         self._rng = rng
         self._failures = 0
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """Record a failure and return the seconds until the next attempt."""
         self._failures += 1
-        pause = self._pauses.after(self._failures)
+        delay = self._delays.get_delay(self._failures)
         if self._rng is None:
-            return pause
-        return pause * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
+            return delay
+        return delay * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Reset the count of consecutive failures."""
         self._failures = 0
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -5,12 +5,12 @@
 wait here and are bound to a slot only when one is free (late binding), so
 that a straggler or a wrong estimate holds up one slot, not a queue behind it.
 
-Load pattern of :meth:`Dispatch.asks`: work arrives at an entry whose share
-of the slots went to other entries while it was idle.  Agents learn an
-entry's demand from start messages, so an entry sends requests only to agents
-with which it has exchanged no message for :data:`ASK_SECONDS`.  Without
-these requests it would wait for ever; more frequent ones would make up more
-than 2% of all messages.
+Load pattern of :meth:`Dispatch.get_slot_requests`: work arrives at an entry
+whose share of the slots went to other entries while it was idle.  Agents
+learn an entry's demand from start messages, so an entry sends requests only
+to agents with which it has exchanged no message for :data:`ASK_SECONDS`.
+Without these requests it would wait for ever; more frequent ones would make
+up more than 2% of all messages.
 """
 
 import collections
@@ -136,17 +136,17 @@
         self._queue.urgent_run = preset.urgent_run
         self._budget.use_preset(preset)
 
-    def agent_offers(
+    def apply_offer(
         self, info: AgentInfo, offer: messages.Offer, now: float
     ) -> None:
         """Apply an agent's offer: its upstream and the slots leased here."""
         self._workers.apply_offer(info, offer, now)
 
-    def agent_credits(self, agent: str, credits: int, now: float) -> None:
+    def set_credits(self, agent: str, credits: int, now: float) -> None:
         """Set the number of slots leased here, filled ones included."""
         self._workers.set_credits(agent, credits, now)
 
-    def agent_gone(self, agent: str) -> None:
+    def mark_disconnected(self, agent: str) -> None:
         """Stop placing tasks at an agent until its next offer."""
         self._workers.mark_disconnected(agent)
 
@@ -187,7 +187,9 @@
         heapq.heappush(self._deadlines, entry)
         self._prune_deadlines()
 
-    def requeue(self, task: Pending, refused_by: str, now: float) -> bool:
+    def schedule_retry(
+        self, task: Pending, refused_by: str, now: float
+    ) -> bool:
         """Schedule a retry of a refused task.
 
         :returns: ``False`` if the retry budget or the deadline forbids it.
@@ -238,7 +240,7 @@
             self._workers.running, self._workers.slots, now
         )
         self._blocked.clear()
-        if not self.waiting():
+        if not self.count_waiting():
             self._demand.record_placement(now)
             return []
         chosen: dict[str, list[Pending]] = {}
@@ -251,7 +253,7 @@
             self._make_placement(name, chosen[name], now) for name in chosen
         ]
 
-    def ended(
+    def record_outcome(
         self,
         agent: str,
         job: types.JobSpec,
@@ -269,20 +271,20 @@
             self._run_times.observe(job.tasks[index], seconds)
             self._demand.record_run_time(seconds)
         self._release_needs(agent, job, index)
-        self.refused(agent, job.team, now)
+        self.release_slot(agent, job.team, now)
         if self._outliers.record(agent, ok, now):
             self._workers.update_limit(agent)
             self._note_standing(agent)
 
-    def refused(self, agent: str, team: str, now: float) -> None:
+    def release_slot(self, agent: str, team: str, now: float) -> None:
         """Free the slot of a task that the agent refused to start."""
         self._workers.free_slot(agent)
         if self.quotas.has_quota(team):
             self.quotas.remove_running(team)
 
-    def asks(self, now: float) -> list[tuple[str, int]]:
+    def get_slot_requests(self, now: float) -> list[tuple[str, int]]:
         """Return the agents to request slots from, each with the demand."""
-        want = self.demand(now)
+        want = self.compute_demand(now)
         if not self._blocked or not want:
             return []
         names = self._workers.select_agents_to_ask(
@@ -290,13 +292,15 @@
         )
         return [(name, want) for name in names]
 
-    def waiting(self) -> int:
+    def count_waiting(self) -> int:
         """Return the number of queued tasks, retries included."""
         return len(self._queue) + len(self._retries)
 
-    def demand(self, now: float) -> int:
+    def compute_demand(self, now: float) -> int:
         """Return the number of waiting tasks to request slots for."""
-        return self._demand.compute(self.waiting(), self._workers.running, now)
+        return self._demand.compute(
+            self.count_waiting(), self._workers.running, now
+        )
 
     def next_wake(self, now: float) -> float | None:
         """Return the next instant at which state changes without an event."""
@@ -310,7 +314,7 @@
         if self._blocked:
             wakes.append(now + ASK_SECONDS)
         trial = self._outliers.next_wake()
-        if trial is not None and self.waiting():
+        if trial is not None and self.count_waiting():
             # Only a round of placements starts a trial, and none takes place
             # without a lease: an instant in the past would wake the entry
             # again at once.
@@ -330,7 +334,7 @@
             medians=self._run_times.medians(),
         )
 
-    def take_notes(self) -> list[core.Note]:
+    def pop_notes(self) -> list[core.Note]:
         """Return the timeline notes recorded since the last call."""
         notes, self._notes = self._notes, []
         return notes
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -296,7 +296,7 @@
         state = self._get_team(team)
         state.running = max(0, state.running - 1)
 
-    def waiting(self, counts: typing.Mapping[str, int]) -> None:
+    def set_waiting(self, counts: typing.Mapping[str, int]) -> None:
         """Set the number of waiting tasks, by team.
 
         A team's want is the sum of its waiting and running tasks.
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -24,8 +24,8 @@
 
 BASE_SECONDS = 0.01
 MAX_SECONDS = 0.5
-RETRY_PAUSES = backoff.Pauses(first=BASE_SECONDS, most=MAX_SECONDS)
-"""Upper bounds of the random pauses before the retries of one task."""
+RETRY_DELAYS = backoff.BackoffDelays(first=BASE_SECONDS, most=MAX_SECONDS)
+"""Upper bounds of the random delays before the retries of one task."""
 
 
 class RetryBudget:
@@ -47,7 +47,7 @@
         self._tokens = min(tokens, self._preset.retry_burst)
 
     def delay(self, attempt: int, left: float) -> float | None:
-        """Spend a token on a retry and return the pause before it.
+        """Spend a token on a retry and return the delay before it.
 
         :param attempt: number of the refused attempt, from 0.
         :param left: seconds until the deadline.
@@ -55,7 +55,7 @@
         """
         if self._tokens < 1.0:
             return None
-        pause = self._rng.uniform(0.0, RETRY_PAUSES.after(attempt + 1))
+        pause = self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempt + 1))
         if pause >= left:
             return None
         self._tokens -= 1.0
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -21,7 +21,7 @@
 STEPS = 8
 
 
-def share(zone: cluster.Zone | None, now: float) -> float:
+def get_share(zone: cluster.Zone | None, now: float) -> float:
     """Return the part of a zone's slots that may be filled, 0 to 1.
 
     :param zone: its state in the configuration in force; ``None`` if it was
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -57,7 +57,7 @@
 UNKNOWN = Offset(0.0, math.inf)
 
 
-def offset(
+def compute_offset(
     sent: float, received: float, replied: float, arrived: float
 ) -> Offset:
     """Return the offset of a peer's clock, derived from four instants.
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -53,7 +53,7 @@
 
 A longer round trip makes the error bound too wide.
 """
-REDIAL_PAUSES = backoff.Pauses(first=0.075, most=1.5)
+REDIAL_DELAYS = backoff.BackoffDelays(first=0.075, most=1.5)
 REDIAL_RESET_SECONDS = 1.0
 """Duration after which a connection resets the delay between dials.
 
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class LinkTimeouts:
     """Intervals and timeouts of the connections, in seconds.
 
     :param heartbeat: interval between checks of all connections.
@@ -82,7 +82,7 @@
     dial: float = HELLO_TIMEOUT_SECONDS
 
 
-class Delay(typing.Protocol):
+class LatencyModel(typing.Protocol):
     """Interface of additional one-way latency to peers, for the bench."""
 
     def seconds(self, peer: types.PeerName) -> float:
@@ -90,7 +90,7 @@
         ...
 
 
-class Stamps(typing.Protocol):
+class LogicalClock(typing.Protocol):
     """Interface of the logical clock of the timeline.
 
     Its stamps on messages order causes before their effects.
@@ -146,7 +146,7 @@
         traffic: Traffic,
         buffer: bytearray,
         on_made: typing.Callable[['Connection'], None],
-        stamps: Stamps | None = None,
+        stamps: LogicalClock | None = None,
     ):
         super().__init__(buffer)
         self.hello: messages.Hello | None = None
@@ -332,9 +332,9 @@
         rng: random.Random,
         server_tls: ssl.SSLContext | None = None,
         client_tls: ssl.SSLContext | None = None,
-        delay: Delay | None = None,
-        stamps: Stamps | None = None,
-        pace: Pace = Pace(),
+        delay: LatencyModel | None = None,
+        stamps: LogicalClock | None = None,
+        pace: LinkTimeouts = LinkTimeouts(),
     ):
         self.traffic = Traffic()
         self._hello = hello
@@ -412,7 +412,7 @@
         if conn is not None:
             conn.close()
 
-    def cut(self, peer: types.PeerName) -> None:
+    def disconnect(self, peer: types.PeerName) -> None:
         """Close the connection to a peer, which may be opened again."""
         conn = self._peers.get(peer)
         if conn is not None:
@@ -511,14 +511,14 @@
         self._feed(core.Received(peer, message))
 
     async def _maintain(self, peer: types.PeerName, address: str) -> None:
-        redial = backoff.Backoff(REDIAL_PAUSES, self._rng)
+        redial = backoff.Backoff(REDIAL_DELAYS, self._rng)
         while True:
             began_at = self._clock.now()
             await self._wait_until_lost(peer)
             served = await self._dial_once(peer, address)
             if served and self._clock.now() >= began_at + REDIAL_RESET_SECONDS:
-                redial.succeeded()
-            await asyncio.sleep(redial.failed())
+                redial.reset()
+            await asyncio.sleep(redial.record_failure())
 
     async def _dial_once(self, peer: types.PeerName, address: str) -> bool:
         """Dial a peer and serve the connection until it is lost.
--- a/src/agatepick/net/tls.py
+++ b/src/agatepick/net/tls.py
@@ -85,7 +85,7 @@
                 _load_authority(context, cfg.peer_authority)
 
 
-def caller_context(authority: str = '') -> ssl.SSLContext:
+def make_caller_context(authority: str = '') -> ssl.SSLContext:
     """Return the context of a client of the HTTP API.
 
     :param authority: PEM file of the trusted authority; empty for the
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -31,7 +31,7 @@
         """Remove a disconnected agent and start its reconnect timeout."""
         del self.connected[name]
         self._offers.pop(name, None)
-        self._dispatch.agent_gone(name)
+        self._dispatch.mark_disconnected(name)
         self._reconnect_deadlines[name] = now + self._reconnect_timeout
 
     def pop_expired(self, now: float) -> list[types.PeerName]:
@@ -63,7 +63,7 @@
     ) -> None:
         """Place no tasks at agents that operators have marked as leaving."""
         for name in sorted(leaving - self._leaving):
-            self._dispatch.agent_gone(name)
+            self._dispatch.mark_disconnected(name)
         returning = self._leaving - leaving
         self._leaving = leaving
         for name in sorted(returning):
@@ -77,4 +77,4 @@
         info = dispatch.AgentInfo(
             name, hello.incarnation, hello.zone, hello.rack
         )
-        self._dispatch.agent_offers(info, offer, now)
+        self._dispatch.apply_offer(info, offer, now)
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -22,7 +22,7 @@
 clock, and the clocks of two entries differ by at most 0.25 s."""
 
 
-class Deaths:
+class DeadEntries:
     """The dead entries that one entry has detected.
 
     :param skew: seconds that a key may be stamped ahead of a clock.
@@ -32,7 +32,7 @@
         self._skew = skew
         self._death_times: dict[tuple[types.PeerName, int], float] = {}
 
-    def proved(self, member: messages.Member, now: float) -> None:
+    def record_death(self, member: messages.Member, now: float) -> None:
         """Record that an incarnation of an entry had ended by ``now``."""
         self._death_times.setdefault((member.name, member.incarnation), now)
 
@@ -49,7 +49,9 @@
         """
         if not self._death_times:
             return members
-        latest_death = ownership.stamp(key) - self._skew - DEATH_MARGIN_SECONDS
+        latest_death = (
+            ownership.get_timestamp(key) - self._skew - DEATH_MARGIN_SECONDS
+        )
         return tuple(
             [one for one in members if self._death_time(one) > latest_death]
         )
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -85,7 +85,7 @@
             self.dispatch,
         )
         self.forwarding = forwarding.Forwarding()
-        self._dead_entries = deaths.Deaths(self._skew)
+        self._dead_entries = deaths.DeadEntries(self._skew)
         self._entries_up: set[types.PeerName] = set()
         self._members_version = 0
         self._preset = ''
@@ -266,7 +266,7 @@
             for one in self._eligible_members(spec.key, now)
             if one.name != self._me.name
         ]
-        successor = ownership.owner(spec.key, others, self._skew)
+        successor = ownership.find_owner(spec.key, others, self._skew)
         # A job is handed over to one successor only: a second one would have
         # no record of the tasks that the first one started, so its answer
         # "not run" could be false.
@@ -295,7 +295,7 @@
         if not ownership.is_key(key):
             # The entry that receives a malformed key refuses it.
             return self._me.name
-        member = ownership.owner(
+        member = ownership.find_owner(
             key, self._eligible_members(key, now), self._skew
         )
         return '' if member is None else member.name
@@ -338,7 +338,7 @@
         if not event.dead or member is None:
             return
         if event.incarnation in (0, member.incarnation):
-            self._dead_entries.proved(member, now)
+            self._dead_entries.record_death(member, now)
 
     def _on_proposed(
         self, event: calls.ChangeProposed, now: float
@@ -353,7 +353,7 @@
 
     def _on_tick(self, event: core.Tick, now: float) -> _Effects:
         queued = self.dispatch.status(now).queued
-        self.dispatch.quotas.waiting(dict(queued))
+        self.dispatch.quotas.set_waiting(dict(queued))
         return [
             *self.configuration.on_tick(now),
             *self.dispatch.quotas.on_tick(now),
@@ -372,7 +372,7 @@
             return []
         if self.owner.jobs.running() or len(self.forwarding):
             return []
-        if not self.configuration.left:
+        if not self.configuration.may_exit:
             return self.configuration.leave(self._stopped_at, now)
         self._exited = True
         peers = sorted([*self._entries_up, *self.owner.agents])
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -146,7 +146,7 @@
 
         :returns: its effects; ``None`` if no removed entry owned the key.
         """
-        if not self.takeover.concerns(spec.key, members):
+        if not self.takeover.may_be_taken_over(spec.key, members):
             return None
         if not self.takeover.is_complete(spec.key, members, self.agents, now):
             answer = answers.build_gathering(spec.key, self._name)
@@ -290,7 +290,7 @@
         effects: list[object] = []
         for report in message.reports:
             effects += self._on_report(peer, report, now)
-        self._dispatch.agent_credits(peer, message.credits, now)
+        self._dispatch.set_credits(peer, message.credits, now)
         return effects
 
     def _on_report(
@@ -319,14 +319,16 @@
         report: messages.TaskReport,
         now: float,
     ) -> list[object]:
-        self._dispatch.refused(agent, job.spec.team, now)
+        self._dispatch.release_slot(agent, job.spec.team, now)
         record = job.tasks[report.index]
         record.agent = ''
         self.zone_work.count_end(agent)
         if record.answer is not None:
             return []
         task = dispatch.Pending(job.spec, report.index, record.attempt)
-        if not job.cancelled and self._dispatch.requeue(task, agent, now):
+        if not job.cancelled and self._dispatch.schedule_retry(
+            task, agent, now
+        ):
             return []
         job.end_task(
             report.index,
@@ -348,7 +350,7 @@
         ok = outcome == types.Outcome.FINISHED
         # The slot of an adopted task was never leased to this entry.
         if not job.tasks[report.index].adopted:
-            self._dispatch.ended(
+            self._dispatch.record_outcome(
                 agent, job.spec, report.index, ok, report.seconds, now
             )
         job.end_task(
@@ -384,7 +386,7 @@
             if job is not None and not job.ended:
                 effects += self._end_at_deadline(job, now)
         effects += self._place(snapshot, now)
-        effects += self._dispatch.take_notes()
+        effects += self._dispatch.pop_notes()
         wakes = [self._deadlines[0][0]] if self._deadlines else []
         wake = self._dispatch.next_wake(now)
         if wake is not None:
@@ -438,19 +440,19 @@
         ]
 
     def _place(self, snapshot: permits.Snapshot, now: float) -> list[object]:
-        if not self._dispatch.waiting() or snapshot.lease <= now:
+        if not self._dispatch.count_waiting() or snapshot.lease <= now:
             return []
 
         def zone_share(zone: str) -> float:
             if snapshot.start_before(zone) <= now:
                 return 0.0
-            return zones.share(snapshot.zone(zone), now)
+            return zones.get_share(snapshot.zone(zone), now)
 
         placed = self._dispatch.place(zone_share, now)
         effects: list[object] = [
             self._start_placement(one, snapshot, now) for one in placed
         ]
-        for agent, want in self._dispatch.asks(now):
+        for agent, want in self._dispatch.get_slot_requests(now):
             effects.append(core.Send(agent, messages.Ask(want)))
         return effects
 
@@ -472,7 +474,7 @@
             placement,
             self.jobs,
             snapshot.start_before(zone),
-            self._dispatch.demand(now),
+            self._dispatch.compute_demand(now),
         )
         return core.Send(agent, message)
 
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -47,7 +47,7 @@
     return _KEY_PATTERN.fullmatch(key) is not None
 
 
-def stamp(key: types.JobKey) -> float:
+def get_timestamp(key: types.JobKey) -> float:
     """Return the time at which ``key`` was created.
 
     :raises agatepick.exceptions.BadKey: if it isn't a UUIDv7 in canonical
@@ -71,7 +71,7 @@
     could stay valid after the record of its first run has been deleted.
     """
     try:
-        created_at = stamp(key)
+        created_at = get_timestamp(key)
     except exceptions.BadKey:
         return KeyFault.MALFORMED
     if created_at < now - window:
@@ -81,7 +81,7 @@
     return None
 
 
-def owner(
+def find_owner(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
     skew: float = KEY_SKEW_SECONDS,
@@ -91,7 +91,7 @@
     return _select_owner(key, listed, skew)
 
 
-def taken_over(
+def may_have_been_started(
     key: types.JobKey,
     members: collections.abc.Iterable[messages.Member],
     skew: float = KEY_SKEW_SECONDS,
@@ -104,7 +104,7 @@
     after its end.
     """
     members = tuple(members)
-    created_at = stamp(key)
+    created_at = get_timestamp(key)
     listed = [member for member in members if not member.removed_at]
     return any(
         _select_owner(key, [*listed, member], skew) is member
@@ -133,7 +133,7 @@
 ) -> messages.Member | None:
     if not listed:
         return None
-    created_at = stamp(key)
+    created_at = get_timestamp(key)
     eligible = [one for one in listed if one.listed_at + skew <= created_at]
     if not eligible:
         # The key was created in the first seconds of the cluster.  A choice
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -74,7 +74,7 @@
         """Return the entry to report a job to; ``None`` if there is none."""
         if owner not in self._in_force:
             return owner
-        successor = ownership.owner(job, self._members, self._skew)
+        successor = ownership.find_owner(job, self._members, self._skew)
         return _owner(successor) if successor is not None else None
 
     def iter_orphans(
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -104,9 +104,9 @@
             reported, report=dataclasses.replace(report, digest=digest)
         )
 
-    def concerns(self, key: types.JobKey, members: Members) -> bool:
+    def may_be_taken_over(self, key: types.JobKey, members: Members) -> bool:
         """Return whether a removed entry may have started tasks of a job."""
-        return ownership.taken_over(key, members, self._skew)
+        return ownership.may_have_been_started(key, members, self._skew)
 
     def is_complete(
         self,
@@ -121,7 +121,7 @@
         that was removed late enough to have owned the key.  Once
         ``REPORT_WAIT_SECONDS`` have passed, missing reports are ignored.
         """
-        created_at = ownership.stamp(key)
+        created_at = ownership.get_timestamp(key)
         removed = [
             one
             for one in members
@@ -173,7 +173,7 @@
         expired = [
             key
             for key in self._reported
-            if ownership.stamp(key) + self._retention < now
+            if ownership.get_timestamp(key) + self._retention < now
         ]
         for key in expired:
             del self._reported[key]
--- a/src/agatepick/platform/following.py
+++ b/src/agatepick/platform/following.py
@@ -11,12 +11,12 @@
 
 LOG = logs.logger(__name__)
 
-RETRY_PAUSES = backoff.Pauses(first=0.15, most=0.3)
-"""Pauses after failed calls.  All processes must have the current rows within
+RETRY_DELAYS = backoff.BackoffDelays(first=0.15, most=0.3)
+"""Delays after failed calls.  All processes must have the current rows within
 two seconds of the store's return."""
 
-HISTORY_PAUSES = backoff.Pauses(first=0.1, most=1.0)
-"""Pauses after the store has discarded the requested changes."""
+HISTORY_DELAYS = backoff.BackoffDelays(first=0.1, most=1.0)
+"""Delays after the store has discarded the requested changes."""
 
 CALL_INTERVAL_SECONDS = 0.1
 """Least time between the starts of two calls, as the store may answer before
@@ -36,15 +36,15 @@
 
     :param wait: seconds for which one call waits for a change.
     :param on_change: callback that gets all rows of the table.
-    :param rng: source of jitter for the pauses.
+    :param rng: source of jitter for the delays.
     """
     snapshot: Snapshot = {}
     version = -1
     latest_version = -1
     unavailable = False
     timeout = rows.CallTimeout()
-    failure_backoff = backoff.Backoff(RETRY_PAUSES, rng)
-    history_backoff = backoff.Backoff(HISTORY_PAUSES, rng)
+    failure_backoff = backoff.Backoff(RETRY_DELAYS, rng)
+    history_backoff = backoff.Backoff(HISTORY_DELAYS, rng)
     loop = asyncio.get_running_loop()
     while True:
         next_call_at = loop.time() + CALL_INTERVAL_SECONDS
@@ -53,26 +53,26 @@
                 page = await store.read(table, timeout.seconds)
                 if page.row_version < latest_version:
                     # The read is older than the state passed on already.
-                    await asyncio.sleep(failure_backoff.failed())
+                    await asyncio.sleep(failure_backoff.record_failure())
                     continue
                 snapshot = {}
             else:
                 page = await store.changes(table, version, wait)
-                history_backoff.succeeded()
+                history_backoff.reset()
         except rows.HistoryGone:
             logs.info(LOG, 'store_history_gone', table=table, after=version)
             version = -1
-            await asyncio.sleep(history_backoff.failed())
+            await asyncio.sleep(history_backoff.record_failure())
             continue
         except exceptions.StoreError as exc:
             if not unavailable:
                 logs.warning(LOG, 'store_lost', table=table, reason=exc.show())
             unavailable = True
             timeout.increase()
-            await asyncio.sleep(failure_backoff.failed())
+            await asyncio.sleep(failure_backoff.record_failure())
             continue
         timeout.reset()
-        failure_backoff.succeeded()
+        failure_backoff.reset()
         if unavailable:
             logs.info(LOG, 'store_regained', table=table)
             unavailable = False
--- a/src/agatepick/platform/kept.py
+++ b/src/agatepick/platform/kept.py
@@ -26,8 +26,8 @@
 
 TABLE = 'agatepick-workers'
 
-WRITE_PAUSES = backoff.Pauses(first=0.5, most=2.0)
-"""Pauses before a failed write is retried.  The row is only needed at the next
+WRITE_DELAYS = backoff.BackoffDelays(first=0.5, most=2.0)
+"""Delays before a failed write is retried.  The row is only needed at the next
 start of this process."""
 
 RETRY_SECONDS = 0.15
@@ -61,7 +61,7 @@
     ) -> None:
         self._store = store
         self._key = key
-        self._write_backoff = backoff.Backoff(WRITE_PAUSES, rng)
+        self._write_backoff = backoff.Backoff(WRITE_DELAYS, rng)
         self._value: bytes | None = None
         self._changed = asyncio.Event()
 
@@ -81,9 +81,9 @@
             except exceptions.StoreError as exc:
                 logs.warning(LOG, 'worker_not_kept', reason=exc.show())
                 self._changed.set()
-                await asyncio.sleep(self._write_backoff.failed())
+                await asyncio.sleep(self._write_backoff.record_failure())
             else:
-                self._write_backoff.succeeded()
+                self._write_backoff.reset()
 
     async def restore(
         self,
--- a/src/agatepick/platform/members.py
+++ b/src/agatepick/platform/members.py
@@ -15,8 +15,8 @@
 LOG = logs.logger(__name__)
 
 TABLE = 'agatepick-entries'
-REGISTER_PAUSES = backoff.Pauses(first=0.4, most=0.8)
-"""Pauses before an entry retries to register itself."""
+REGISTER_DELAYS = backoff.BackoffDelays(first=0.4, most=0.8)
+"""Delays before an entry retries to register itself."""
 
 
 class _Member(msgspec.Struct, frozen=True):
@@ -49,14 +49,14 @@
     """Write an entry's row, and retry until the store accepts it."""
     value = msgspec.json.encode(_Member(address, zone))
     timeout = rows.CallTimeout()
-    failure_backoff = backoff.Backoff(REGISTER_PAUSES, rng)
+    failure_backoff = backoff.Backoff(REGISTER_DELAYS, rng)
     while True:
         try:
             await store.write(TABLE, name, value, timeout.seconds)
         except exceptions.StoreError as exc:
             timeout.increase()
             logs.warning(LOG, 'enlist_failed', reason=exc.show())
-            await asyncio.sleep(failure_backoff.failed())
+            await asyncio.sleep(failure_backoff.record_failure())
             continue
         logs.info(LOG, 'enlisted', address=address)
         return
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -174,7 +174,7 @@
 def _serve_metrics(
     cfg: settings.NodeSettings, measured: measures.Measures
 ) -> None:
-    app = metrics.application(measured.text)
+    app = metrics.make_application(measured.text)
     host = cfg.links.rpartition(':')[0]
     try:
         _serve(app, f'{host}:{METRICS_PORT}')
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -24,10 +24,10 @@
 from an earlier owner of the job; the step exceeds what that owner can have
 used."""
 
-REFUSED_PAUSES = backoff.Pauses(first=0.05, most=0.5)
-"""Pauses before a task that workers refuse is sent again, from its second
+REFUSED_DELAYS = backoff.BackoffDelays(first=0.05, most=0.5)
+"""Delays before a task that workers refuse is sent again, from its second
 refusal on. If all workers are unwell, the task would otherwise circulate among
-them without a pause."""
+them without a delay."""
 
 _WORKER_REASONS = frozenset({'stale_run', 'unwell'})
 """Reasons of refusals that the worker's free capacity doesn't explain."""
@@ -152,7 +152,7 @@
         if report.reason in _WORKER_REASONS:
             record.refusals += 1
             if record.refusals > 1:
-                pause = REFUSED_PAUSES.after(record.refusals - 1)
+                pause = REFUSED_DELAYS.get_delay(record.refusals - 1)
                 record.retry_at = now + pause
         if report.reason == 'stale_run':
             record.run += STALE_RUN_STEP
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -23,7 +23,7 @@
 
 _INCARNATION_BITS = 63
 
-PACE = links.Pace(heartbeat=0.4, silence=1.2, dial=1.0)
+PACE = links.LinkTimeouts(heartbeat=0.4, silence=1.2, dial=1.0)
 """Timing of the links. Agents and entries exchange renewals every 0.2 s, so
 1.2 s of silence is longer than any pause of a busy process; a connection that
 has been silent for so long is replaced."""
@@ -119,7 +119,7 @@
         self.links.end()
 
     def _note(self, note: core.Note) -> None:
-        logs.noted(LOG, note, _is_routine(note))
+        logs.log_note(LOG, note, _is_routine(note))
         self.measures.count_note(note)
 
     def _hello(self) -> messages.Hello:
--- a/src/agatepick/repeatable/watching.py
+++ b/src/agatepick/repeatable/watching.py
@@ -40,8 +40,8 @@
 """Shortest time between two requests, for a worker that answers without
 waiting for an end."""
 
-FAILED_PAUSES = backoff.Pauses(first=0.02, most=0.1)
-"""Pauses after failed requests, while the worker may still be healthy."""
+FAILED_DELAYS = backoff.BackoffDelays(first=0.02, most=0.1)
+"""Delays after failed requests, while the worker may still be healthy."""
 
 
 class Watching:
@@ -52,14 +52,14 @@
         self._next_request_at = 0.0
         self._last_request_at = 0.0
         self._unanswered_since: float | None = None
-        self._backoff = backoff.Backoff(FAILED_PAUSES)
+        self._backoff = backoff.Backoff(FAILED_DELAYS)
 
     def reset(self, now: float) -> None:
         """Reset the state for another incarnation of the worker."""
         self._pending = 0
         self._next_request_at = now
         self._unanswered_since = None
-        self._backoff.succeeded()
+        self._backoff.reset()
 
     def is_due(self, now: float) -> bool:
         """Return whether the next request is due."""
@@ -81,7 +81,7 @@
         """Record that the lists arrived."""
         self._pending = max(0, self._pending - 1)
         self._unanswered_since = None
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._next_request_at = max(
             now, self._last_request_at + MIN_INTERVAL_SECONDS
         )
@@ -89,7 +89,7 @@
     def record_failure(self, now: float) -> None:
         """Record that a request failed."""
         self._pending = max(0, self._pending - 1)
-        pause = self._backoff.failed()
+        pause = self._backoff.record_failure()
         if self.silent(now):
             pause = PROBE_SECONDS
         if self._pending:
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -71,7 +71,7 @@
     rng: random.Random
     table: store.Store | None = None
     runner: typing.Callable[[Feed], upstream.Upstream] | None = None
-    delay: links.Delay | None = None
+    delay: links.LatencyModel | None = None
 
     @classmethod
     def real(cls) -> 'Outside':
@@ -170,7 +170,7 @@
         sockets = _bind_sockets(self._metrics_cfg.listen)
         self.metrics_address = _format_address(sockets)
         self._metrics_http = httpserver.HTTPServer(
-            metrics.application(self._render_metrics)
+            metrics.make_application(self._render_metrics)
         )
         self._metrics_http.add_sockets(sockets)
 
@@ -401,7 +401,7 @@
     def _listen_announcements(self) -> None:
         sockets = _bind_sockets(self.cfg.upstream.listen)
         self.upstream_address = _format_address(sockets)
-        self._http = announce.server(self.shell.feed, self.cfg.upstream)
+        self._http = announce.build_server(self.shell.feed, self.cfg.upstream)
         self._http.add_sockets(sockets)
 
     def _listen_operators(self, contexts: tls.Contexts) -> None:
--- a/src/agatepick/standins/standin_table.py
+++ b/src/agatepick/standins/standin_table.py
@@ -167,7 +167,7 @@
             self.counts.writes += 1
         else:
             self.counts.reads += 1
-        admitted = (self._writes if write else self._reads).take(now)
+        admitted = (self._writes if write else self._reads).acquire(now)
         self.counts.limited += not admitted
         return admitted
 
--- a/src/agatepick/table/ratelimit.py
+++ b/src/agatepick/table/ratelimit.py
@@ -10,10 +10,10 @@
         self._tokens = burst
         self._refilled_at = now
 
-    def take(self, now: float) -> bool:
-        """Take a token if one is available.
+    def acquire(self, now: float) -> bool:
+        """Acquire a token if one is available.
 
-        :returns: whether a token was taken.
+        :returns: whether a token was acquired.
         """
         elapsed = max(0.0, now - self._refilled_at)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
@@ -42,8 +42,8 @@
         """Add the share of one request to the budget."""
         self._tokens = min(self.CAPACITY, self._tokens + self.RATIO)
 
-    def take(self) -> bool:
-        """Take one retry from the budget.
+    def acquire(self) -> bool:
+        """Acquire one retry from the budget.
 
         :returns: whether the retry is allowed.
         """
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -23,7 +23,7 @@
 from agatepick.table import ratelimit
 from agatepick.table import store
 
-RETRY_PAUSES = backoff.Pauses(first=0.04, most=0.5)
+RETRY_DELAYS = backoff.BackoffDelays(first=0.04, most=0.5)
 """Upper bounds of the random delays before retries, in seconds."""
 
 _PATHS: dict[type[store.Request], str] = {
@@ -107,7 +107,7 @@
                 break
             if (
                 self._now() + delay >= deadline
-                or not self._retry_budget.take()
+                or not self._retry_budget.acquire()
             ):
                 break
             self.counts.retries += 1
@@ -115,7 +115,7 @@
         return store.StoreAnswered(call.id, answer)
 
     def _choose_retry_delay(self, attempts: int) -> float:
-        return self._rng.uniform(0.0, RETRY_PAUSES.after(attempts))
+        return self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempts))
 
     async def _call_once(
         self, request: store.Request, timeout: float
@@ -142,7 +142,7 @@
                 exceptions.StoreUnavailable, 'circuit open'
             )
         write = isinstance(request, store.Transact)
-        if not (self._writes if write else self._reads).take(now):
+        if not (self._writes if write else self._reads).acquire(now):
             return self._make_error(
                 exceptions.StoreUnavailable, 'over our rate'
             )
--- a/src/agatepick/telemetry/logs.py
+++ b/src/agatepick/telemetry/logs.py
@@ -32,7 +32,9 @@
         log.log(level, '%s', line(name, fields.items()))
 
 
-def noted(log: logging.Logger, note: core.Note, routine: bool = False) -> None:
+def log_note(
+    log: logging.Logger, note: core.Note, routine: bool = False
+) -> None:
     """Log an event of the timeline.
 
     :param routine: whether the event belongs to normal operation; routine
--- a/src/agatepick/telemetry/metrics.py
+++ b/src/agatepick/telemetry/metrics.py
@@ -165,7 +165,7 @@
         self.finish(self._text())
 
 
-def application(text: typing.Callable[[], bytes]) -> web.Application:
+def make_application(text: typing.Callable[[], bytes]) -> web.Application:
     """Return an application that serves metrics at ``/metrics``.
 
     :param text: called for each request; returns the current metrics.
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -151,7 +151,7 @@
     def add(self, note: core.Note) -> None:
         """Store an event and log it."""
         self._append(note)
-        logs.noted(_log, note)
+        logs.log_note(_log, note)
 
     def add_tasks(self, note: TaskNote | None) -> None:
         """Store events of tasks; they are logged only at level debug."""
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -33,7 +33,7 @@
     )
 
 
-class Rig:
+class AgentHarness:
     """One agent, driven by a test in virtual time."""
 
     def __init__(self, incarnation=7, **cfg):
@@ -98,16 +98,16 @@
         return effects
 
 
-def ready(*entries, slots=8, **cfg):
+def make_ready_agent(*entries, slots=8, **cfg):
     """Return an agent with an upstream and these entries connected."""
-    rig = Rig(**cfg)
+    rig = AgentHarness(**cfg)
     rig.feed(announced(slots=slots, term=1000.0))
     for name in entries or ('e',):
         rig.connect(name)
     return rig
 
 
-def ran(effects):
+def list_started_tasks(effects):
     """Return key and index of each task sent to the upstream to run."""
     return [
         (one.job, one.index)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -225,7 +225,7 @@
             offer = messages.Offer(
                 1, slots, slots, kinds, types.Needs(64, 256000, 1), False
             )
-            made.agent_offers(info, offer, 0.0)
+            made.apply_offer(info, offer, 0.0)
         return made
 
     return make
--- a/tests/playing.py
+++ b/tests/playing.py
@@ -58,7 +58,9 @@
         elif event is not None:
             agent, task, ok, took = event
             key = task.job.key
-            dispatcher.ended(agent, task.job, task.index, ok, took, now)
+            dispatcher.record_outcome(
+                agent, task.job, task.index, ok, took, now
+            )
             left[key] -= 1
             if not ok:
                 results.failed.setdefault(agent, []).append(now)
@@ -77,7 +79,7 @@
                 event = (placed.agent, task, ok, took)
                 heapq.heappush(events, (now + took, number, event))
         wake = dispatcher.next_wake(now)
-        if wake is not None and dispatcher.waiting() and not events:
+        if wake is not None and dispatcher.count_waiting() and not events:
             number += 1
             heapq.heappush(events, (max(wake, now + 0.001), number, None))
     return results
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,9 +12,9 @@
 
 
 def test_a_task_runs_and_its_result_goes_to_its_owner():
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     one = agents.task(KEY)
-    assert agents.ran(rig.start('e', one)) == [(KEY, 0)]
+    assert agents.list_started_tasks(rig.start('e', one)) == [(KEY, 0)]
     (results,) = agents.sent(rig.end(one, body=b'[2]'), messages.Results)
     (report,) = results.reports
     assert (report.state, report.body) == ('finished', b'[2]')
@@ -27,15 +27,15 @@
     If the copy started the task again, a user would see a meeting booked
     twice.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     one = agents.task(KEY)
     rig.start('e', one)
     effects = rig.start('e', one)
-    assert agents.ran(effects) == []
+    assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('running', '')}
     rig.end(one)
     effects = rig.start('e', one)
-    assert agents.ran(effects) == []
+    assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('finished', '')}
 
 
@@ -45,16 +45,18 @@
     A delayed copy of the start arrives when a slot is free again.  If it ran,
     the task would run twice and the answer "not run" would be false.
     """
-    rig = agents.ready(slots=1)
+    rig = agents.make_ready_agent(slots=1)
     busy, late = agents.task(KEY, 0), agents.task(KEY, 1)
     rig.start('e', busy)
     effects = rig.start('e', late)
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
     rig.end(busy)
     effects = rig.start('e', late)
-    assert agents.ran(effects) == []
+    assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
-    assert agents.ran(rig.start('e', agents.task(KEY, 1, 2))) == [(KEY, 1)]
+    assert agents.list_started_tasks(
+        rig.start('e', agents.task(KEY, 1, 2))
+    ) == [(KEY, 1)]
 
 
 def test_settle_refuses_starts_that_have_not_arrived():
@@ -63,7 +65,7 @@
     The delayed start arrives after all.  If it ran, the task would run twice,
     as the owner has placed it elsewhere meanwhile.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     there, lost = agents.task(KEY, 0), agents.task(KEY, 1)
     rig.start('e', there)
     rig.disconnect('e')
@@ -73,7 +75,7 @@
         0: ('finished', ''),
         1: ('refused', 'settled'),
     }
-    assert agents.ran(rig.start('e', lost)) == []
+    assert agents.list_started_tasks(rig.start('e', lost)) == []
 
 
 @pytest.mark.parametrize(
@@ -93,13 +95,13 @@
 
     If it ran, a task would start in a zone that operators took out.
     """
-    rig = agents.Rig()
+    rig = agents.AgentHarness()
     rig.feed(agents.announced())
     rig.connect('e', ahead=ahead)
     effects = rig.start('e', agents.task(KEY), before=before)
     found = agents.reports(effects)
     assert found == ({0: ('refused', reason)} if reason else {})
-    assert len(agents.ran(effects)) == (not reason)
+    assert len(agents.list_started_tasks(effects)) == (not reason)
 
 
 def test_a_start_for_an_earlier_incarnation_is_lost_not_refused():
@@ -108,9 +110,9 @@
     Its earlier incarnation may have run them, so the agent may neither run
     them nor answer "not run".
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     effects = rig.start('e', agents.task(KEY), agent=rig.incarnation - 1)
-    assert agents.ran(effects) == []
+    assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('lost', 'other_incarnation')}
 
 
@@ -120,23 +122,23 @@
     With more tasks than it has room for, a worker would slow down or kill
     its tasks.
     """
-    rig = agents.ready('a', 'b', slots=3)
+    rig = agents.make_ready_agent('a', 'b', slots=3)
     needs = types.Needs(3.0, 0, 0)
     tasks = [agents.task(KEY, index, needs=needs) for index in range(4)]
     effects = rig.start('a', *tasks[:2]) + rig.start('b', *tasks[2:])
-    assert len(agents.ran(effects)) == 2
+    assert len(agents.list_started_tasks(effects)) == 2
     assert agents.reports(effects) == {
         2: ('refused', 'no_room'),
         3: ('refused', 'no_room'),
     }
     small = [agents.task(agents.key(1), index) for index in range(2)]
     effects = rig.start('b', *small)
-    assert agents.ran(effects) == [(small[0].job, 0)]
+    assert agents.list_started_tasks(effects) == [(small[0].job, 0)]
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
 
 
 def test_results_that_end_together_are_sent_together():
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     tasks = [agents.task(KEY, index) for index in range(5)]
     rig.start('e', *tasks)
     first = rig.end(tasks[0])
@@ -158,7 +160,7 @@
     The caller is told that their outcome is unknown.  They aren't run again,
     and the slots of tasks that may still run aren't used for others.
     """
-    rig = agents.Rig()
+    rig = agents.AgentHarness()
     rig.feed(agents.announced(slots=2, term=5.0))
     rig.connect('e')
     one = agents.task(KEY)
@@ -168,7 +170,7 @@
     assert agents.sent(effects, messages.Offer)[-1].credits == 1
     rig.feed(agents.announced(slots=2, term=5.0))
     more = [agents.task(agents.key(1), index) for index in range(2)]
-    assert len(agents.ran(rig.start('e', *more))) == 1
+    assert len(agents.list_started_tasks(rig.start('e', *more))) == 1
     assert agents.reports(rig.end(one)) == {}
     assert agents.reports(rig.settle('e', one))[0][0] == 'lost'
 
@@ -179,7 +181,7 @@
     The renewals wait in a socket.  If the lease expired at once, all running
     tasks would end as unknown although they run and finish.
     """
-    rig = agents.Rig()
+    rig = agents.AgentHarness()
     rig.feed(agents.announced(term=5.0))
     rig.connect('e')
     rig.tick()
@@ -195,13 +197,13 @@
     The tasks of the earlier process will have no answer.  The caller is told
     that they are lost.
     """
-    rig = agents.ready(slots=1)
+    rig = agents.make_ready_agent(slots=1)
     one = agents.task(KEY)
     rig.start('e', one)
     effects = rig.feed(agents.announced('other', slots=1))
     assert agents.reports(effects) == {0: ('lost', 'upstream_restarted')}
     second = agents.task(KEY, 1)
-    assert agents.ran(rig.start('e', second)) == [(KEY, 1)]
+    assert agents.list_started_tasks(rig.start('e', second)) == [(KEY, 1)]
     assert agents.reports(rig.end(one)) == {}
 
 
@@ -211,7 +213,7 @@
     If they were cut off, they would be lost; if it got new tasks, the worker
     would never be idle.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     one = agents.task(KEY)
     rig.start('e', one)
     effects = rig.feed(upstream.UpstreamLeft('s'))
@@ -227,7 +229,7 @@
     If the agent exited while the owner is disconnected, the result would be
     lost and the task would end as unknown.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     one = agents.task(KEY)
     rig.start('e', one)
     assert agents.sent(rig.feed(core.StopRequested()), messages.Offer)
@@ -245,7 +247,7 @@
 
     A start that ran after the cancellation would waste a slot.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     tasks = [agents.task(KEY, index) for index in range(3)]
     rig.start('e', *tasks[:2])
     effects = rig.receive('e', messages.StopJob(KEY, 'throttle'))
@@ -265,7 +267,7 @@
     Without the agent's reports, every task would end as unknown.  Reports sent
     before the removal is in force could miss tasks that start later.
     """
-    rig = agents.ready('a', 'b')
+    rig = agents.make_ready_agent('a', 'b')
     done, runs = agents.task(KEY, 0), agents.task(KEY, 1)
     rig.start('a', done, runs)
     rig.end(done)
@@ -286,7 +288,7 @@
 
 
 def test_entries_are_dialled_while_they_are_listed():
-    rig = agents.Rig()
+    rig = agents.AgentHarness()
     assert rig.tick() == [core.Dial('seed:1', 'seed:1')]
     rig.connect('a')
     members = (agents.member('a'), agents.member('b'), agents.member('seed'))
@@ -307,7 +309,7 @@
 
     Each task sent to it until then would be lost, while it seems idle.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     one = agents.task(KEY)
     rig.start('e', one)
     rig.feed(upstream.UpstreamGone('s'))
@@ -343,16 +345,16 @@
 
     If one stopped the agent, all tasks of its worker would be lost.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     for message in drawn:
         rig.receive('e', message)
         rig.tick()
-    assert len(agents.ran(rig.effects)) == 0
+    assert len(agents.list_started_tasks(rig.effects)) == 0
     good = [agents.task(agents.key(at=rig.now), index) for index in range(9)]
     rig.connect('f')
     before = len(rig.effects)
     rig.start('f', *good)
-    assert len(agents.ran(rig.effects[before:])) <= 8
+    assert len(agents.list_started_tasks(rig.effects[before:])) <= 8
 
 
 @pytest.mark.parametrize('before', [float('nan'), float('-inf')])
@@ -362,6 +364,6 @@
     With the comparison the other way round, a permit until NaN would never
     expire, and tasks would start in a zone that was taken out.
     """
-    rig = agents.ready()
+    rig = agents.make_ready_agent()
     effects = rig.start('e', agents.task(KEY), before=before)
     assert agents.reports(effects) == {0: ('refused', 'start_too_late')}
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -28,7 +28,7 @@
 
     async def main():
         cfg_ = settings.Upstreams('127.0.0.1:0', **cfg)
-        server = announce.server(events.append, cfg_)
+        server = announce.build_server(events.append, cfg_)
         socks = tornado.netutil.bind_sockets(0, '127.0.0.1')
         server.add_sockets(socks)
         client = tornado.httpclient.AsyncHTTPClient(force_instance=True)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -258,18 +258,18 @@
 
 
 def start_copies(monkeypatch):
-    monkeypatch.setattr(ledger.Ledger, 'known', lambda *args: None)
+    monkeypatch.setattr(ledger.Ledger, 'find_report', lambda *args: None)
 
 
 def serve_other_incarnations(monkeypatch):
     def answer(self, incarnation, ref, now):
-        return self._ledger.known(ref, now)
+        return self._ledger.find_report(ref, now)
 
-    monkeypatch.setattr(agent.Agent, '_answer', answer)
+    monkeypatch.setattr(agent.Agent, '_find_report', answer)
 
 
 def refuse_for_other_incarnations(monkeypatch):
-    answer = agent.Agent._answer
+    answer = agent.Agent._find_report
 
     def refuse(self, incarnation, ref, now):
         report = answer(self, incarnation, ref, now)
@@ -277,7 +277,7 @@
             return dataclasses.replace(report, state='refused')
         return report
 
-    monkeypatch.setattr(agent.Agent, '_answer', refuse)
+    monkeypatch.setattr(agent.Agent, '_find_report', refuse)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -6,43 +6,43 @@
 
 from agatepick.decisions import backoff
 
-PAUSES = backoff.Pauses(first=0.02, most=0.5)
+DELAYS = backoff.BackoffDelays(first=0.02, most=0.5)
 
 
-def test_pauses_double_up_to_the_longest():
-    peer = backoff.Backoff(PAUSES)
-    pauses = [peer.failed() for _ in range(7)]
-    assert pauses == pytest.approx([0.02, 0.04, 0.08, 0.16, 0.32, 0.5, 0.5])
+def test_delays_double_up_to_the_longest():
+    peer = backoff.Backoff(DELAYS)
+    delays = [peer.record_failure() for _ in range(7)]
+    assert delays == pytest.approx([0.02, 0.04, 0.08, 0.16, 0.32, 0.5, 0.5])
 
 
 def test_a_success_makes_the_next_failure_the_first():
-    peer = backoff.Backoff(PAUSES)
+    peer = backoff.Backoff(DELAYS)
     for _ in range(5):
-        peer.failed()
-    peer.succeeded()
-    assert peer.failed() == pytest.approx(0.02)
+        peer.record_failure()
+    peer.reset()
+    assert peer.record_failure() == pytest.approx(0.02)
 
 
 def test_clients_that_failed_together_retry_at_different_instants():
     """A store returns, and hundreds of processes call it at one instant."""
-    pauses = {
-        backoff.Backoff(PAUSES, random.Random(seed)).failed()
+    delays = {
+        backoff.Backoff(DELAYS, random.Random(seed)).record_failure()
         for seed in range(50)
     }
-    assert len(pauses) == 50
+    assert len(delays) == 50
 
 
 @given(st.lists(st.booleans(), max_size=200), st.integers())
-def test_every_pause_is_within_its_bounds(outcomes, seed):
-    peer = backoff.Backoff(PAUSES, random.Random(seed))
+def test_every_delay_is_within_its_bounds(outcomes, seed):
+    peer = backoff.Backoff(DELAYS, random.Random(seed))
     for ok in outcomes:
         if ok:
-            peer.succeeded()
+            peer.reset()
             continue
-        pause = peer.failed()
-        assert backoff.MIN_JITTER_FACTOR * PAUSES.first <= pause <= PAUSES.most
+        delay = peer.record_failure()
+        assert backoff.MIN_JITTER_FACTOR * DELAYS.first <= delay <= DELAYS.most
 
 
 @given(st.integers(min_value=1, max_value=10_000))
 def test_many_failures_are_counted_without_overflow(failures):
-    assert PAUSES.after(failures) <= PAUSES.most
+    assert DELAYS.get_delay(failures) <= DELAYS.most
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -77,7 +77,7 @@
         return await site.fetch('POST', '/v1/jobs', JOB)
 
     response = serve(answer_complete, scenario)
-    assert ownership.stamp(response.data['job']) == conftest.NOW
+    assert ownership.get_timestamp(response.data['job']) == conftest.NOW
 
 
 def test_a_long_job_is_pending_with_a_location(serve):
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -12,7 +12,7 @@
 
 def test_four_instants_give_the_offset_and_bound_its_error():
     """The ping takes 10 ms, the pong 30 ms; the peer is 2 s ahead."""
-    found = clocks.offset(100.0, 102.01, 102.02, 100.05)
+    found = clocks.compute_offset(100.0, 102.01, 102.02, 100.05)
     assert abs(found.seconds - 1.99) < 1e-9
     assert abs(found.error - 0.02) < 1e-9
     assert abs(found.seconds - 2.0) <= found.error
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -405,7 +405,7 @@
     for name in 'xyz':
         world.feed(name, lambda conf, now: conf.leave(now, now))
         run(world, 5.0)
-        assert conf(world, name).left
+        assert conf(world, name).may_exit
         assert len(world.leases()) == 2
         world.kill(name)
         world.start(name)
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -18,7 +18,7 @@
 
 def owner(key, known):
     members = known.exclude_dead(key, MEMBERS)
-    return ownership.owner(key, members, SKEW)
+    return ownership.find_owner(key, members, SKEW)
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
@@ -39,13 +39,13 @@
     key = key_at(NOW + minted, seed)
     takers = []
     for name in sorted(set(NAMES) - dead):
-        known = deaths.Deaths(SKEW)
+        known = deaths.DeadEntries(SKEW)
         noticed = sorted(dead)
         if noticed:
             noticed = data.draw(st.lists(st.sampled_from(noticed)))
         for one in noticed:
             member = MEMBERS[NAMES.index(one)]
-            known.proved(member, NOW + died)
+            known.record_death(member, NOW + died)
         if owner(key, known).name == name:
             takers.append(name)
     assert len(takers) <= 1
@@ -56,8 +56,8 @@
 
     New jobs must not have to wait until the store is available again.
     """
-    known = deaths.Deaths(SKEW)
-    known.proved(MEMBERS[0], NOW)
+    known = deaths.DeadEntries(SKEW)
+    known.record_death(MEMBERS[0], NOW)
     late = NOW + SKEW + deaths.DEATH_MARGIN_SECONDS + 0.1
     owners = {owner(key_at(late, seed), known).name for seed in range(50)}
     assert owners == {'b', 'c'}
@@ -71,20 +71,22 @@
     Jobs that others accepted in between must not fail as if the dead entry
     might have started them.
     """
-    known = deaths.Deaths(SKEW)
-    known.proved(MEMBERS[0], NOW)
+    known = deaths.DeadEntries(SKEW)
+    known.record_death(MEMBERS[0], NOW)
     removed = messages.Member('a', 1, '', 'z', NOW - 100, NOW + 10)
     members = (removed, *MEMBERS[1:])
     seeds = [
         seed
         for seed in range(50)
-        if ownership.taken_over(key_at(NOW + 5, seed), members, SKEW)
+        if ownership.may_have_been_started(
+            key_at(NOW + 5, seed), members, SKEW
+        )
     ]
     assert seeds
     for seed in seeds:
         key = key_at(NOW + 5, seed)
         suspects = known.exclude_dead(key, members)
-        assert not ownership.taken_over(key, suspects, SKEW)
+        assert not ownership.may_have_been_started(key, suspects, SKEW)
     early = key_at(NOW - 1, seeds[0])
     assert known.exclude_dead(early, members) == members
 
@@ -95,8 +97,8 @@
     The second is removed while the first is still listed.  Unless the third
     entry takes the second's jobs over, it runs their tasks a second time.
     """
-    known = deaths.Deaths(SKEW)
-    known.proved(MEMBERS[0], NOW)
+    known = deaths.DeadEntries(SKEW)
+    known.record_death(MEMBERS[0], NOW)
     removed = messages.Member('b', 1, '', 'z', NOW - 100, NOW + 20)
     members = (MEMBERS[0], removed, MEMBERS[2])
     served_by_b = [
@@ -107,5 +109,5 @@
     assert served_by_b
     for key in served_by_b:
         suspects = known.exclude_dead(key, members)
-        assert ownership.owner(key, suspects, SKEW).name == 'c'
-        assert ownership.taken_over(key, suspects, SKEW)
+        assert ownership.find_owner(key, suspects, SKEW).name == 'c'
+        assert ownership.may_have_been_started(key, suspects, SKEW)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -63,7 +63,7 @@
     dispatcher.enqueue(make_job(tasks=100), 0.0)
     rest = dispatcher.place(_get_full_share, 0.0)
     assert sum(len(placed.tasks) for placed in rest) == SLOTS - 8
-    assert dispatcher.waiting() == 28
+    assert dispatcher.count_waiting() == 28
 
 
 def test_a_burst_is_admitted_as_far_as_it_ends_in_time(
@@ -143,7 +143,7 @@
         (placed,) = dispatcher.place(_get_full_share, 0.0)
         (task,) = placed.tasks
         order.append(task.job.team)
-        dispatcher.ended('a0', task.job, task.index, True, 0.1, 0.0)
+        dispatcher.record_outcome('a0', task.job, task.index, True, 0.1, 0.0)
     assert order == (['all-urgent'] * 8 + ['plain']) * 2
 
 
@@ -229,7 +229,7 @@
     make_dispatch, make_job
 ):
     dispatcher = make_dispatch()
-    dispatcher.agent_gone('a1')
+    dispatcher.mark_disconnected('a1')
     dispatcher.enqueue(make_job(tasks=200), 0.0)
     placed = dispatcher.place(lambda zone: 0.0 if zone == 'z0' else 1.0, 0.0)
     agents = {one.agent for one in placed}
@@ -259,8 +259,8 @@
     job = make_job(needs=types.Needs(1.0, 100, 1))
     dispatcher.enqueue(job, 0.0)
     ((placed,),) = [dispatcher.place(_get_full_share, 0.0)]
-    dispatcher.refused(placed.agent, job.team, 0.1)
-    assert dispatcher.requeue(placed.tasks[0], placed.agent, 0.1)
+    dispatcher.release_slot(placed.agent, job.team, 0.1)
+    assert dispatcher.schedule_retry(placed.tasks[0], placed.agent, 0.1)
     (second,) = dispatcher.place(_get_full_share, 0.2)
     assert second.agent != placed.agent
     assert second.tasks[0].attempt == 1
@@ -282,12 +282,12 @@
     ((placed,),) = [dispatcher.place(_get_full_share, 0.0)]
     assert dispatcher.drop(cancelled.key) == (2, 3, 4)
     dispatcher.enqueue(late, 0.0)
-    dispatcher.refused(placed.agent, 't', 0.1)
-    assert dispatcher.requeue(placed.tasks[0], placed.agent, 0.1)
+    dispatcher.release_slot(placed.agent, 't', 0.1)
+    assert dispatcher.schedule_retry(placed.tasks[0], placed.agent, 0.1)
     assert dispatcher.drop(cancelled.key) == (placed.tasks[0].index,)
     assert dispatcher.expire(3.9) == ()
     assert [task.index for task in dispatcher.expire(4.0)] == [0, 1, 2]
-    assert dispatcher.waiting() == 0
+    assert dispatcher.count_waiting() == 0
 
 
 def test_the_deadline_of_an_ended_job_does_not_wake_the_entry(
@@ -303,7 +303,7 @@
     dispatcher.place(_get_full_share, 0.0)
     dispatcher.enqueue(make_job(tasks=2, deadline=9.0), 1.0)
     dispatcher.place(_get_full_share, 1.0)
-    assert dispatcher.waiting() == 2
+    assert dispatcher.count_waiting() == 2
     assert dispatcher.next_wake(5.0) > 5.0
 
 
@@ -325,8 +325,10 @@
         for placed in dispatcher.place(_get_full_share, now):
             for task in placed.tasks:
                 ok = placed.agent != 'a0'
-                dispatcher.ended(placed.agent, job, task.index, ok, 0.1, now)
-    assert dispatcher.waiting() == 0
+                dispatcher.record_outcome(
+                    placed.agent, job, task.index, ok, 0.1, now
+                )
+    assert dispatcher.count_waiting() == 0
     later = now + 600.0
     assert (dispatcher.next_wake(later) or later + 1) > later
 
@@ -341,18 +343,18 @@
     info = dispatch.AgentInfo('a', 1, 'z', 'r')
     capacity = types.Needs(1, 1, 0)
     offer = messages.Offer(1, 0, 8, ('k',), capacity, False)
-    dispatcher.agent_offers(info, offer, 0.0)
+    dispatcher.apply_offer(info, offer, 0.0)
     job = make_job(tasks=3)
     assert dispatcher.admit(job, _is_open, 1.0) is None
     dispatcher.enqueue(job, 1.0)
     assert dispatcher.place(_get_full_share, 1.0) == []
-    assert dispatcher.asks(1.0) == [('a', 3)]
-    assert dispatcher.asks(1.1) == []
-    assert dispatcher.asks(1.3) == [('a', 3)]
-    dispatcher.agent_credits('a', 2, 1.4)
+    assert dispatcher.get_slot_requests(1.0) == [('a', 3)]
+    assert dispatcher.get_slot_requests(1.1) == []
+    assert dispatcher.get_slot_requests(1.3) == [('a', 3)]
+    dispatcher.set_credits('a', 2, 1.4)
     (placed,) = dispatcher.place(_get_full_share, 1.4)
     assert len(placed.tasks) == 2
-    assert dispatcher.asks(1.5) == []
+    assert dispatcher.get_slot_requests(1.5) == []
 
 
 def test_a_queue_that_own_slots_soon_drain_moves_no_slots(
@@ -367,28 +369,28 @@
     dispatcher = make_dispatch(agents=1, slots=8)
     dispatcher.enqueue(make_job(tasks=8 + 10), 0.0)
     dispatcher.place(_get_full_share, 0.0)
-    assert dispatcher.demand(0.1) == dispatcher.waiting() == 10
+    assert dispatcher.compute_demand(0.1) == dispatcher.count_waiting() == 10
     for at in range(20):
         dispatcher.place(_get_full_share, 1.0 * at)
     job = make_job('other', tasks=40)
-    dispatcher.refused('a0', 't', 20.0)
+    dispatcher.release_slot('a0', 't', 20.0)
     dispatcher.place(_get_full_share, 20.0)
-    assert dispatcher.demand(20.1) == 0
+    assert dispatcher.compute_demand(20.1) == 0
     dispatcher.enqueue(job, 20.2)
     dispatcher.place(_get_full_share, 20.2)
-    assert 0 < dispatcher.demand(20.2) < 49
-    assert dispatcher.demand(21.0) == 49
+    assert 0 < dispatcher.compute_demand(20.2) < 49
+    assert dispatcher.compute_demand(21.0) == 49
 
 
 def test_an_ejection_is_recorded_once(make_dispatch, make_job):
     dispatcher = make_dispatch(agents=3)
     job = make_job(tasks=10)
     for index in range(10):
-        dispatcher.ended('a1', job, index, False, 0.01, 5.0)
-    (note,) = dispatcher.take_notes()
+        dispatcher.record_outcome('a1', job, index, False, 0.01, 5.0)
+    (note,) = dispatcher.pop_notes()
     assert note.name == 'worker_ejected'
     assert dict(note.fields)['agent'] == 'a1'
-    assert dispatcher.take_notes() == []
+    assert dispatcher.pop_notes() == []
 
 
 def test_a_quota_keeps_slots_for_other_teams(make_dispatch, make_job):
@@ -421,7 +423,7 @@
     dispatcher.enqueue(job, 0.0)
     dispatcher.place(_get_full_share, 0.0)
     for _ in range(8):
-        dispatcher.ended('a1', job, 0, False, 0.1, 0.0)
+        dispatcher.record_outcome('a1', job, 0, False, 0.1, 0.0)
     status = dispatcher.status(0.0)
     assert status.queued == (('team', 4),)
     assert status.ejected == ('a1',)
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -45,7 +45,7 @@
         return self.in_force(self._world.now).version
 
     @property
-    def left(self):
+    def may_exit(self):
         return self.in_force(self._world.now).member(self._name) is None
 
     def leave(self, stopped_at, now):
@@ -333,7 +333,7 @@
 
 def serve_as_new(monkeypatch):
     monkeypatch.setattr(
-        takeover.Takeover, 'concerns', lambda *args, **more: False
+        takeover.Takeover, 'may_be_taken_over', lambda *args, **more: False
     )
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -60,7 +60,7 @@
     body = {'team': 't', 'tasks': [{**TASK, **task}], **members}
     data = json.dumps(body).encode()
     try:
-        job = job_bodies.job_spec(data, KEY, None, conftest.NOW, 10)
+        job = job_bodies.parse_job(data, KEY, None, conftest.NOW, 10)
     except web.Refused as exc:
         assert exc.problem.run == 'not_run'
         assert 400 <= exc.problem.status < 500
@@ -171,7 +171,7 @@
 
 
 def test_the_unmodified_body_of_the_fuzz_tests_is_a_valid_job():
-    job = job_bodies.job_spec(
+    job = job_bodies.parse_job(
         json.dumps({'team': 't', 'tasks': [TASK]}).encode(),
         KEY,
         None,
--- a/tests/test_httpupstream.py
+++ b/tests/test_httpupstream.py
@@ -19,7 +19,7 @@
     def __init__(self):
         self.events = test_standin_upstream.Events()
         self.upstream = httpupstream.HttpUpstream(self.events.feed)
-        self.agent = announce.server(
+        self.agent = announce.build_server(
             self.events.feed, settings.Upstreams('127.0.0.1:0')
         )
         socks = tornado.netutil.bind_sockets(0, '127.0.0.1')
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -27,10 +27,10 @@
     task_ledger.end(job, 0, FINISHED, NOW + 1)
     now = NOW
     while len(task_ledger):
-        assert task_ledger.known(ref(job), now).state == FINISHED
+        assert task_ledger.find_report(ref(job), now).state == FINISHED
         now += 50
         task_ledger.delete_expired(now)
-    assert task_ledger.known(ref(job), now).state == types.TaskState.LOST
+    assert task_ledger.find_report(ref(job), now).state == types.TaskState.LOST
 
 
 def test_a_task_longer_than_the_window_keeps_its_record():
@@ -44,7 +44,7 @@
     for step in range(30):
         task_ledger.delete_expired(NOW + 100 * step)
     assert (
-        task_ledger.known(ref(job), NOW + 3000).state
+        task_ledger.find_report(ref(job), NOW + 3000).state
         == types.TaskState.RUNNING
     )
     assert task_ledger.end(job, 0, FINISHED, NOW + 3000).state == FINISHED
@@ -65,7 +65,7 @@
     ]
     assert states == ['refused'] * 20 + ['lost'] * 10
     assert task_ledger.is_full()
-    assert task_ledger.known(ref(agents.key(0)), NOW).state == 'refused'
+    assert task_ledger.find_report(ref(agents.key(0)), NOW).state == 'refused'
     assert task_ledger.stop(agents.key(99), OWNER, NOW) == []
     assert len(task_ledger) == 20
 
@@ -93,6 +93,9 @@
 
 def test_keys_ahead_of_the_clock_and_malformed_ones_never_start():
     task_ledger = make_ledger()
-    assert task_ledger.known(ref(agents.key(at=NOW + 3)), NOW).state == 'lost'
-    assert task_ledger.known(ref('x'), NOW).state == 'refused'
-    assert task_ledger.known(ref(agents.key(at=NOW + 2)), NOW) is None
+    assert (
+        task_ledger.find_report(ref(agents.key(at=NOW + 3)), NOW).state
+        == 'lost'
+    )
+    assert task_ledger.find_report(ref('x'), NOW).state == 'refused'
+    assert task_ledger.find_report(ref(agents.key(at=NOW + 2)), NOW) is None
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,9 @@
     before = (root.handlers[:], root.level)
     try:
         logs.setup('info', 'entry-1', stream)
-        logs.noted(log, core.note('task.failed', task='a', why='x "y"\nz=1'))
+        logs.log_note(
+            log, core.note('task.failed', task='a', why='x "y"\nz=1')
+        )
         log.info('from a library')
         log.debug('not shown')
     finally:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -48,7 +48,7 @@
             recorder.gauge('links_bytes_in', next(readings))
             return recorder.text()
 
-        server = httpserver.HTTPServer(metrics.application(text))
+        server = httpserver.HTTPServer(metrics.make_application(text))
         (sock,) = netutil.bind_sockets(0, '127.0.0.1')
         server.add_sockets([sock])
         url = f'http://127.0.0.1:{sock.getsockname()[1]}/metrics'
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -21,7 +21,7 @@
 
 
 def test_a_key_contains_its_time_stamp_and_is_refused_out_of_the_window():
-    assert ownership.stamp(key_at(NOW)) == NOW
+    assert ownership.get_timestamp(key_at(NOW)) == NOW
     faults = ownership.KeyFault
     for shift, fault in (
         (0, None),
@@ -43,17 +43,17 @@
     key = change(key_at(NOW, 0xABC))
     assert ownership.check(key, NOW) is ownership.KeyFault.MALFORMED
     with pytest.raises(exceptions.BadKey):
-        ownership.stamp(key)
+        ownership.get_timestamp(key)
 
 
 def test_keys_spread_evenly_and_have_no_owner_without_entries():
     members = tuple(member(name, NOW - 60) for name in 'abc')
     owners = [
-        ownership.owner(key_at(NOW, seed), members).name
+        ownership.find_owner(key_at(NOW, seed), members).name
         for seed in range(3000)
     ]
     assert all(900 < owners.count(name) < 1100 for name in 'abc')
-    assert ownership.owner(key_at(NOW), ()) is None
+    assert ownership.find_owner(key_at(NOW), ()) is None
 
 
 def test_a_planned_stop_leaves_no_new_key_suspect():
@@ -67,11 +67,11 @@
     keys = [key_at(NOW, seed) for seed in range(50)]
     for gone, suspects in ((lost, True), (stopped, False)):
         members = (gone, member('b', NOW - 60))
-        found = [ownership.taken_over(key, members) for key in keys]
+        found = [ownership.may_have_been_started(key, members) for key in keys]
         assert any(found) is suspects
     before = [key_at(NOW - 2, seed) for seed in range(50)]
     members = (stopped, member('b', NOW - 60))
-    assert any(ownership.taken_over(key, members) for key in before)
+    assert any(ownership.may_have_been_started(key, members) for key in before)
 
 
 times = st.floats(0, 20).map(lambda shift: NOW + round(shift, 1))
@@ -84,7 +84,7 @@
 @hypothesis.given(
     members_drawn, times, st.floats(-2, 20), st.integers(0, 4095)
 )
-def test_a_key_changes_owner_only_by_removal_which_marks_it_taken_over(
+def test_a_key_changes_owner_only_by_removal_which_marks_it_maybe_started(
     drawn, first, stamped_later, seed
 ):
     """Entries come and go while a caller submits a key again and again.
@@ -109,9 +109,9 @@
             for one in members
             if one.listed_at <= now
         )
-        found = ownership.owner(key, seen)
+        found = ownership.find_owner(key, seen)
         if found is None:
             continue
         if before is not None and found.name != before:
-            assert ownership.taken_over(key, seen)
+            assert ownership.may_have_been_started(key, seen)
         before = before or found.name
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -33,10 +33,10 @@
     def get_others(self):
         return sorted(set(self.entries) - {self.get_coordinator()})
 
-    def want(self, name, waiting):
-        self.entries[name].waiting({'t': waiting})
+    def set_waiting(self, name, waiting):
+        self.entries[name].set_waiting({'t': waiting})
 
-    def allowed(self):
+    def get_limits(self):
         return {
             name: entry.get_limit('t', self.now)
             for name, entry in self.entries.items()
@@ -70,9 +70,9 @@
     """
     cluster = _Cluster()
     busy = cluster.get_others()[0]
-    cluster.want(busy, 50)
+    cluster.set_waiting(busy, 50)
     cluster.advance(3.0)
-    allowed = cluster.allowed()
+    allowed = cluster.get_limits()
     assert allowed[busy] >= 8
     assert sum(allowed.values()) <= QUOTA
 
@@ -80,11 +80,11 @@
 def test_two_busy_entries_converge_to_equal_limits():
     cluster = _Cluster()
     first, second = cluster.get_others()
-    cluster.want(first, 50)
+    cluster.set_waiting(first, 50)
     cluster.advance(3.0)
-    cluster.want(second, 50)
+    cluster.set_waiting(second, 50)
     cluster.advance(6.0)
-    allowed = cluster.allowed()
+    allowed = cluster.get_limits()
     assert abs(allowed[first] - allowed[second]) <= 1
     assert allowed[first] >= 4
 
@@ -97,27 +97,27 @@
     """
     cluster = _Cluster()
     busy, idle = cluster.get_others()
-    cluster.want(busy, 50)
+    cluster.set_waiting(busy, 50)
     cluster.advance(3.0)
     cluster.lost.add(cluster.get_coordinator())
     for _ in range(200):
         cluster.step()
-        assert sum(cluster.allowed().values()) <= QUOTA
-    assert cluster.allowed()[busy] >= QUOTA // 3
-    assert cluster.allowed()[idle] >= QUOTA // 3
+        assert sum(cluster.get_limits().values()) <= QUOTA
+    assert cluster.get_limits()[busy] >= QUOTA // 3
+    assert cluster.get_limits()[idle] >= QUOTA // 3
 
 
 def test_a_new_entry_has_no_share_before_old_loans_end():
     """Entries join while a team's whole quota is lent to one of them."""
     cluster = _Cluster(('e0', 'e1'))
-    cluster.want('e0', 50)
+    cluster.set_waiting('e0', 50)
     cluster.advance(3.0)
     cluster.entries['e2'] = quotas.Quotas('e2')
     cluster.configure(NAMES)
     for _ in range(240):
         cluster.step()
-        assert sum(cluster.allowed().values()) <= QUOTA
-    assert cluster.allowed()['e0'] >= QUOTA // 2
+        assert sum(cluster.get_limits().values()) <= QUOTA
+    assert cluster.get_limits()['e0'] >= QUOTA // 2
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
@@ -127,12 +127,12 @@
     rng = random.Random(seed)
     cluster = _Cluster(quota=quota)
     for _ in range(40):
-        cluster.want(rng.choice(NAMES), rng.choice((0, 0, 2, 5, 50)))
+        cluster.set_waiting(rng.choice(NAMES), rng.choice((0, 0, 2, 5, 50)))
         if rng.random() < 0.3:
             cluster.lost = set(rng.sample(NAMES, rng.randrange(3)))
         for _ in range(rng.randrange(1, 40)):
             cluster.step()
-            allowed = cluster.allowed()
+            allowed = cluster.get_limits()
             assert sum(allowed.values()) <= quota, allowed
 
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -20,7 +20,7 @@
     return sessions.Session()
 
 
-def told(session):
+def check_and_render(session):
     """Check that no task started twice and no "not run" is false.
 
     :returns: the session's lines.
@@ -37,7 +37,7 @@
 def test_a_plain_job(session, snapshot):
     session.submit('job', [0.1, 0.2, 0.3])
     session.run(2.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
 
 
 def test_a_refused_job(session, snapshot):
@@ -47,7 +47,7 @@
     """
     session.submit('job', [0.1], kind='unheard-of')
     session.run(12.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
     assert session.starts == []
 
 
@@ -64,7 +64,7 @@
     session.run(4.0)
     session.submit('job-back', [0.2] * 6)
     session.run(2.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
 
 
 def test_a_preset_switch(session, snapshot):
@@ -77,7 +77,7 @@
     session.run(1.0)
     session.submit('job', [0.1])
     session.run(5.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
 
 
 def test_an_entry_lost(session, snapshot):
@@ -96,7 +96,7 @@
     session.run(8.0)
     session.submit_again('job', at=other)
     session.run(5.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
 
 
 def test_an_entry_lost_and_asked_for_too_late(session, snapshot):
@@ -112,7 +112,7 @@
     other = {'entry-1': 'entry-2', 'entry-2': 'entry-1'}[owner]
     session.submit_again('job', at=other)
     session.run(5.0)
-    assert told(session) == snapshot
+    assert check_and_render(session) == snapshot
     assert session.answers[-1].status != types.JobStatus.NOT_RUN
 
 
@@ -192,7 +192,7 @@
         for at in alive:
             session.submit_again(name, at)
     session.run(30.0)
-    told(session)
+    check_and_render(session)
     assert late_starts(session) == []
     final = collections.defaultdict(set)
     for answer in session.answers:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -12,7 +12,7 @@
     found.resize(total)
     for owner in owners:
         found.join(owner)
-    found.revise()
+    found.rebalance()
     return found
 
 
@@ -30,10 +30,10 @@
     Slots leased to the others would stay unused and the job take longer.
     """
     found = leased(A, B)
-    found.want(A, 100)
-    assert set(found.revise()) == {A, B}
+    found.set_demand(A, 100)
+    assert set(found.rebalance()) == {A, B}
     assert credits(found, A, B) == [8, 0]
-    assert found.revise() == []
+    assert found.rebalance() == []
 
 
 def test_a_burst_leaves_another_entry_an_equal_share_as_tasks_end():
@@ -43,19 +43,19 @@
     must get the first slot that is released.
     """
     found = leased(A, B)
-    found.want(A, 100)
-    found.revise()
+    found.set_demand(A, 100)
+    found.rebalance()
     for _ in range(8):
-        found.take(A)
-    found.want(B, 100)
-    assert found.revise() == []
+        found.acquire(A)
+    found.set_demand(B, 100)
+    assert found.rebalance() == []
     for given in range(1, 5):
         found.release(A)
-        found.revise()
+        found.rebalance()
         assert credits(found, A, B) == [8 - given, given]
-        found.take(B)
+        found.acquire(B)
     found.release(A)
-    found.revise()
+    found.rebalance()
     assert credits(found, A, B) == [4, 4]
 
 
@@ -81,15 +81,15 @@
     found = leased()
     for move, owner, number in drawn:
         if move == 'take' and found.free > 0:
-            found.take(owner)
-        elif move == 'release' and found.runs(owner):
+            found.acquire(owner)
+        elif move == 'release' and found.has_running(owner):
             found.release(owner)
         elif move == 'want':
-            found.want(owner, number)
+            found.set_demand(owner, number)
         elif move == 'resize':
             found.resize(number)
         elif move in ('join', 'leave'):
             getattr(found, move)(owner)
-        found.revise()
+        found.rebalance()
         given = sum(credits(found, A, B, C))
         assert given <= max(found.total, found.running)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,7 +20,7 @@
 KEY = next(
     agents.key(seed)
     for seed in range(100)
-    if ownership.taken_over(agents.key(seed), MEMBERS)
+    if ownership.may_have_been_started(agents.key(seed), MEMBERS)
 )
 AGENTS = {'x': messages.Hello('x', 'agent', 7, 'z', 'r', '', 0)}
 
@@ -115,7 +115,7 @@
     """
     now = NOW + 1.5
     job_takeover = make_takeover(last=False)
-    assert job_takeover.concerns(KEY, MEMBERS)
+    assert job_takeover.may_be_taken_over(KEY, MEMBERS)
     assert not job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
     job_takeover = make_takeover()
     assert job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
@@ -222,7 +222,7 @@
     members = entry.entry.configuration.in_force(now).entries
     while True:
         key = str(uuid_utils.uuid7())
-        if ownership.owner(key, members).name == entry.name:
+        if ownership.find_owner(key, members).name == entry.name:
             return key
         # Soon after a start, another entry may own all keys.  The event loop
         # must run meanwhile, otherwise every entry's lease expires.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -209,7 +209,7 @@
         upstreams[0].begin()
         caller = client.Client(
             [f'https://{entry.http_address}'],
-            tls=tls.caller_context(str(ours.file)),
+            tls=tls.make_caller_context(str(ours.file)),
         )
         try:
             task = client.Task('a', 'k', {'seconds': 0.0})
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -3,8 +3,8 @@
 
 
 def test_a_zone_that_was_never_out_has_all_its_slots():
-    assert zones.share(None, 10.0) == 1.0
-    assert zones.share(cluster.Zone('a', True, 5.0), 10.0) == 0.0
+    assert zones.get_share(None, 10.0) == 1.0
+    assert zones.get_share(cluster.Zone('a', True, 5.0), 10.0) == 0.0
 
 
 def test_a_returned_zone_does_not_get_the_whole_queue_at_once():
@@ -15,7 +15,7 @@
     """
     back = cluster.Zone('a', False, 100.0)
     instants = [100.0 + tenth / 10 for tenth in range(30)]
-    shares = [zones.share(back, now) for now in instants]
+    shares = [zones.get_share(back, now) for now in instants]
     assert shares[0] == zones.FIRST_SHARE
     assert shares == sorted(shares)
     assert shares[-10:] == [1.0] * 10
