--- a/src/agatepick/bench/bench_arrivals.py
+++ b/src/agatepick/bench/bench_arrivals.py
@@ -233,7 +233,7 @@
 }
 
 
-def plan(
+def draw_load(
     pattern: bench_plan.Pattern,
     seed: int,
     seconds: float,
--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -17,8 +17,8 @@
 
 from agatepick.bench import bench_arrivals
 from agatepick.bench import bench_evidence
-from agatepick.bench import bench_truth
 from agatepick.bench import bench_upstream
+from agatepick.bench import bench_violations
 from agatepick.standins import standin_upstream
 from agatepick import types
 
@@ -76,7 +76,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        book: bench_upstream.StartBook,
+        recorder: bench_upstream.StartRecorder,
         latency: float,
         rng: random.Random,
     ):
@@ -86,7 +86,7 @@
         self.cancelled: set[int] = set()
         self.request_errors = RequestErrors()
         self._balancer = balancer
-        self._book = book
+        self._recorder = recorder
         self._latency = latency
         self._rng = rng
         self._http = tornado.simple_httpclient.SimpleAsyncHTTPClient(
@@ -136,14 +136,14 @@
         url: str,
         resubmission: bool,
     ) -> None:
-        sent = self._book.now()
-        give_up_at = sent + job.deadline_after + OUTCOME_WAIT_SECONDS
+        sent_at = self._recorder.now()
+        give_up_at = sent_at + job.deadline_after + OUTCOME_WAIT_SECONDS
         while True:
             answer, error = await self._post(key, body, url, give_up_at)
             final = answer is not None and (
                 answer.status is not types.JobStatus.PENDING
             )
-            if final or self._book.now() >= give_up_at:
+            if final or self._recorder.now() >= give_up_at:
                 break
             await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_SECONDS))
             url = self._balancer.pick(avoid=url)
@@ -152,8 +152,8 @@
             bench_evidence.Reply(
                 job.number,
                 key,
-                sent,
-                self._book.now(),
+                sent_at,
+                self._recorder.now(),
                 answer,
                 resubmission=resubmission,
                 cancelled=job.number in self.cancelled,
@@ -175,7 +175,7 @@
                     'Idempotency-Key': key,
                 },
                 connect_timeout=CONNECT_SECONDS,
-                request_timeout=max(1.0, give_up_at - self._book.now()),
+                request_timeout=max(1.0, give_up_at - self._recorder.now()),
             )
         )
         await asyncio.sleep(self._latency)
@@ -206,7 +206,7 @@
             'urgent': job.urgent,
             'tasks': [
                 {
-                    'id': bench_truth.task_id(position),
+                    'id': bench_violations.task_id(position),
                     'kind': task.kind,
                     'payload': standin_upstream.Payload(task.seconds),
                     'needs': {'cpu': task.cpu},
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -33,7 +33,7 @@
 ANY_PORT = '127.0.0.1:0'
 READY_SECONDS = 30.0
 POLL_SECONDS = 0.05
-ANNOUNCE_TERM_SECONDS = 5.0
+ANNOUNCEMENT_LEASE_SECONDS = 5.0
 UNUSED_URL = 'http://127.0.0.1:1'
 OPERATOR_TOKEN = 'bench-operator-token'
 TABLE_OUTAGE = standin_table.Faults(outage=True)
@@ -48,7 +48,7 @@
         self._zones = zones
 
     def seconds(self, peer: types.PeerName) -> float:
-        """Return the delay of messages to ``peer``."""
+        """Return the latency of messages to ``peer``."""
         return 0.0 if self._zones.get(peer) == self._zone else self._seconds
 
 
@@ -142,7 +142,7 @@
         load: bench_arrivals.Load,
         deployment: bench_plan.Deployment,
         clock: types.Clock,
-        book: bench_upstream.StartBook,
+        recorder: bench_upstream.StartRecorder,
         policy: str = '',
     ):
         self.counts = Counts()
@@ -152,7 +152,7 @@
         self._load = load
         self._deployment = deployment
         self._clock = clock
-        self._book = book
+        self._recorder = recorder
         self._policy = policy
         self._rng = random.Random(load.seed)
         self._zones: dict[str, str] = {}
@@ -201,7 +201,7 @@
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         return sum(site.process.links.traffic.bytes_out for site in sites)
 
-    def evidence_traffic(
+    def traffic_since(
         self, before: collections.Counter[str]
     ) -> bench_evidence.Traffic:
         """Return the messages sent since the counts in ``before``."""
@@ -254,13 +254,13 @@
         self._name_count += 1
         return f'{prefix}-{number}-{self._name_count}'
 
-    def _make_outside(self, name: str, zone: str) -> processes.Outside:
+    def _make_outside(self, name: str, zone: str) -> processes.Dependencies:
         self._zones[name] = zone
         seconds = self._deployment.zone_latency
-        return processes.Outside(
+        return processes.Dependencies(
             self._clock,
             random.Random(self._rng.random()),
-            delay=ZoneDelay(zone, seconds, self._zones),
+            latency=ZoneDelay(zone, seconds, self._zones),
         )
 
     async def _start_entry(self, number: int) -> EntrySite:
@@ -296,12 +296,14 @@
         )
         created: list[standin_upstream.LocalUpstream] = []
 
-        def runner(feed: processes.Feed) -> standin_upstream.LocalUpstream:
+        def make_upstream(
+            feed: processes.Feed,
+        ) -> standin_upstream.LocalUpstream:
             created.append(self._make_upstream(name, number, zone, feed))
             return created[0]
 
         outside = dataclasses.replace(
-            self._make_outside(name, zone), runner=runner
+            self._make_outside(name, zone), make_upstream=make_upstream
         )
         process = processes.AgentProcess.from_settings(cfg, outside)
         await process.start()
@@ -316,20 +318,20 @@
             fail_all=number in self._load.failing_workers,
             slow_factor=dict(self._load.slow_factors).get(number, 1.0),
         )
-        worker = bench_upstream.Worker(number, zone, self._book, faults)
+        worker = bench_upstream.Worker(number, zone, self._recorder, faults)
         announced = upstream.Announced(
             name,
             bench_arrivals.KINDS,
             self._deployment.slots,
             types.Needs(self._deployment.cores, self._deployment.memory_mb),
             UNUSED_URL,
-            ANNOUNCE_TERM_SECONDS,
+            ANNOUNCEMENT_LEASE_SECONDS,
         )
         return standin_upstream.LocalUpstream(worker, feed, announced)
 
     def _count_messages(self, process: processes.Process) -> None:
         process.shell.reducer = CountingReducer(
-            process.shell.reducer, self.counts, self._book.now
+            process.shell.reducer, self.counts, self._recorder.now
         )
 
     def _are_all_slots_offered(self) -> bool:
--- a/src/agatepick/bench/bench_evidence.py
+++ b/src/agatepick/bench/bench_evidence.py
@@ -31,14 +31,14 @@
 class Reply:
     """The reply to one submission of a job.
 
-    :param sent: seconds from the run's start; ``got`` likewise.
+    :param sent_at: seconds from the run's start; ``received_at`` likewise.
     :param answer: None if the connection broke or no answer arrived.
     """
 
     job: int
     key: types.JobKey
-    sent: float
-    got: float
+    sent_at: float
+    received_at: float
     answer: types.JobAnswer | None
     resubmission: bool = False
     cancelled: bool = False
@@ -46,20 +46,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Departure:
+class ZoneDeparture:
     """Departure of a zone; instants are seconds from the run's start.
 
-    :param asked: when the change was requested.
-    :param accepted: when an entry accepted the change.
-    :param in_force: from when on no task may start in the zone.
-    :param returned: when the zone was in use again.
+    :param requested_at: when the change was requested.
+    :param accepted_at: when an entry accepted the change.
+    :param in_force_at: from when on no task may start in the zone.
+    :param returned_at: when the zone was in use again.
     """
 
     zone: str
-    asked: float
-    accepted: float
-    in_force: float
-    returned: float
+    requested_at: float
+    accepted_at: float
+    in_force_at: float
+    returned_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,4 +102,4 @@
     replies: tuple[Reply, ...]
     runs: tuple[Run, ...]
     traffic: Traffic
-    departures: tuple[Departure, ...] = ()
+    departures: tuple[ZoneDeparture, ...] = ()
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -88,7 +88,7 @@
     """
     plans = {job.number: job for job in evidence.load.jobs}
     return {
-        number: reply.got - plans[number].at
+        number: reply.received_at - plans[number].at
         for number, reply in completed_replies(evidence).items()
     }
 
@@ -168,7 +168,7 @@
     return (
         reply.answer is not None
         and reply.answer.status is types.JobStatus.COMPLETE
-        and reply.got <= plan.at + plan.deadline_after
+        and reply.received_at <= plan.at + plan.deadline_after
     )
 
 
@@ -211,7 +211,7 @@
     """
     if not evidence.departures:
         return None
-    since = min(departure.asked for departure in evidence.departures)
+    since = min(departure.requested_at for departure in evidence.departures)
     until = evidence.load.seconds
     spans = [(run.start, run.end) for run in evidence.runs]
     ideal_work = bench_ideal.work_between(ideal.runs, since, until)
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -24,14 +24,14 @@
         load: bench_arrivals.Load,
         installation: bench_cluster.Cluster,
         callers: bench_callers.Callers,
-        book: bench_upstream.StartBook,
+        recorder: bench_upstream.StartRecorder,
     ):
-        self.departures: dict[str, bench_evidence.Departure] = {}
+        self.departures: dict[str, bench_evidence.ZoneDeparture] = {}
         self.step_errors: list[str] = []
         self._load = load
         self._installation = installation
         self._callers = callers
-        self._book = book
+        self._recorder = recorder
         self._step_handlers: dict[
             bench_plan.Action,
             collections.abc.Callable[
@@ -58,7 +58,7 @@
             asyncio.create_task(self._play_job(job)) for job in self._load.jobs
         ]
         step_task = asyncio.create_task(self._play_steps())
-        remaining = self._load.seconds + DRAIN_SECONDS - self._book.now()
+        remaining = self._load.seconds + DRAIN_SECONDS - self._recorder.now()
         _, unfinished = await asyncio.wait(
             [*tasks, step_task], timeout=remaining
         )
@@ -68,38 +68,38 @@
 
     def unanswered(self) -> list[bench_evidence.Reply]:
         """Return a reply without an answer for each job still open."""
-        now = self._book.now()
+        now = self._recorder.now()
         return [
             bench_evidence.Reply(number, key, 0.0, now, None, error='silent')
             for number, key in self._callers.open.items()
         ]
 
     async def _play_job(self, job: bench_arrivals.JobPlan) -> None:
-        await asyncio.sleep(job.at - self._book.now())
+        await asyncio.sleep(job.at - self._recorder.now())
         await self._callers.submit(job)
 
     async def _play_steps(self) -> None:
         for step in self._load.steps:
-            await asyncio.sleep(step.at - self._book.now())
+            await asyncio.sleep(step.at - self._recorder.now())
             try:
                 await self._step_handlers[step.action](step.target)
             except Exception as exc:
                 self.step_errors.append(f'{step.action}: {exc!r}')
 
     async def _zone_out(self, zone: str) -> None:
-        requested_at = self._book.now()
+        requested_at = self._recorder.now()
         verdict = await self._installation.change(cluster.ZoneOut(zone))
-        accepted_at = self._book.now()
-        in_force = self._book.seconds_at(verdict.in_force_at)
-        self.departures[zone] = bench_evidence.Departure(
-            zone, requested_at, accepted_at, in_force, float('inf')
+        accepted_at = self._recorder.now()
+        in_force_at = self._recorder.to_run_seconds(verdict.in_force_at)
+        self.departures[zone] = bench_evidence.ZoneDeparture(
+            zone, requested_at, accepted_at, in_force_at, float('inf')
         )
 
     async def _zone_in(self, zone: str) -> None:
         verdict = await self._installation.change(cluster.ZoneIn(zone))
-        returned = self._book.seconds_at(verdict.in_force_at)
+        returned_at = self._recorder.to_run_seconds(verdict.in_force_at)
         self.departures[zone] = dataclasses.replace(
-            self.departures[zone], returned=returned
+            self.departures[zone], returned_at=returned_at
         )
 
     async def _store_down(self, target: str) -> None:
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -9,7 +9,7 @@
 from agatepick.bench import bench_evidence
 from agatepick.bench import bench_ideal
 from agatepick.bench import bench_measures
-from agatepick.bench import bench_truth
+from agatepick.bench import bench_violations
 
 PLOT_DPI = 120
 WORK_BINS = 60
@@ -72,7 +72,7 @@
         **response_figures(evidence, ideal),
         **message_figures(evidence),
         **outcome_figures(evidence),
-        **dataclasses.asdict(bench_truth.judge(evidence)),
+        **dataclasses.asdict(bench_violations.find_violations(evidence)),
         **departure_figures(evidence, ideal),
         **(extra or {}),
     }
@@ -143,13 +143,14 @@
         return {}
     departure = evidence.departures[0]
     starts = [
-        run.start - departure.accepted
+        run.start - departure.accepted_at
         for run in evidence.runs
-        if run.zone == departure.zone and run.start < departure.returned
+        if run.zone == departure.zone and run.start < departure.returned_at
     ]
     return {
         'work_ratio': bench_measures.work_ratio(evidence, ideal),
-        'accepted_after_asked_seconds': departure.accepted - departure.asked,
+        'accepted_after_asked_seconds': departure.accepted_at
+        - departure.requested_at,
         'last_start_after_acceptance': max(starts, default=None),
     }
 
@@ -178,7 +179,7 @@
 
 def plot_work(
     report: Report,
-    departures: collections.abc.Iterable[bench_evidence.Departure],
+    departures: collections.abc.Iterable[bench_evidence.ZoneDeparture],
     path: pathlib.Path,
 ) -> None:
     """Plot busy slots over time, with the zones' departures shaded."""
@@ -190,8 +191,8 @@
     )
     for departure in departures:
         axes.axvspan(
-            departure.in_force,
-            departure.returned,
+            departure.in_force_at,
+            departure.returned_at,
             alpha=0.15,
             label=f'{departure.zone} out',
         )
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -21,8 +21,8 @@
 from agatepick.bench import bench_plan
 from agatepick.bench import bench_player
 from agatepick.bench import bench_report
-from agatepick.bench import bench_truth
 from agatepick.bench import bench_upstream
+from agatepick.bench import bench_violations
 from agatepick.config import cluster
 from agatepick.net import clocks
 
@@ -61,7 +61,7 @@
 def run(options: Options) -> PlayResult:
     """Play one pattern; play ``hot`` a second time without heavy teams."""
     deployment = bench_plan.DEPLOYMENTS[options.deployment]
-    load = bench_arrivals.plan(
+    load = bench_arrivals.draw_load(
         options.pattern,
         options.seed,
         options.seconds,
@@ -92,26 +92,28 @@
         starts.
     """
     clock = clocks.ProcessClock.start()
-    book = bench_upstream.StartBook(clock)
-    installation = bench_cluster.Cluster(load, deployment, clock, book, policy)
+    recorder = bench_upstream.StartRecorder(clock)
+    installation = bench_cluster.Cluster(
+        load, deployment, clock, recorder, policy
+    )
     rng = random.Random(load.seed)
     callers = bench_callers.Callers(
-        installation, book, deployment.client_latency, rng
+        installation, recorder, deployment.client_latency, rng
     )
-    player = bench_player.Player(load, installation, callers, book)
+    player = bench_player.Player(load, installation, callers, recorder)
     try:
         await installation.start()
         for change in first_changes:
             await installation.change(change)
         before, sent = installation.traffic(), installation.bytes_sent()
-        book.begin()
+        recorder.start_run()
         lag = bench_lag.LoopLag()
         lag.start()
         cpu = time.process_time()
         await player.play()
         cpu = time.process_time() - cpu
         lag.stop()
-        traffic = installation.evidence_traffic(before)
+        traffic = installation.traffic_since(before)
         sent = installation.bytes_sent() - sent
     finally:
         callers.close()
@@ -120,7 +122,7 @@
         load,
         deployment,
         (*callers.replies, *player.unanswered()),
-        tuple(book.runs),
+        tuple(recorder.runs),
         traffic,
         tuple(player.departures.values()),
     )
@@ -130,7 +132,7 @@
         'bytes': sent,
         **lag.figures(),
         'cpu_seconds_all_processes_and_bench': cpu,
-        'starts_per_cpu_second_of_all': len(book.runs) / cpu,
+        'starts_per_cpu_second_of_all': len(recorder.runs) / cpu,
     }
     report = bench_report.summarize(evidence, simulate_ideal(evidence), extra)
     return PlayResult(report, evidence)
@@ -150,7 +152,7 @@
     excluded |= {reply.job for reply in evidence.replies if reply.cancelled}
     jobs = [job for job in evidence.load.jobs if job.number not in excluded]
     closures = [
-        bench_ideal.Closure(one.zone, one.in_force, one.returned)
+        bench_ideal.Closure(one.zone, one.in_force_at, one.returned_at)
         for one in evidence.departures
     ]
     return bench_ideal.simulate(jobs, evidence.deployment, closures)
@@ -169,7 +171,8 @@
         'store_writes': installation.table.counts.writes,
         'failed_steps': len(player.step_errors),
         'step_errors': '; '.join(player.step_errors) or None,
-        'second_starts': bench_truth.describe_second_starts(evidence) or None,
+        'second_starts': bench_violations.describe_second_starts(evidence)
+        or None,
     }
     figures |= {
         f'answers_{code}': count
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -7,13 +7,13 @@
 import dataclasses
 
 from agatepick.bench import bench_evidence
-from agatepick.bench import bench_truth
+from agatepick.bench import bench_violations
 from agatepick.standins import standin_upstream
 from agatepick import types
 
 
-class StartBook:
-    """Record of the starts at all upstreams of one run.
+class StartRecorder:
+    """Recorder of the starts at all upstreams of one run.
 
     Instants are seconds from the start of the run.
     """
@@ -23,15 +23,15 @@
         self._clock = clock
         self._begin = clock.now()
 
-    def begin(self) -> None:
+    def start_run(self) -> None:
         """Set the start of the run to the present instant."""
         self._begin = self._clock.now()
 
     def now(self) -> float:
         """Return the seconds since the start of the run."""
-        return self.seconds_at(self._clock.now())
+        return self.to_run_seconds(self._clock.now())
 
-    def seconds_at(self, instant: float) -> float:
+    def to_run_seconds(self, instant: float) -> float:
         """Convert an instant to seconds since the start of the run."""
         return instant - self._begin
 
@@ -54,13 +54,13 @@
         self,
         number: int,
         zone: str,
-        book: StartBook,
+        recorder: StartRecorder,
         faults: standin_upstream.Faults,
     ):
         super().__init__(faults)
         self._number = number
         self._zone = zone
-        self._book = book
+        self._recorder = recorder
 
     def start(
         self,
@@ -72,12 +72,12 @@
         if self.faults.dead:
             return
         key, index = task
-        now = self._book.now()
+        now = self._recorder.now()
         # The run counts as unfinished until its end is recorded.
-        position = self._book.started(
+        position = self._recorder.started(
             bench_evidence.Run(
                 key,
-                bench_truth.task_id(index),
+                bench_violations.task_id(index),
                 self._number,
                 self._zone,
                 now,
@@ -86,7 +86,7 @@
         )
 
         def ended(state: types.TaskState, body: bytes, reason: str) -> None:
-            self._book.ended(position, state is types.TaskState.FAILED)
+            self._recorder.ended(position, state is types.TaskState.FAILED)
             done(state, body, reason)
 
         super().start(task, payload, ended)
--- a/src/agatepick/bench/bench_truth.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -46,7 +46,7 @@
     return collections.Counter((run.key, run.task) for run in runs)
 
 
-def judge(evidence: bench_evidence.Evidence) -> Violations:
+def find_violations(evidence: bench_evidence.Evidence) -> Violations:
     """Check the callers' answers against the upstreams' records."""
     starts = count_starts(evidence.runs)
     plans = {job.number: job for job in evidence.load.jobs}
@@ -100,7 +100,7 @@
         for run in evidence.runs
         for departure in evidence.departures
         if run.zone == departure.zone
-        and departure.in_force <= run.start < departure.returned
+        and departure.in_force_at <= run.start < departure.returned_at
     ]
 
 
@@ -180,13 +180,13 @@
         task.outcome is types.Outcome.FINISHED
         and (
             starts.get((reply.key, task.id), 0) == 0
-            or echo(reply.key, task.id) != task.body
+            or expected_body(reply.key, task.id) != task.body
         )
         for task in answer.tasks
     )
 
 
-def echo(key: types.JobKey, task: str) -> bytes:
+def expected_body(key: types.JobKey, task: str) -> bytes:
     """Return the body with which the stand-in upstream answers a task."""
     index = int(task.removeprefix(TASK_PREFIX))
     return msgspec.json.encode({'job': key, 'index': index})
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -253,9 +253,9 @@
     directory: pathlib.Path, pids: dict[str, list[int]], mode: str
 ) -> list[Point]:
     urls = (directory / 'urls').read_text().split()
-    book = bench_upstream.StartBook(clocks.ProcessClock.start())
+    recorder = bench_upstream.StartRecorder(clocks.ProcessClock.start())
     callers = bench_callers.Callers(
-        RoundRobinBalancer(urls), book, 0.0, random.Random(1)
+        RoundRobinBalancer(urls), recorder, 0.0, random.Random(1)
     )
     points: list[Point] = []
     try:
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -205,25 +205,25 @@
 def make_installation(
     entries: int, agents: int, jobs: tuple[bench_arrivals.JobPlan, ...] = ()
 ) -> tuple[
-    bench_arrivals.Load, bench_plan.Deployment, bench_upstream.StartBook
+    bench_arrivals.Load, bench_plan.Deployment, bench_upstream.StartRecorder
 ]:
-    """Return a load, a deployment and a start book for one measurement."""
+    """Return a load, a deployment and a start recorder for one measurement."""
     deployment = dataclasses.replace(
         bench_plan.DEPLOYMENTS['lectores'], entries=entries, workers=agents
     )
     pattern = bench_plan.Pattern.STEADY
     load = bench_arrivals.Load(pattern, 1, LOADED_SECONDS, LOADED_SHARE, jobs)
-    book = bench_upstream.StartBook(clocks.ProcessClock.start())
-    return load, deployment, book
+    recorder = bench_upstream.StartRecorder(clocks.ProcessClock.start())
+    return load, deployment, recorder
 
 
 async def measure_idle(
     points: Points, entries: int, agents: int, by_agents: bool
 ) -> None:
     """Measure an installation without jobs."""
-    load, deployment, book = make_installation(entries, agents)
+    load, deployment, recorder = make_installation(entries, agents)
     clock = clocks.ProcessClock.start()
-    installation = bench_cluster.Cluster(load, deployment, clock, book)
+    installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
         await installation.start()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -248,21 +248,21 @@
 
 async def measure_changes(points: Points, rate: float) -> None:
     """Measure an installation whose configuration changes at a rate."""
-    load, deployment, book = make_installation(FEW_ENTRIES, FEW_AGENTS)
+    load, deployment, recorder = make_installation(FEW_ENTRIES, FEW_AGENTS)
     clock = clocks.ProcessClock.start()
-    installation = bench_cluster.Cluster(load, deployment, clock, book)
+    installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
         await installation.start()
         await asyncio.sleep(SETTLE_SECONDS)
-        before, since = read_counters(installation), book.now()
+        before, since = read_counters(installation), recorder.now()
         change_count = 0
-        while book.now() - since < CHANGE_SECONDS:
-            await asyncio.sleep(since + change_count / rate - book.now())
+        while recorder.now() - since < CHANGE_SECONDS:
+            await asyncio.sleep(since + change_count / rate - recorder.now())
             await installation.change(
                 cluster.SettingSet('bench', str(change_count))
             )
             change_count += 1
-        seconds = book.now() - since
+        seconds = recorder.now() - since
         after = read_counters(installation)
     finally:
         await installation.stop()
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -21,8 +21,8 @@
 from agatepick.bench import bench_cluster
 from agatepick.bench import bench_evidence
 from agatepick.bench import bench_plan
-from agatepick.bench import bench_truth
 from agatepick.bench import bench_upstream
+from agatepick.bench import bench_violations
 from agatepick.cmd import commands
 from agatepick.config import cluster
 from agatepick import exceptions
@@ -94,8 +94,8 @@
         self._print_line = print_line
         self._seconds = max(seconds, SHORTEST_SECONDS)
         self._clock = clocks.ProcessClock.start()
-        self._start_book = bench_upstream.StartBook(self._clock)
-        self._load = bench_arrivals.plan(
+        self._recorder = bench_upstream.StartRecorder(self._clock)
+        self._load = bench_arrivals.draw_load(
             bench_plan.Pattern.STEADY,
             SEED,
             self._seconds,
@@ -103,15 +103,15 @@
             DEPLOYMENT,
         )
         self._cluster = bench_cluster.Cluster(
-            self._load, DEPLOYMENT, self._clock, self._start_book
+            self._load, DEPLOYMENT, self._clock, self._recorder
         )
         self._callers = bench_callers.Callers(
             self._cluster,
-            self._start_book,
+            self._recorder,
             DEPLOYMENT.client_latency,
             random.Random(SEED),
         )
-        self._departures: list[bench_evidence.Departure] = []
+        self._departures: list[bench_evidence.ZoneDeparture] = []
         self._watch = ConfigurationWatch()
 
     async def run(self) -> tuple[bench_evidence.Evidence, ConfigurationWatch]:
@@ -124,24 +124,22 @@
         try:
             await self._cluster.start()
             before = self._cluster.traffic()
-            self._start_book.begin()
+            self._recorder.start_run()
             self._print_event(f'sending {len(self._load.jobs)} jobs')
             await self._run_load()
-            traffic = self._cluster.evidence_traffic(before)
+            traffic = self._cluster.traffic_since(before)
         finally:
             self._callers.close()
             await self._cluster.stop()
         open_replies = [
-            bench_evidence.Reply(
-                number, key, 0.0, self._start_book.now(), None
-            )
+            bench_evidence.Reply(number, key, 0.0, self._recorder.now(), None)
             for number, key in self._callers.open.items()
         ]
         evidence = bench_evidence.Evidence(
             self._load,
             DEPLOYMENT,
             (*self._callers.replies, *open_replies),
-            tuple(self._start_book.runs),
+            tuple(self._recorder.runs),
             traffic,
             tuple(self._departures),
         )
@@ -153,7 +151,7 @@
         ]
         progress = asyncio.create_task(self._report_progress())
         operations = asyncio.create_task(self._run_operations())
-        left = self._seconds + DRAIN_SECONDS - self._start_book.now()
+        left = self._seconds + DRAIN_SECONDS - self._recorder.now()
         _, late = await asyncio.wait([*jobs, operations], timeout=left)
         progress.cancel()
         for task in late:
@@ -167,24 +165,26 @@
             self._watch.operation_failure = repr(operations.exception())
 
     async def _send(self, job: bench_arrivals.JobPlan) -> None:
-        await asyncio.sleep(job.at - self._start_book.now())
+        await asyncio.sleep(job.at - self._recorder.now())
         await self._callers.submit(job)
 
     async def _run_operations(self) -> None:
         await self._sleep_until_share(0.1)
         removal = await self._change(cluster.ZoneOut(LEAVING_ZONE))
-        departure = bench_evidence.Departure(
+        departure = bench_evidence.ZoneDeparture(
             LEAVING_ZONE,
-            self._start_book.now(),
-            self._start_book.now(),
-            self._start_book.seconds_at(removal.in_force_at),
+            self._recorder.now(),
+            self._recorder.now(),
+            self._recorder.to_run_seconds(removal.in_force_at),
             float('inf'),
         )
         self._departures.append(departure)
         await self._sleep_until_share(0.4)
         restoration = await self._change(cluster.ZoneIn(LEAVING_ZONE))
-        returned = self._start_book.seconds_at(restoration.in_force_at)
-        self._departures[0] = dataclasses.replace(departure, returned=returned)
+        returned_at = self._recorder.to_run_seconds(restoration.in_force_at)
+        self._departures[0] = dataclasses.replace(
+            departure, returned_at=returned_at
+        )
         await self._sleep_until_share(0.6)
         await self._change(cluster.PresetUse('peak'))
         await self._sleep_until_share(0.8)
@@ -195,13 +195,13 @@
         what = _describe_change(change)
         self._print_event(f'operator: {what}')
         verdict = await self._cluster.change(change)
-        in_force = self._start_book.seconds_at(verdict.in_force_at)
+        in_force = self._recorder.to_run_seconds(verdict.in_force_at)
         self._print_event(
             f'accepted as version {verdict.version}, in force everywhere at '
             f'{in_force:.1f} s'
         )
         await asyncio.sleep(
-            in_force - self._start_book.now() + CHECK_DELAY_SECONDS
+            in_force - self._recorder.now() + CHECK_DELAY_SECONDS
         )
         self._print_event(f'in force: {what}')
         return verdict
@@ -215,14 +215,14 @@
         )
 
     async def _sleep_until_share(self, share: float) -> None:
-        await asyncio.sleep(share * self._seconds - self._start_book.now())
+        await asyncio.sleep(share * self._seconds - self._recorder.now())
 
     async def _report_progress(self) -> None:
         while True:
             await asyncio.sleep(PROGRESS_SECONDS)
             self._check_versions()
             starts = collections.Counter(
-                run.zone for run in self._start_book.runs
+                run.zone for run in self._recorder.runs
             )
             zones = ', '.join(
                 f'{zone} {starts[zone]}' for zone in DEPLOYMENT.zones
@@ -247,7 +247,7 @@
         self._watch.divergences += len(versions) > 1
 
     def _print_event(self, text: str) -> None:
-        self._print_line(f'{self._start_book.now():6.1f} s  {text}')
+        self._print_line(f'{self._recorder.now():6.1f} s  {text}')
 
 
 def _describe_change(change: cluster.Change) -> str:
@@ -265,9 +265,9 @@
     evidence: bench_evidence.Evidence, watch: ConfigurationWatch
 ) -> dict[str, int]:
     """Return the number of violations of each promise."""
-    truth = bench_truth.judge(evidence)
+    violations = bench_violations.find_violations(evidence)
     return {
-        **dataclasses.asdict(truth),
+        **dataclasses.asdict(violations),
         'reverted_configurations': watch.reversions,
         'configurations_apart': watch.divergences,
     }
@@ -280,7 +280,7 @@
         for one in evidence.replies
     )
     times = [
-        one.got - one.sent
+        one.received_at - one.sent_at
         for one in evidence.replies
         if one.answer is not None
         and one.answer.status is types.JobStatus.COMPLETE
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -146,7 +146,7 @@
         traffic: Traffic,
         buffer: bytearray,
         on_made: typing.Callable[['Connection'], None],
-        stamps: LogicalClock | None = None,
+        logical_clock: LogicalClock | None = None,
     ):
         super().__init__(buffer)
         self.hello: messages.Hello | None = None
@@ -164,7 +164,7 @@
         self._sampled_at = 0.0
         self._traffic = traffic
         self._on_made = on_made
-        self._stamps = stamps
+        self._logical_clock = logical_clock
         self._unread = b''
         self._read_offset = 0
         self._unsent: list[bytes] = []
@@ -200,7 +200,9 @@
         """
         if self.closed:
             return
-        stamp = 0 if self._stamps is None else self._stamps.stamp()
+        stamp = (
+            0 if self._logical_clock is None else self._logical_clock.stamp()
+        )
         data = messages.encode(message, stamp)
         self._traffic.count_sent(message, len(data) + HEADER.size)
         if not self._unsent:
@@ -311,8 +313,8 @@
     def _decode(self, data: bytes) -> messages.Message:
         self._traffic.count_received(len(data) + HEADER.size)
         stamped = messages.decode_stamped(data)
-        if self._stamps is not None:
-            self._stamps.merge(stamped.stamp)
+        if self._logical_clock is not None:
+            self._logical_clock.merge(stamped.stamp)
         return stamped.message
 
 
@@ -332,9 +334,9 @@
         rng: random.Random,
         server_tls: ssl.SSLContext | None = None,
         client_tls: ssl.SSLContext | None = None,
-        delay: LatencyModel | None = None,
-        stamps: LogicalClock | None = None,
-        pace: LinkTimeouts = LinkTimeouts(),
+        latency: LatencyModel | None = None,
+        logical_clock: LogicalClock | None = None,
+        timeouts: LinkTimeouts = LinkTimeouts(),
     ):
         self.traffic = Traffic()
         self._hello = hello
@@ -343,9 +345,9 @@
         self._rng = rng
         self._server_tls = server_tls
         self._client_tls = client_tls
-        self._delay = delay
-        self._stamps = stamps
-        self._pace = pace
+        self._latency = latency
+        self._logical_clock = logical_clock
+        self._timeouts = timeouts
         self._peers: dict[types.PeerName, Connection] = {}
         self._connections: set[Connection] = set()
         self._dials: dict[types.PeerName, asyncio.Task[None]] = {}
@@ -389,7 +391,7 @@
         conn = self._peers.get(peer)
         if conn is None:
             return
-        seconds = self._delay.seconds(peer) if self._delay else 0.0
+        seconds = self._latency.seconds(peer) if self._latency else 0.0
         if seconds <= 0:
             conn.send(message)
             return
@@ -447,7 +449,9 @@
     def _make_connection(
         self, on_made: typing.Callable[[Connection], None]
     ) -> Connection:
-        conn = Connection(self.traffic, self._buffer, on_made, self._stamps)
+        conn = Connection(
+            self.traffic, self._buffer, on_made, self._logical_clock
+        )
         conn.last_message_at = self._clock.now()
         self._connections.add(conn)
         conn.lost.add_done_callback(
@@ -457,7 +461,7 @@
 
     async def _receive_hello(self, conn: Connection, address: str) -> bool:
         try:
-            hello = await conn.receive_first(self._pace.dial)
+            hello = await conn.receive_first(self._timeouts.dial)
         except (OSError, TimeoutError) as exc:
             LOG.info('event=greet_failed peer=%s reason=%r', address, exc)
             conn.close()
@@ -559,7 +563,7 @@
     ) -> Connection | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self._pace.dial):
+            async with asyncio.timeout(self._timeouts.dial):
                 _, conn = await loop.create_connection(
                     lambda: self._make_connection(lambda conn: None),
                     host,
@@ -576,10 +580,10 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(self._pace.heartbeat)
+            await asyncio.sleep(self._timeouts.heartbeat)
             now = self._clock.now()
             for conn in list(self._peers.values()):
-                if now - conn.last_message_at > self._pace.silence:
+                if now - conn.last_message_at > self._timeouts.silence:
                     conn.close()
                 elif conn.needs_ping(now):
                     conn.ping(now)
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -23,12 +23,12 @@
 
 _INCARNATION_BITS = 63
 
-PACE = links.LinkTimeouts(heartbeat=0.4, silence=1.2, dial=1.0)
+TIMEOUTS = links.LinkTimeouts(heartbeat=0.4, silence=1.2, dial=1.0)
 """Timing of the links. Agents and entries exchange renewals every 0.2 s, so
 1.2 s of silence is longer than any pause of a busy process; a connection that
 has been silent for so long is replaced."""
 
-LAST_ANSWERS_SECONDS = 0.1
+FLUSH_SECONDS = 0.1
 """Time for the last messages and answers to be sent before their connections
 close."""
 
@@ -73,7 +73,7 @@
             self.shell.feed,
             clock,
             random.Random(incarnation),
-            pace=PACE,
+            timeouts=TIMEOUTS,
         )
         self.shell.use_links(self.links)
         self.measures = measures.Measures()
@@ -114,7 +114,7 @@
             await asyncio.wait_for(self.shell.done.wait(), seconds)
         except TimeoutError:
             logs.warning(LOG, 'stop_cut_off', process=self.name)
-        await asyncio.sleep(LAST_ANSWERS_SECONDS)
+        await asyncio.sleep(FLUSH_SECONDS)
         self.shell.end()
         self.links.end()
 
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -44,7 +44,7 @@
 
 LOG = logging.getLogger(__name__)
 
-LAST_ANSWERS_SECONDS = 0.1
+FLUSH_SECONDS = 0.1
 _INCARNATION_BITS = 63
 _POLL_FENCE_SHARE = 1 / 6
 _RENEW_FENCE_SHARE = 0.23
@@ -57,24 +57,24 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Outside:
+class Dependencies:
     """External dependencies of a process.
 
     :param table: client of the table service; ``None`` creates one for the
         configured URL.
-    :param runner: creates the upstream that runs the agent's tasks, given
-        the agent's feed; ``None`` uses HTTP.
-    :param delay: latency added to messages between processes.
+    :param make_upstream: creates the upstream that runs the agent's tasks,
+        given the agent's feed; ``None`` uses HTTP.
+    :param latency: latency added to messages between processes.
     """
 
     clock: types.Clock
     rng: random.Random
     table: store.Store | None = None
-    runner: typing.Callable[[Feed], upstream.Upstream] | None = None
-    delay: links.LatencyModel | None = None
+    make_upstream: typing.Callable[[Feed], upstream.Upstream] | None = None
+    latency: links.LatencyModel | None = None
 
     @classmethod
-    def real(cls) -> 'Outside':
+    def real(cls) -> 'Dependencies':
         """Return the real clock and random source; the rest is configured."""
         rng = random.Random(secrets.randbits(_INCARNATION_BITS))
         return cls(clocks.ProcessClock.start(), rng)
@@ -94,7 +94,7 @@
         stop_seconds: float,
         timeline_events: int,
         metrics_cfg: settings.Metrics,
-        outside: Outside,
+        outside: Dependencies,
     ):
         self.name = cfg.name
         self.incarnation = new_incarnation()
@@ -126,7 +126,7 @@
             LOG.warning('event=stop_cut_off process=%s', self.name)
         self.shell.done.set()
         # The last messages and responses are sent before connections close.
-        await asyncio.sleep(LAST_ANSWERS_SECONDS)
+        await asyncio.sleep(FLUSH_SECONDS)
         self.kill()
 
     def kill(self) -> None:
@@ -157,7 +157,7 @@
             outside.rng,
             contexts.peer_server,
             contexts.peer_client,
-            outside.delay,
+            outside.latency,
             self.timeline.hybrid,
         )
         self.shell.use_links(self.links)
@@ -209,7 +209,7 @@
     def __init__(
         self,
         cfg: settings.EntrySettings,
-        outside: Outside,
+        outside: Dependencies,
         policy: str = placement.DEFAULT_POLICY,
     ):
         super().__init__(
@@ -231,7 +231,7 @@
     def from_settings(
         cls,
         cfg: settings.EntrySettings,
-        outside: Outside | None = None,
+        outside: Dependencies | None = None,
         policy: str = placement.DEFAULT_POLICY,
     ) -> 'EntryProcess':
         """Return an entry that isn't listening yet.
@@ -239,7 +239,7 @@
         :param policy: placement policy; policies other than the default are
             baselines of the bench.
         """
-        return cls(cfg, outside or Outside.real(), policy)
+        return cls(cfg, outside or Dependencies.real(), policy)
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
         """Listen and start to follow the configuration."""
@@ -336,7 +336,7 @@
 class AgentProcess(Process):
     """Process of one agent, which runs beside its upstream."""
 
-    def __init__(self, cfg: settings.AgentSettings, outside: Outside):
+    def __init__(self, cfg: settings.AgentSettings, outside: Dependencies):
         super().__init__(
             cfg.process,
             cfg.timing.stop_seconds,
@@ -353,10 +353,10 @@
 
     @classmethod
     def from_settings(
-        cls, cfg: settings.AgentSettings, outside: Outside | None = None
+        cls, cfg: settings.AgentSettings, outside: Dependencies | None = None
     ) -> 'AgentProcess':
         """Return an agent that has no connections yet."""
-        return cls(cfg, outside or Outside.real())
+        return cls(cfg, outside or Dependencies.real())
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
         """Listen for announcements and connect to the entries."""
@@ -373,7 +373,7 @@
         self.shell.begin()
 
     def _register_upstream(self) -> None:
-        make = self.outside.runner or httpupstream.HttpUpstream
+        make = self.outside.make_upstream or httpupstream.HttpUpstream
         runner = make(self._receive_upstream_event)
         self._runner = runner
         self.shell.handle(upstream.RunTask, self._run_task)
--- a/src/agatepick/standins/standin_upstream.py
+++ b/src/agatepick/standins/standin_upstream.py
@@ -91,7 +91,7 @@
         return len(self._runs)
 
     def start(self, task: TaskKey, payload: bytes, done: Done) -> None:
-        """Start a task; call ``done`` once, unless the worker dies."""
+        """Start a task; call ``done`` once, unless the worker crashes."""
         if self.faults.dead:
             return
         self.starts[task] += 1
@@ -120,7 +120,7 @@
             elif action is upstream.Action.THROTTLE:
                 self._throttle(run_id, run)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Drop all running tasks, as in a power failure."""
         self.faults.dead = True
         for _, run in self._runs.values():
@@ -169,7 +169,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        """Announce the worker, and renew the announcement until it dies."""
+        """Announce the worker, and renew the announcement until it crashes."""
         if self._worker.faults.dead:
             return
         self._feed(self._announced)
@@ -267,7 +267,7 @@
     async def stop(self) -> None:
         """Drop all tasks and close all connections, as at a process exit."""
         self._cancel_renewal()
-        self.worker.die()
+        self.worker.crash()
         self._server.stop()
         await self._server.close_all_connections()
         self._client.close()
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -100,11 +100,11 @@
 
 def make_ready_agent(*entries, slots=8, **cfg):
     """Return an agent with an upstream and these entries connected."""
-    rig = AgentHarness(**cfg)
-    rig.feed(announced(slots=slots, term=1000.0))
+    harness = AgentHarness(**cfg)
+    harness.feed(announced(slots=slots, term=1000.0))
     for name in entries or ('e',):
-        rig.connect(name)
-    return rig
+        harness.connect(name)
+    return harness
 
 
 def list_started_tasks(effects):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from agatepick.bench import bench_arrivals
 from agatepick.bench import bench_evidence
 from agatepick.bench import bench_plan
-from agatepick.bench import bench_truth
+from agatepick.bench import bench_violations
 from agatepick.conf import settings
 from agatepick.decisions import dispatch
 from agatepick.net import messages
@@ -49,7 +49,7 @@
     def __init__(self, front, routes):
         self.front = front
         self._server = web.server(front, routes)
-        socks = bound()
+        socks = bind_free_port()
         self.port = socks[0].getsockname()[1]
         self._server.add_sockets(socks)
         self._client = tornado.httpclient.AsyncHTTPClient(force_instance=True)
@@ -80,12 +80,12 @@
         await self._server.close_all_connections()
 
 
-def bound():
+def bind_free_port():
     """Return sockets bound to a free loopback port."""
     return tornado.netutil.bind_sockets(0, '127.0.0.1')
 
 
-def never(event):
+def fail_on_event(event):
     """Fail the test, as a reducer that must not receive events."""
     pytest.fail(f'unexpected event: {event}')
 
@@ -103,7 +103,7 @@
     )
 
 
-def site_of(feed):
+def start_site(feed):
     """Return a running HTTP server with a function as the reducer."""
     built = front_of(feed, FixedClock())
     return Site(built, callers.routes(built))
@@ -151,7 +151,7 @@
 
 
 @pytest.fixture
-def bench_answer():
+def make_bench_answer():
     """Builds the answer to the bench job ``key``, which has two tasks."""
 
     def build(status=types.JobStatus.COMPLETE, *tasks, key='key'):
@@ -161,19 +161,19 @@
 
 
 @pytest.fixture
-def bench_finished():
+def make_finished_task():
     """Builds the answer of a task that the upstream has run."""
 
     def build(place):
-        task = bench_truth.task_id(place)
-        body = bench_truth.echo('key', task)
+        task = bench_violations.task_id(place)
+        body = bench_violations.expected_body('key', task)
         return types.TaskAnswer(task, types.Outcome.FINISHED, body)
 
     return build
 
 
 @pytest.fixture
-def bench_seen():
+def make_bench_evidence():
     """Builds the evidence of a bench run of one job with two tasks."""
     tasks = (bench_arrivals.TaskPlan('k', 1.0, 1.0),) * 2
     job = bench_arrivals.JobPlan(0, 0.0, 'team', tasks)
--- a/tests/whole.py
+++ b/tests/local_cluster.py
@@ -21,10 +21,10 @@
 TIMING = settings.Timing(
     fence_seconds=3.0, margin_seconds=0.1, heartbeat_seconds=0.2
 )
-PATIENCE = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
-class Whole:
+class LocalCluster:
     """Cluster of a table service, entries and agents with stand-ins."""
 
     def __init__(self, table: standin_table.TableServer):
@@ -71,8 +71,10 @@
             tls=PLAIN,
             timing=TIMING,
         )
-        outside = processes.Outside(
-            clocks.ProcessClock.start(), random.Random(name), runner=make
+        outside = processes.Dependencies(
+            clocks.ProcessClock.start(),
+            random.Random(name),
+            make_upstream=make,
         )
         process = processes.AgentProcess.from_settings(cfg, outside)
         await process.start()
@@ -83,7 +85,7 @@
 
     async def settle(self) -> None:
         """Wait until every entry is ready and has the slots of all agents."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not all(map(self._settled, self.entries)):
                 await asyncio.sleep(0.02)
 
@@ -108,7 +110,7 @@
             method=method,
             headers=headers,
             body=None if body is None else json.dumps(body),
-            request_timeout=PATIENCE,
+            request_timeout=TIMEOUT_SECONDS,
             raise_error=False,
         )
         return resp.code, json.loads(resp.body or b'null')
@@ -124,17 +126,17 @@
 
 @contextlib.asynccontextmanager
 async def cluster(entries: int = 2, agents: int = 2, zones=('z1',)):
-    whole = Whole(await standin_table.TableServer.start())
+    local_cluster = LocalCluster(await standin_table.TableServer.start())
     for index in range(entries):
-        await whole.add_entry(f'e{index}')
+        await local_cluster.add_entry(f'e{index}')
     for index in range(agents):
-        await whole.add_agent(f'a{index}', zones[index % len(zones)])
+        await local_cluster.add_agent(f'a{index}', zones[index % len(zones)])
     try:
-        await whole.settle()
-        yield whole
+        await local_cluster.settle()
+        yield local_cluster
     finally:
-        whole.kill()
-        await whole.table.stop()
+        local_cluster.kill()
+        await local_cluster.table.stop()
 
 
 def job(tasks: int, seconds: float = 0.01, **fields):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,10 +12,10 @@
 
 
 def test_a_task_runs_and_its_result_goes_to_its_owner():
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     one = agents.task(KEY)
-    assert agents.list_started_tasks(rig.start('e', one)) == [(KEY, 0)]
-    (results,) = agents.sent(rig.end(one, body=b'[2]'), messages.Results)
+    assert agents.list_started_tasks(harness.start('e', one)) == [(KEY, 0)]
+    (results,) = agents.sent(harness.end(one, body=b'[2]'), messages.Results)
     (report,) = results.reports
     assert (report.state, report.body) == ('finished', b'[2]')
     assert results.credits == 8
@@ -27,14 +27,14 @@
     If the copy started the task again, a user would see a meeting booked
     twice.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     one = agents.task(KEY)
-    rig.start('e', one)
-    effects = rig.start('e', one)
+    harness.start('e', one)
+    effects = harness.start('e', one)
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('running', '')}
-    rig.end(one)
-    effects = rig.start('e', one)
+    harness.end(one)
+    effects = harness.start('e', one)
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('finished', '')}
 
@@ -45,17 +45,17 @@
     A delayed copy of the start arrives when a slot is free again.  If it ran,
     the task would run twice and the answer "not run" would be false.
     """
-    rig = agents.make_ready_agent(slots=1)
+    harness = agents.make_ready_agent(slots=1)
     busy, late = agents.task(KEY, 0), agents.task(KEY, 1)
-    rig.start('e', busy)
-    effects = rig.start('e', late)
+    harness.start('e', busy)
+    effects = harness.start('e', late)
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
-    rig.end(busy)
-    effects = rig.start('e', late)
+    harness.end(busy)
+    effects = harness.start('e', late)
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
     assert agents.list_started_tasks(
-        rig.start('e', agents.task(KEY, 1, 2))
+        harness.start('e', agents.task(KEY, 1, 2))
     ) == [(KEY, 1)]
 
 
@@ -65,17 +65,17 @@
     The delayed start arrives after all.  If it ran, the task would run twice,
     as the owner has placed it elsewhere meanwhile.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     there, lost = agents.task(KEY, 0), agents.task(KEY, 1)
-    rig.start('e', there)
-    rig.disconnect('e')
-    rig.end(there)
-    rig.connect('e')
-    assert agents.reports(rig.settle('e', there, lost)) == {
+    harness.start('e', there)
+    harness.disconnect('e')
+    harness.end(there)
+    harness.connect('e')
+    assert agents.reports(harness.settle('e', there, lost)) == {
         0: ('finished', ''),
         1: ('refused', 'settled'),
     }
-    assert agents.list_started_tasks(rig.start('e', lost)) == []
+    assert agents.list_started_tasks(harness.start('e', lost)) == []
 
 
 @pytest.mark.parametrize(
@@ -95,10 +95,10 @@
 
     If it ran, a task would start in a zone that operators took out.
     """
-    rig = agents.AgentHarness()
-    rig.feed(agents.announced())
-    rig.connect('e', ahead=ahead)
-    effects = rig.start('e', agents.task(KEY), before=before)
+    harness = agents.AgentHarness()
+    harness.feed(agents.announced())
+    harness.connect('e', ahead=ahead)
+    effects = harness.start('e', agents.task(KEY), before=before)
     found = agents.reports(effects)
     assert found == ({0: ('refused', reason)} if reason else {})
     assert len(agents.list_started_tasks(effects)) == (not reason)
@@ -110,8 +110,10 @@
     Its earlier incarnation may have run them, so the agent may neither run
     them nor answer "not run".
     """
-    rig = agents.make_ready_agent()
-    effects = rig.start('e', agents.task(KEY), agent=rig.incarnation - 1)
+    harness = agents.make_ready_agent()
+    effects = harness.start(
+        'e', agents.task(KEY), agent=harness.incarnation - 1
+    )
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('lost', 'other_incarnation')}
 
@@ -122,36 +124,36 @@
     With more tasks than it has room for, a worker would slow down or kill
     its tasks.
     """
-    rig = agents.make_ready_agent('a', 'b', slots=3)
+    harness = agents.make_ready_agent('a', 'b', slots=3)
     needs = types.Needs(3.0, 0, 0)
     tasks = [agents.task(KEY, index, needs=needs) for index in range(4)]
-    effects = rig.start('a', *tasks[:2]) + rig.start('b', *tasks[2:])
+    effects = harness.start('a', *tasks[:2]) + harness.start('b', *tasks[2:])
     assert len(agents.list_started_tasks(effects)) == 2
     assert agents.reports(effects) == {
         2: ('refused', 'no_room'),
         3: ('refused', 'no_room'),
     }
     small = [agents.task(agents.key(1), index) for index in range(2)]
-    effects = rig.start('b', *small)
+    effects = harness.start('b', *small)
     assert agents.list_started_tasks(effects) == [(small[0].job, 0)]
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
 
 
 def test_results_that_end_together_are_sent_together():
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     tasks = [agents.task(KEY, index) for index in range(5)]
-    rig.start('e', *tasks)
-    first = rig.end(tasks[0])
+    harness.start('e', *tasks)
+    first = harness.end(tasks[0])
     assert agents.reports(first) == {0: ('finished', '')}
-    held = rig.end(tasks[1]) + rig.end(tasks[2])
+    held = harness.end(tasks[1]) + harness.end(tasks[2])
     assert agents.reports(held) == {}
-    assert core.WakeAt(rig.now + 0.002) in held
-    rig.now += 0.002
-    (results,) = agents.sent(rig.feed(core.Tick()), messages.Results)
+    assert core.WakeAt(harness.now + 0.002) in held
+    harness.now += 0.002
+    (results,) = agents.sent(harness.feed(core.Tick()), messages.Results)
     assert [one.index for one in results.reports] == [1, 2]
     # No other task runs after these two, so their reports aren't held.
-    rig.end(tasks[3])
-    assert agents.reports(rig.end(tasks[4])).keys() == {3, 4}
+    harness.end(tasks[3])
+    assert agents.reports(harness.end(tasks[4])).keys() == {3, 4}
 
 
 def test_an_upstream_that_stops_renewing_loses_its_tasks_for_good():
@@ -160,19 +162,19 @@
     The caller is told that their outcome is unknown.  They aren't run again,
     and the slots of tasks that may still run aren't used for others.
     """
-    rig = agents.AgentHarness()
-    rig.feed(agents.announced(slots=2, term=5.0))
-    rig.connect('e')
+    harness = agents.AgentHarness()
+    harness.feed(agents.announced(slots=2, term=5.0))
+    harness.connect('e')
     one = agents.task(KEY)
-    rig.start('e', one)
-    effects = rig.tick(5.0)
+    harness.start('e', one)
+    effects = harness.tick(5.0)
     assert agents.reports(effects) == {0: ('lost', 'upstream_lapsed')}
     assert agents.sent(effects, messages.Offer)[-1].credits == 1
-    rig.feed(agents.announced(slots=2, term=5.0))
+    harness.feed(agents.announced(slots=2, term=5.0))
     more = [agents.task(agents.key(1), index) for index in range(2)]
-    assert len(agents.list_started_tasks(rig.start('e', *more))) == 1
-    assert agents.reports(rig.end(one)) == {}
-    assert agents.reports(rig.settle('e', one))[0][0] == 'lost'
+    assert len(agents.list_started_tasks(harness.start('e', *more))) == 1
+    assert agents.reports(harness.end(one)) == {}
+    assert agents.reports(harness.settle('e', one))[0][0] == 'lost'
 
 
 def test_an_agent_that_was_paused_gives_its_upstream_time_to_renew():
@@ -181,14 +183,16 @@
     The renewals wait in a socket.  If the lease expired at once, all running
     tasks would end as unknown although they run and finish.
     """
-    rig = agents.AgentHarness()
-    rig.feed(agents.announced(term=5.0))
-    rig.connect('e')
-    rig.tick()
-    rig.start('e', agents.task(KEY))
-    rig.now += 30
-    assert agents.reports(rig.feed(core.Tick())) == {}
-    assert agents.reports(rig.tick(5.0)) == {0: ('lost', 'upstream_lapsed')}
+    harness = agents.AgentHarness()
+    harness.feed(agents.announced(term=5.0))
+    harness.connect('e')
+    harness.tick()
+    harness.start('e', agents.task(KEY))
+    harness.now += 30
+    assert agents.reports(harness.feed(core.Tick())) == {}
+    assert agents.reports(harness.tick(5.0)) == {
+        0: ('lost', 'upstream_lapsed')
+    }
 
 
 def test_a_new_session_of_the_upstream_loses_the_tasks_of_the_old_one():
@@ -197,14 +201,14 @@
     The tasks of the earlier process will have no answer.  The caller is told
     that they are lost.
     """
-    rig = agents.make_ready_agent(slots=1)
+    harness = agents.make_ready_agent(slots=1)
     one = agents.task(KEY)
-    rig.start('e', one)
-    effects = rig.feed(agents.announced('other', slots=1))
+    harness.start('e', one)
+    effects = harness.feed(agents.announced('other', slots=1))
     assert agents.reports(effects) == {0: ('lost', 'upstream_restarted')}
     second = agents.task(KEY, 1)
-    assert agents.list_started_tasks(rig.start('e', second)) == [(KEY, 1)]
-    assert agents.reports(rig.end(one)) == {}
+    assert agents.list_started_tasks(harness.start('e', second)) == [(KEY, 1)]
+    assert agents.reports(harness.end(one)) == {}
 
 
 def test_a_leaving_upstream_gets_no_new_task_and_ends_its_running_ones():
@@ -213,14 +217,14 @@
     If they were cut off, they would be lost; if it got new tasks, the worker
     would never be idle.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     one = agents.task(KEY)
-    rig.start('e', one)
-    effects = rig.feed(upstream.UpstreamLeft('s'))
+    harness.start('e', one)
+    effects = harness.feed(upstream.UpstreamLeft('s'))
     assert agents.sent(effects, messages.Offer)[-1].leaving
-    effects = rig.start('e', agents.task(KEY, 1))
+    effects = harness.start('e', agents.task(KEY, 1))
     assert agents.reports(effects) == {1: ('refused', 'leaving')}
-    assert agents.reports(rig.end(one)) == {0: ('finished', '')}
+    assert agents.reports(harness.end(one)) == {0: ('finished', '')}
 
 
 def test_a_stopping_agent_delivers_its_results_before_it_exits():
@@ -229,14 +233,14 @@
     If the agent exited while the owner is disconnected, the result would be
     lost and the task would end as unknown.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     one = agents.task(KEY)
-    rig.start('e', one)
-    assert agents.sent(rig.feed(core.StopRequested()), messages.Offer)
-    rig.disconnect('e')
-    assert core.Exit() not in rig.end(one) + rig.tick(1.0)
-    rig.connect('e')
-    effects = rig.settle('e', one)
+    harness.start('e', one)
+    assert agents.sent(harness.feed(core.StopRequested()), messages.Offer)
+    harness.disconnect('e')
+    assert core.Exit() not in harness.end(one) + harness.tick(1.0)
+    harness.connect('e')
+    effects = harness.settle('e', one)
     assert agents.reports(effects) == {0: ('finished', '')}
     assert effects[-1] == core.Exit()
     assert isinstance(effects[-2].message, messages.Goodbye)
@@ -247,17 +251,17 @@
 
     A start that ran after the cancellation would waste a slot.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     tasks = [agents.task(KEY, index) for index in range(3)]
-    rig.start('e', *tasks[:2])
-    effects = rig.receive('e', messages.StopJob(KEY, 'throttle'))
+    harness.start('e', *tasks[:2])
+    effects = harness.receive('e', messages.StopJob(KEY, 'throttle'))
     assert [one.action for one in effects] == ['throttle', 'throttle']
-    effects = rig.receive('e', messages.StopJob(KEY, 'stop'))
+    effects = harness.receive('e', messages.StopJob(KEY, 'stop'))
     assert [(one.index, one.action) for one in effects] == [
         (0, 'stop'),
         (1, 'stop'),
     ]
-    effects = rig.start('e', tasks[2])
+    effects = harness.start('e', tasks[2])
     assert agents.reports(effects) == {2: ('refused', 'job_stopped')}
 
 
@@ -267,41 +271,41 @@
     Without the agent's reports, every task would end as unknown.  Reports sent
     before the removal is in force could miss tasks that start later.
     """
-    rig = agents.make_ready_agent('a', 'b')
+    harness = agents.make_ready_agent('a', 'b')
     done, runs = agents.task(KEY, 0), agents.task(KEY, 1)
-    rig.start('a', done, runs)
-    rig.end(done)
-    rig.disconnect('a')
+    harness.start('a', done, runs)
+    harness.end(done)
+    harness.disconnect('a')
     gone = agents.member('a', removed_at=agents.NOW + 3)
     members = messages.Members(2, (gone, agents.member('b')))
-    effects = rig.receive('b', members) + rig.tick(2.0)
+    effects = harness.receive('b', members) + harness.tick(2.0)
     assert agents.sent(effects, messages.Orphans) == []
-    first, last = agents.sent(rig.tick(1.0), messages.Orphans, 'b')
+    first, last = agents.sent(harness.tick(1.0), messages.Orphans, 'b')
     states = {one.index: one.state for one in first.reports}
     assert states == {0: 'finished', 1: 'running'}
     assert (first.owner, last.owner, last.last) == ('a', 'a', True)
-    assert agents.reports(rig.end(runs), 'b') == {1: ('finished', '')}
-    effects = rig.connect('a')
+    assert agents.reports(harness.end(runs), 'b') == {1: ('finished', '')}
+    effects = harness.connect('a')
     assert agents.sent(effects, messages.Offer) == []
-    effects = rig.start('a', agents.task(KEY, 2))
+    effects = harness.start('a', agents.task(KEY, 2))
     assert agents.reports(effects) == {2: ('refused', 'owner_removed')}
 
 
 def test_entries_are_dialled_while_they_are_listed():
-    rig = agents.AgentHarness()
-    assert rig.tick() == [core.Dial('seed:1', 'seed:1')]
-    rig.connect('a')
+    harness = agents.AgentHarness()
+    assert harness.tick() == [core.Dial('seed:1', 'seed:1')]
+    harness.connect('a')
     members = (agents.member('a'), agents.member('b'), agents.member('seed'))
-    effects = rig.receive('a', messages.Members(1, members))
+    effects = harness.receive('a', messages.Members(1, members))
     assert [one for one in effects if isinstance(one, core.Dial)] == [
         core.Dial('a', 'a:1'),
         core.Dial('b', 'b:1'),
     ]
     gone = agents.member('b', removed_at=agents.NOW)
     members = (agents.member('a'), gone)
-    effects = rig.receive('a', messages.Members(2, members))
+    effects = harness.receive('a', messages.Members(2, members))
     assert core.Hangup('b') in effects
-    assert rig.receive('a', messages.Members(1, members)) == []
+    assert harness.receive('a', messages.Members(1, members)) == []
 
 
 def test_an_unreachable_upstream_gets_no_further_task():
@@ -309,15 +313,15 @@
 
     Each task sent to it until then would be lost, while it seems idle.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     one = agents.task(KEY)
-    rig.start('e', one)
-    rig.feed(upstream.UpstreamGone('s'))
-    effects = rig.end(one, types.TaskState.LOST)
+    harness.start('e', one)
+    harness.feed(upstream.UpstreamGone('s'))
+    effects = harness.end(one, types.TaskState.LOST)
     assert agents.reports(effects)[0][0] == 'lost'
-    effects = rig.start('e', agents.task(KEY, 1))
+    effects = harness.start('e', agents.task(KEY, 1))
     assert agents.reports(effects) == {1: ('refused', 'no_upstream')}
-    effects = rig.feed(agents.announced('other'))
+    effects = harness.feed(agents.announced('other'))
     assert agents.sent(effects, messages.Offer)[0].credits == 8
 
 
@@ -345,16 +349,18 @@
 
     If one stopped the agent, all tasks of its worker would be lost.
     """
-    rig = agents.make_ready_agent()
+    harness = agents.make_ready_agent()
     for message in drawn:
-        rig.receive('e', message)
-        rig.tick()
-    assert len(agents.list_started_tasks(rig.effects)) == 0
-    good = [agents.task(agents.key(at=rig.now), index) for index in range(9)]
-    rig.connect('f')
-    before = len(rig.effects)
-    rig.start('f', *good)
-    assert len(agents.list_started_tasks(rig.effects[before:])) <= 8
+        harness.receive('e', message)
+        harness.tick()
+    assert len(agents.list_started_tasks(harness.effects)) == 0
+    good = [
+        agents.task(agents.key(at=harness.now), index) for index in range(9)
+    ]
+    harness.connect('f')
+    before = len(harness.effects)
+    harness.start('f', *good)
+    assert len(agents.list_started_tasks(harness.effects[before:])) <= 8
 
 
 @pytest.mark.parametrize('before', [float('nan'), float('-inf')])
@@ -364,6 +370,6 @@
     With the comparison the other way round, a permit until NaN would never
     expire, and tasks would start in a zone that was taken out.
     """
-    rig = agents.make_ready_agent()
-    effects = rig.start('e', agents.task(KEY), before=before)
+    harness = agents.make_ready_agent()
+    effects = harness.start('e', agents.task(KEY), before=before)
     assert agents.reports(effects) == {0: ('refused', 'start_too_late')}
--- a/tests/test_bench_arrivals.py
+++ b/tests/test_bench_arrivals.py
@@ -7,7 +7,7 @@
 
 
 def plan_load(pattern, load=None, seed=1):
-    return bench_arrivals.plan(pattern, seed, 20.0, load, LECTORES)
+    return bench_arrivals.draw_load(pattern, seed, 20.0, load, LECTORES)
 
 
 @pytest.mark.parametrize('pattern', list(bench_plan.Pattern))
--- a/tests/test_bench_measures.py
+++ b/tests/test_bench_measures.py
@@ -6,9 +6,9 @@
 
 
 def test_response_times_are_compared_with_the_ideal_and_deadlines_met(
-    bench_seen, bench_answer
+    make_bench_evidence, make_bench_answer
 ):
-    evidence = bench_seen(bench_answer(types.JobStatus.COMPLETE))
+    evidence = make_bench_evidence(make_bench_answer(types.JobStatus.COMPLETE))
     times = bench_measures.response_times(evidence)
     responses = bench_measures.compare_to_ideal(times, {0: 1.0})
     assert responses.response_over_ideal_mean == pytest.approx(2.0, rel=1e-2)
--- a/tests/test_bench_report.py
+++ b/tests/test_bench_report.py
@@ -7,12 +7,12 @@
 
 
 def test_a_report_names_its_run_and_every_broken_promise(
-    tmp_path, bench_seen, bench_answer, bench_finished
+    tmp_path, make_bench_evidence, make_bench_answer, make_finished_task
 ):
-    departure = bench_evidence.Departure('talca', 0.1, 0.2, 0.4, 9.0)
-    tasks = bench_finished(0), bench_finished(1)
-    answer = bench_answer(types.JobStatus.COMPLETE, *tasks)
-    evidence = bench_seen(answer, (0, 1, 1), (departure,))
+    departure = bench_evidence.ZoneDeparture('talca', 0.1, 0.2, 0.4, 9.0)
+    tasks = make_finished_task(0), make_finished_task(1)
+    answer = make_bench_answer(types.JobStatus.COMPLETE, *tasks)
+    evidence = make_bench_evidence(answer, (0, 1, 1), (departure,))
     ideal = bench_ideal.simulate(evidence.load.jobs, evidence.deployment)
     report = bench_report.summarize(evidence, ideal, {'cut_requests': 0})
     body = json.loads(report.as_json())
--- a/tests/test_bench_run.py
+++ b/tests/test_bench_run.py
@@ -14,7 +14,9 @@
     """
     lectores = bench_plan.DEPLOYMENTS['lectores']
     small = dataclasses.replace(lectores, workers=3)
-    load = bench_arrivals.plan(bench_plan.Pattern.STEADY, 1, 1.0, 0.5, small)
+    load = bench_arrivals.draw_load(
+        bench_plan.Pattern.STEADY, 1, 1.0, 0.5, small
+    )
     played = asyncio.run(bench_run.play(load, small))
     figures = played.report.figures
     assert figures['completed_jobs'] == figures['jobs'] == len(load.jobs)
--- a/tests/test_bench_upstream.py
+++ b/tests/test_bench_upstream.py
@@ -3,8 +3,8 @@
 
 from agatepick.bench import bench_arrivals
 from agatepick.bench import bench_callers
-from agatepick.bench import bench_truth
 from agatepick.bench import bench_upstream
+from agatepick.bench import bench_violations
 from agatepick.standins import standin_upstream
 from agatepick import types
 
@@ -15,9 +15,9 @@
     clock,
 ):
     async def main():
-        book = bench_upstream.StartBook(clock)
+        recorder = bench_upstream.StartRecorder(clock)
         faults = standin_upstream.Faults()
-        worker = bench_upstream.Worker(3, 'talca', book, faults)
+        worker = bench_upstream.Worker(3, 'talca', recorder, faults)
         ended = asyncio.Event()
         answers = []
 
@@ -30,13 +30,13 @@
         worker.start((KEY, 1), b'{"seconds": 60.0}', done)
         clock.instant += 1.0
         await ended.wait()
-        return book.runs, answers
+        return recorder.runs, answers
 
     (first, second), answers = asyncio.run(main())
     assert (first.task, first.worker, first.zone) == ('t1', 3, 'talca')
     assert (first.start, first.end) == (2.0, 3.0)
     assert second.end == math.inf
-    body = bench_truth.echo(KEY, 't1')
+    body = bench_violations.expected_body(KEY, 't1')
     assert answers == [(types.TaskState.FINISHED, body)]
 
 
--- a/tests/test_bench_truth.py
+++ b/tests/test_bench_violations.py
@@ -3,10 +3,10 @@
 import pytest
 
 from agatepick.bench import bench_evidence
-from agatepick.bench import bench_truth
+from agatepick.bench import bench_violations
 from agatepick import types
 
-CLEAN = bench_truth.Violations(0, 0, 0, 0, 0, 0)
+CLEAN = bench_violations.Violations(0, 0, 0, 0, 0, 0)
 NOT_RUN = types.TaskAnswer('t1', types.Outcome.NOT_RUN)
 COMPLETE = types.JobStatus.COMPLETE
 FAULTS = {
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize('name', FAULTS)
 def test_each_broken_promise_is_found_and_counted_once(
-    name, bench_seen, bench_answer, bench_finished
+    name, make_bench_evidence, make_bench_answer, make_finished_task
 ):
     """The upstreams' records contradict the caller's answer.
 
@@ -56,37 +56,46 @@
     """
     counts, status, task_letters, starts = FAULTS[name]
     tasks = [
-        bench_finished(place) if letter == 'f' else NOT_RUN
+        make_finished_task(place) if letter == 'f' else NOT_RUN
         for place, letter in enumerate(task_letters)
     ]
-    violations = bench_truth.judge(
-        bench_seen(bench_answer(status, *tasks), starts)
+    violations = bench_violations.find_violations(
+        make_bench_evidence(make_bench_answer(status, *tasks), starts)
     )
     assert violations == dataclasses.replace(CLEAN, **counts)
 
 
 def test_a_correct_answer_passes_but_not_under_another_key(
-    bench_seen, bench_answer, bench_finished
+    make_bench_evidence, make_bench_answer, make_finished_task
 ):
     """Two answers are swapped on their way to the callers.
 
     A caller would take another caller's meeting date or quote for its own.
     """
-    tasks = bench_finished(0), bench_finished(1)
-    own = bench_seen(bench_answer(COMPLETE, *tasks))
-    assert bench_truth.judge(own) == CLEAN
-    crossed = bench_seen(bench_answer(COMPLETE, *tasks, key='other'))
-    assert bench_truth.judge(crossed).wrong_answers == 1
+    tasks = make_finished_task(0), make_finished_task(1)
+    own = make_bench_evidence(make_bench_answer(COMPLETE, *tasks))
+    assert bench_violations.find_violations(own) == CLEAN
+    crossed = make_bench_evidence(
+        make_bench_answer(COMPLETE, *tasks, key='other')
+    )
+    assert bench_violations.find_violations(crossed).wrong_answers == 1
 
 
-def test_a_start_in_a_zone_counts_once_its_departure_is_in_force(bench_seen):
+def test_a_start_in_a_zone_counts_once_its_departure_is_in_force(
+    make_bench_evidence,
+):
     """A task starts at 0.5 s in a zone whose departure is in force at 0.4 s.
 
     An operator who switches off the departed zone would kill the task.
     """
-    departure = bench_evidence.Departure('talca', 0.1, 0.2, 0.4, 9.0)
-    late_starts = bench_seen(None, departures=(departure,))
-    assert bench_truth.judge(late_starts).starts_after_fence == 2
-    departure = dataclasses.replace(departure, in_force=0.6)
-    earlier_starts = bench_seen(None, departures=(departure,))
-    assert bench_truth.judge(earlier_starts).starts_after_fence == 0
+    departure = bench_evidence.ZoneDeparture('talca', 0.1, 0.2, 0.4, 9.0)
+    late_starts = make_bench_evidence(None, departures=(departure,))
+    assert (
+        bench_violations.find_violations(late_starts).starts_after_fence == 2
+    )
+    departure = dataclasses.replace(departure, in_force_at=0.6)
+    earlier_starts = make_bench_evidence(None, departures=(departure,))
+    assert (
+        bench_violations.find_violations(earlier_starts).starts_after_fence
+        == 0
+    )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -105,7 +105,7 @@
 
 def test_an_address_in_use_is_named(capsys, tmp_path):
     """An operator starts an agent on an address that is already in use."""
-    (sock,) = conftest.bound()
+    (sock,) = conftest.bind_free_port()
     address = '127.0.0.1:%d' % sock.getsockname()[1]
     path = tmp_path / 'agent.toml'
     path.write_text(
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -3,11 +3,11 @@
 from agatepick.bench import bench_arrivals
 from agatepick.bench import bench_evidence
 from agatepick.bench import bench_plan
-from agatepick.bench import bench_truth
+from agatepick.bench import bench_violations
 from agatepick.cmd import demo
 from agatepick import types
 
-LOAD = bench_arrivals.plan(
+LOAD = bench_arrivals.draw_load(
     bench_plan.Pattern.STEADY, 1, 2.0, 0.2, demo.DEPLOYMENT
 )
 KEY = '0190a5e4-7b00-7000-8000-000000000001'
@@ -16,10 +16,14 @@
 def evidence(runs=(), departures=()):
     """Return the evidence of one complete job, with its starts."""
     job = LOAD.jobs[0]
-    names = [bench_truth.task_id(place) for place in range(len(job.tasks))]
+    names = [
+        bench_violations.task_id(place) for place in range(len(job.tasks))
+    ]
     tasks = tuple(
         types.TaskAnswer(
-            name, types.Outcome.FINISHED, bench_truth.echo(KEY, name)
+            name,
+            types.Outcome.FINISHED,
+            bench_violations.expected_body(KEY, name),
         )
         for name in names
     )
@@ -53,7 +57,7 @@
     The report must count each violation, since it sets the exit status.
     """
     second_run = bench_evidence.Run(KEY, 't0', 3, 'curico', 1.2, 1.3)
-    departure = bench_evidence.Departure('curico', 0.1, 0.2, 1.0, 9.0)
+    departure = bench_evidence.ZoneDeparture('curico', 0.1, 0.2, 1.0, 9.0)
     run_evidence = evidence([second_run], [departure])
     promises = demo.count_violations(
         run_evidence, demo.ConfigurationWatch(reversions=1)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -92,7 +92,7 @@
 
 
 async def _http_scenario(data):
-    site = conftest.site_of(conftest.never)
+    site = conftest.start_site(conftest.fail_on_event)
     try:
         _, writer = await asyncio.open_connection('127.0.0.1', site.port)
         writer.write(data)
@@ -126,7 +126,7 @@
     served = links.Links(
         lambda: hello, events.append, conftest.FixedClock(), random.Random(1)
     )
-    sockets = conftest.bound()
+    sockets = conftest.bind_free_port()
     served.add_sockets(sockets)
     port = sockets[0].getsockname()[1]
     try:
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -4,7 +4,7 @@
 
 import uuid_utils
 
-from tests import whole
+from tests import local_cluster
 
 OPERATOR = {'Authorization': f'Bearer {"x" * 16}'}
 
@@ -20,11 +20,11 @@
 def last_suspect_stamp(process):
     entries = config(process).in_force.entries
     removed_at = max(one.removed_at for one in entries)
-    return removed_at + whole.TIMING.skew_seconds
+    return removed_at + local_cluster.TIMING.skew_seconds
 
 
 async def until(check):
-    async with asyncio.timeout(whole.PATIENCE):
+    async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
         while not check():
             await asyncio.sleep(0.02)
 
@@ -32,7 +32,7 @@
 async def submit(cluster, process):
     """Submit a job through a process and return its answer."""
     key = {'Idempotency-Key': str(uuid_utils.uuid7())}
-    body = whole.job(5)
+    body = local_cluster.job(5)
     return await cluster.call(process, 'POST', '/v1/jobs', body, **key)
 
 
@@ -44,7 +44,7 @@
     """
 
     async def main():
-        async with whole.cluster(zones=('z1', 'z2')) as cluster:
+        async with local_cluster.cluster(zones=('z1', 'z2')) as cluster:
             cluster.table.faults.outage = True
             await until(
                 lambda: all(
@@ -80,12 +80,12 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             survivor, killed = cluster.entries
             cluster.table.faults.outage = True
             await until(lambda: config(survivor).lease_source == 'peers')
             killed.kill()
-            for _ in range(2 * round(whole.TIMING.fence_seconds)):
+            for _ in range(2 * round(local_cluster.TIMING.fence_seconds)):
                 await asyncio.sleep(1.0)
                 assert config(survivor).lease_source == 'peers'
             cluster.table.faults.outage = False
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -3,7 +3,7 @@
 import uuid_utils
 
 from agatepick.cmd import commands
-from tests import whole
+from tests import local_cluster
 
 
 def new_key():
@@ -12,9 +12,9 @@
 
 def test_a_job_goes_from_its_caller_to_upstreams_and_back():
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             for entry in cluster.entries:
-                body = whole.job(10)
+                body = local_cluster.job(10)
                 code, answer = await cluster.call(
                     entry, 'POST', '/v1/jobs', body
                 )
@@ -36,9 +36,9 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             key = {'Idempotency-Key': new_key()}
-            body = whole.job(3, 0.2)
+            body = local_cluster.job(3, 0.2)
             answers = await asyncio.gather(
                 *[
                     cluster.call(entry, 'POST', '/v1/jobs', body, **key)
@@ -60,15 +60,17 @@
     """
 
     async def main():
-        async with whole.cluster(entries=1, agents=1) as cluster:
+        async with local_cluster.cluster(entries=1, agents=1) as cluster:
             entry = cluster.entries[0]
             sent = asyncio.create_task(
-                cluster.call(entry, 'POST', '/v1/jobs', whole.job(2, 30.0))
+                cluster.call(
+                    entry, 'POST', '/v1/jobs', local_cluster.job(2, 30.0)
+                )
             )
             while cluster.starts() < 2:
                 await asyncio.sleep(0.01)
             cluster.agents[0].kill()
-            cluster.workers[0].die()
+            cluster.workers[0].crash()
             code, answer = await sent
             assert code == 502
             assert answer['run'] == 'failed'
@@ -89,18 +91,22 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             sent = [
                 asyncio.create_task(
-                    cluster.call(entry, 'POST', '/v1/jobs', whole.job(2, 0.3))
+                    cluster.call(
+                        entry, 'POST', '/v1/jobs', local_cluster.job(2, 0.3)
+                    )
                 )
                 for entry in (first, second) * 4
             ]
             await asyncio.sleep(0.05)
             stopping = asyncio.create_task(first.stop())
             await asyncio.sleep(0.05)
-            late = await cluster.call(second, 'POST', '/v1/jobs', whole.job(2))
+            late = await cluster.call(
+                second, 'POST', '/v1/jobs', local_cluster.job(2)
+            )
             codes = [code for code, _ in await asyncio.gather(*sent)]
             assert codes == [200] * 8, [t.result() for t in sent]
             assert late[0] == 200
@@ -116,14 +122,14 @@
     """
 
     async def main():
-        async with whole.cluster(entries=1, agents=1) as cluster:
+        async with local_cluster.cluster(entries=1, agents=1) as cluster:
             entry = cluster.entries[0]
             path = '/v1/jobs/00000000-0000-4000-8000-000000000000'
             code, answer = await cluster.call(entry, 'GET', path)
             assert code == 404
             assert answer['code'] == 'unknown_job'
             code, _ = await cluster.call(
-                entry, 'POST', '/v1/jobs', whole.job(1)
+                entry, 'POST', '/v1/jobs', local_cluster.job(1)
             )
             assert code == 200
 
@@ -138,10 +144,10 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             wait = {'Prefer': 'respond-async'}
-            body = whole.job(2, 30.0)
+            body = local_cluster.job(2, 30.0)
             code, answer = await cluster.call(
                 first, 'POST', '/v1/jobs', body, **wait
             )
@@ -152,7 +158,7 @@
                 assert (code, answer['run']) == (202, 'pending')
             code, answer = await cluster.call(second, 'DELETE', path)
             assert code in (200, 202)
-            async with asyncio.timeout(whole.PATIENCE):
+            async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
                 while (await cluster.call(first, 'GET', path))[0] == 202:
                     await asyncio.sleep(0.01)
             code, answer = await cluster.call(second, 'GET', path)
@@ -170,14 +176,16 @@
     """
 
     async def main():
-        async with whole.cluster(entries=1, zones=('z1', 'z2')) as cluster:
+        async with local_cluster.cluster(
+            entries=1, zones=('z1', 'z2')
+        ) as cluster:
             (entry,) = cluster.entries
             site = commands.Site((f'http://{entry.http_address}',), 'x' * 16)
-            body = whole.job(1, 5.0, zones=['z1'])
+            body = local_cluster.job(1, 5.0, zones=['z1'])
             sent = asyncio.create_task(
                 cluster.call(entry, 'POST', '/v1/jobs', body)
             )
-            async with asyncio.timeout(whole.PATIENCE):
+            async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
                 while not cluster.starts():
                     await asyncio.sleep(0.01)
             output = await commands.drain_zone(site, 'z1', None)
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -82,7 +82,7 @@
         worker, local_upstream = make_local_upstream(events)
         local_upstream.begin()
         local_upstream.run(make_run_task(0))
-        worker.die()
+        worker.crash()
         local_upstream.run(make_run_task(1))
         await asyncio.sleep(0.01)
         assert list(events) == [agents.announced()]
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,7 +11,7 @@
 from agatepick.owning import takeover
 from agatepick import types
 from tests import agents
-from tests import whole
+from tests import local_cluster
 
 NOW = agents.NOW
 REMOVED = agents.member('lost', removed_at=NOW + 1)
@@ -155,19 +155,19 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             key = {'Idempotency-Key': await _key_of(first)}
-            body = whole.job(4, 0.3)
+            body = local_cluster.job(4, 0.3)
             lost = asyncio.create_task(
                 cluster.call(first, 'POST', '/v1/jobs', body, **key)
             )
-            async with asyncio.timeout(whole.PATIENCE):
+            async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
                 while cluster.starts() < 4:
                     await asyncio.sleep(0.01)
             first.kill()
             lost.cancel()
-            async with asyncio.timeout(whole.PATIENCE):
+            async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
                 while True:
                     code, answer = await cluster.call(
                         second, 'POST', '/v1/jobs', body, **key
@@ -190,7 +190,7 @@
     """
 
     async def main():
-        async with whole.cluster() as cluster:
+        async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             keys = []
             stopping = asyncio.create_task(first.stop())
@@ -204,7 +204,7 @@
                         second,
                         'POST',
                         '/v1/jobs',
-                        whole.job(1),
+                        local_cluster.job(1),
                         **{'Idempotency-Key': key},
                     )
                     for key in keys[-15:]
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -6,7 +6,7 @@
 from agatepick import exceptions
 from agatepick.telemetry import timeline
 from tests import conftest
-from tests import whole
+from tests import local_cluster
 
 
 def test_an_effect_never_comes_before_its_cause():
@@ -68,9 +68,9 @@
 
 def test_the_events_of_one_task_are_merged_over_all_processes():
     async def main():
-        async with whole.cluster(agents=1) as cluster:
+        async with local_cluster.cluster(agents=1) as cluster:
             code, answer = await cluster.call(
-                cluster.entries[0], 'POST', '/v1/jobs', whole.job(3)
+                cluster.entries[0], 'POST', '/v1/jobs', local_cluster.job(3)
             )
             assert code == 200
             processes = [*cluster.entries, *cluster.agents]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -189,7 +189,7 @@
         await entry.start(contexts)
         upstreams = []
 
-        def runner(feed):
+        def make_upstream(feed):
             offer = upstream.Announced(
                 's', ('k',), 2, types.Needs(1.0, 1), '', 5.0
             )
@@ -199,8 +199,10 @@
             )
             return upstreams[0]
 
-        outside = processes.Outside(
-            clocks.ProcessClock.start(), random.Random(1), runner=runner
+        outside = processes.Dependencies(
+            clocks.ProcessClock.start(),
+            random.Random(1),
+            make_upstream=make_upstream,
         )
         agent = processes.AgentProcess.from_settings(
             agent_cfg(entry.member.address), outside
