--- a/examples/platform_path.py
+++ b/examples/platform_path.py
@@ -19,14 +19,14 @@
 
 
 def main() -> int:
-    """Run the demo without faults; return 0 if no promise was broken."""
+    """Run the demo without faults; return 0 if no guarantee was violated."""
     with tempfile.TemporaryDirectory() as folder:
-        broken, answered = soak.play(1, SECONDS, folder, faults=())
+        broken, answered = soak.run_seed(1, SECONDS, folder, faults=())
         logs = sorted(str(path) for path in pathlib.Path(folder).glob('*.log'))
         print(explain.explain(JOB, tuple(logs)).text)
     print(f'answers by status: {answered}')
     for one in broken:
-        print(f'broken: {one.promise}: {one.detail}')
+        print(f'broken: {one.guarantee}: {one.detail}')
     print(f'promises broken: {len(broken)}')
     return 1 if broken else 0
 
--- a/src/agatepick/platform/announcements.py
+++ b/src/agatepick/platform/announcements.py
@@ -82,7 +82,7 @@
             born = int(msgspec.json.decode(self.request.body or b'{}')['born'])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
             born = 0
-        self._feed(workerapi.WorkerLeft(worker.make_life(name, born)))
+        self._feed(workerapi.WorkerLeft(worker.make_incarnation(name, born)))
         self.finish({})
 
 
@@ -108,10 +108,10 @@
     )
 
 
-def _make_event(name: str, heartbeat: _Heartbeat) -> workerapi.WorkerSeen:
+def _make_event(name: str, heartbeat: _Heartbeat) -> workerapi.WorkerAnnounced:
     capacity = heartbeat.capacity
-    return workerapi.WorkerSeen(
-        life=worker.make_life(name, heartbeat.born),
+    return workerapi.WorkerAnnounced(
+        incarnation=worker.make_incarnation(name, heartbeat.born),
         born=heartbeat.born,
         sequence=heartbeat.sequence,
         pool=heartbeat.service,
--- a/src/agatepick/platform/following.py
+++ b/src/agatepick/platform/following.py
@@ -25,7 +25,7 @@
 Snapshot = dict[str, bytes]
 
 
-async def follow(
+async def watch_table(
     store: rows.RowStore,
     table: str,
     wait: float,
--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -110,7 +110,7 @@
     def get(self) -> None:
         """Answer 200 while this entry accepts callers, else 503."""
         now = self._front.clock.now()
-        self.set_status(200 if self._front.entry.ready(now) else 503)
+        self.set_status(200 if self._front.entry.is_ready(now) else 503)
         self.finish({})
 
 
@@ -149,7 +149,7 @@
         if key:
             self._refuse(410, 'not_kept', 0.0)
             return
-        self.finish({'pending': self._front.entry.pending(route.name)})
+        self.finish({'pending': self._front.entry.count_pending(route.name)})
 
     def delete(self) -> None:
         """Cancel a job."""
@@ -157,7 +157,7 @@
         if found is None:
             return
         _, key = found
-        if not self._front.entry.knows(key):
+        if not self._front.entry.owns_open_job(key):
             self._refuse(410, 'no_such_job', 0.0)
             return
         self._front.feed(events.JobCancelled(key))
--- a/src/agatepick/platform/members.py
+++ b/src/agatepick/platform/members.py
@@ -35,7 +35,7 @@
         except msgspec.MsgspecError as exc:
             logs.warning(LOG, 'member_unreadable', key=name, reason=exc)
             continue
-        entries.append(events.Listed(name, member.address, member.zone))
+        entries.append(events.ListedEntry(name, member.address, member.zone))
     return events.EntriesListed(tuple(entries))
 
 
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -16,11 +16,11 @@
 from agatepick.platform import desired
 from agatepick.platform import following
 from agatepick.platform import ingress
-from agatepick.platform import kept
 from agatepick.platform import members
 from agatepick.platform import rows
 from agatepick.platform import settings
 from agatepick.platform import worker
+from agatepick.platform import worker_record
 from agatepick.repeatable import agent
 from agatepick.repeatable import entry
 from agatepick.repeatable import events
@@ -97,7 +97,7 @@
             proc.feed(events.RoutesRead(table))
 
     coroutines = [
-        following.follow(
+        following.watch_table(
             store,
             desired.TABLE,
             DESIRED_WAIT_SECONDS,
@@ -120,24 +120,24 @@
     client = worker.WorkerClient(cfg.worker, proc.clock, proc.feed)
     proc.handle(workerapi.StartRun, client.start)
     proc.handle(workerapi.StopRun, client.stop)
-    proc.handle(workerapi.Watch, client.watch)
+    proc.handle(workerapi.RequestLists, client.watch)
     store = rows.RowStore(cfg.store)
-    record = kept.WorkerRecord(store, cfg.worker, rng)
-    proc.handle(workerapi.KeepWorker, record.update)
+    record = worker_record.WorkerRecord(store, cfg.worker, rng)
+    proc.handle(workerapi.PersistWorker, record.update)
     app = announcements.make_application(proc.feed, client.worker_clock)
     _serve(app, cfg.control)
     proc.begin()
     coroutines = [
         record.restore(client, proc.feed),
         record.write_changes(),
-        following.follow(
+        following.watch_table(
             store,
             desired.TABLE,
             ZONES_WAIT_SECONDS,
             lambda snapshot: proc.feed(desired.parse_closed_zones(snapshot)),
             rng,
         ),
-        following.follow(
+        following.watch_table(
             store,
             members.TABLE,
             MEMBERS_WAIT_SECONDS,
@@ -196,7 +196,7 @@
     loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
     loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
-    proc.measures.read(proc.figures, lambda: store.counts)
+    proc.measures.register(proc.gauges, lambda: store.counts)
     _serve_metrics(cfg, proc.measures)
     tasks = [loop.create_task(coroutine) for coroutine in coroutines]
     tasks.append(loop.create_task(_reload(cfg, path, store, reload_requested)))
--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -146,11 +146,11 @@
         """Stop a run."""
         self._spawn(self._stop(effect))
 
-    def watch(self, effect: workerapi.Watch) -> None:
+    def watch(self, effect: workerapi.RequestLists) -> None:
         """Extend the lease and request the running and ended runs."""
         body: dict[str, typing.Any] = {
             'fencing_token': FENCING_TOKEN,
-            'last_seen': effect.seen,
+            'last_seen': effect.last_end,
             'wait_ms': int(effect.wait_seconds * 1000),
         }
         if effect.lease_seconds:
@@ -170,7 +170,7 @@
         body = {'fencing_token': FENCING_TOKEN, 'last_seen': 0, 'wait_ms': 0}
         try:
             status, data = await self._post(
-                '/v1/hold', make_life(name, 0), body, ORDER_SECONDS
+                '/v1/hold', make_incarnation(name, 0), body, ORDER_SECONDS
             )
             if status != 200:
                 return 0
@@ -186,14 +186,16 @@
     ) -> None:
         try:
             status, data = await self._post(
-                '/v1/run-start', effect.life, body, ORDER_SECONDS
+                '/v1/run-start', effect.incarnation, body, ORDER_SECONDS
             )
         except OSError as exc:
             result, reason = workerapi.StartResult.UNKNOWN, repr(exc)
         else:
             result, reason = self._decode_start(status, data)
         self._feed(
-            workerapi.StartAnswered(effect.life, effect.ref, result, reason)
+            workerapi.StartAnswered(
+                effect.incarnation, effect.ref, result, reason
+            )
         )
 
     def _decode_start(
@@ -224,7 +226,7 @@
         ok = False
         try:
             status, data = await self._post(
-                '/v1/run-stop', effect.life, body, ORDER_SECONDS
+                '/v1/run-stop', effect.incarnation, body, ORDER_SECONDS
             )
             ok = status == 200
             if ok:
@@ -232,44 +234,48 @@
         except OSError as exc:
             logs.info(LOG, 'stop_unanswered', task=effect.name, reason=exc)
         self._feed(
-            workerapi.StopAnswered(effect.life, effect.name, effect.run, ok)
+            workerapi.StopAnswered(
+                effect.incarnation, effect.name, effect.run, ok
+            )
         )
 
     async def _watch(
-        self, effect: workerapi.Watch, body: dict[str, typing.Any]
+        self, effect: workerapi.RequestLists, body: dict[str, typing.Any]
     ) -> None:
         sent_at = self._clock.now()
         seconds = effect.wait_seconds + WATCH_MARGIN_SECONDS
         try:
             status, data = await self._post(
-                '/v1/hold', effect.life, body, seconds
+                '/v1/hold', effect.incarnation, body, seconds
             )
         except OSError as exc:
             refused = isinstance(exc, ConnectionRefusedError)
             logs.info(LOG, 'watch_failed', reason=repr(exc))
-            self._feed(workerapi.WatchFailed(effect.life, refused=refused))
+            self._feed(
+                workerapi.ListsFailed(effect.incarnation, refused=refused)
+            )
             return
         self._feed(self._decode_watch(effect, sent_at, status, data))
 
     def _decode_watch(
         self,
-        effect: workerapi.Watch,
+        effect: workerapi.RequestLists,
         sent_at: float,
         status: int,
         data: bytes,
     ) -> object:
         if status == 421:
-            return workerapi.WatchFailed(effect.life, other_life=True)
+            return workerapi.ListsFailed(effect.incarnation, other_life=True)
         if status != 200:
             logs.info(LOG, 'watch_failed', status=status)
-            return workerapi.WatchFailed(effect.life)
+            return workerapi.ListsFailed(effect.incarnation)
         try:
             lists = msgspec.json.decode(data, type=_Lists)
             running = tuple(
-                workerapi.RunningAt(one[0], one[1]) for one in lists.running
+                workerapi.RunningRun(one[0], one[1]) for one in lists.running
             )
             ended = tuple(
-                workerapi.EndedAt(
+                workerapi.EndedRun(
                     one[0],
                     one[1],
                     one[2],
@@ -280,21 +286,28 @@
             )
         except (msgspec.MsgspecError, IndexError) as exc:
             logs.warning(LOG, 'lists_unreadable', reason=exc)
-            return workerapi.WatchFailed(effect.life)
+            return workerapi.ListsFailed(effect.incarnation)
         self.worker_clock.add_sample(lists.clock_ms, lists.born)
-        life = make_life(get_id(effect.life), lists.born)
-        if lists.born and life != effect.life:
-            return workerapi.WorkerReborn(effect.life, life, lists.born)
-        return workerapi.Watched(effect.life, sent_at, running, ended)
+        incarnation = make_incarnation(get_id(effect.incarnation), lists.born)
+        if lists.born and incarnation != effect.incarnation:
+            return workerapi.OtherIncarnationAnswered(
+                effect.incarnation, incarnation, lists.born
+            )
+        return workerapi.ListsReceived(
+            effect.incarnation, sent_at, running, ended
+        )
 
     async def _post(
         self,
         path: str,
-        life: str,
+        incarnation: str,
         body: dict[str, typing.Any],
         seconds: float,
     ) -> tuple[int, bytes]:
-        headers = {**rows.JSON_HEADERS, 'X-Target-Instance': get_id(life)}
+        headers = {
+            **rows.JSON_HEADERS,
+            'X-Target-Instance': get_id(incarnation),
+        }
         answer = await self._client.call(
             'POST', path, seconds, msgspec.json.encode(body), headers
         )
@@ -319,7 +332,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def make_life(name: str, born: int) -> str:
+def make_incarnation(name: str, born: int) -> str:
     """Return the name of one incarnation of a worker.
 
     A worker may restart under the same id.
@@ -327,6 +340,6 @@
     return f'{name}@{born}'
 
 
-def get_id(life: str) -> str:
+def get_id(incarnation: str) -> str:
     """Return the id of a worker, which all its incarnations share."""
-    return life.rpartition('@')[0]
+    return incarnation.rpartition('@')[0]
--- a/src/agatepick/platform/kept.py
+++ b/src/agatepick/platform/worker_record.py
@@ -65,7 +65,7 @@
         self._value: bytes | None = None
         self._changed = asyncio.Event()
 
-    def update(self, effect: workerapi.KeepWorker) -> None:
+    def update(self, effect: workerapi.PersistWorker) -> None:
         """Set the worker to store; :meth:`write_changes` writes the row."""
         announced = effect.worker
         self._value = None if announced is None else _encode(announced)
@@ -136,10 +136,10 @@
             return None
 
 
-def _encode(announced: workerapi.WorkerSeen) -> bytes:
+def _encode(announced: workerapi.WorkerAnnounced) -> bytes:
     return msgspec.json.encode(
         _Row(
-            worker.get_id(announced.life),
+            worker.get_id(announced.incarnation),
             announced.pool,
             announced.capacity.cpu,
             announced.capacity.memory_mb,
@@ -149,9 +149,9 @@
     )
 
 
-def _decode(row: _Row, born: int, address: str) -> workerapi.WorkerSeen:
-    return workerapi.WorkerSeen(
-        life=worker.make_life(row.name, born),
+def _decode(row: _Row, born: int, address: str) -> workerapi.WorkerAnnounced:
+    return workerapi.WorkerAnnounced(
+        incarnation=worker.make_incarnation(row.name, born),
         born=born,
         sequence=workerapi.NOT_ANNOUNCED,
         pool=row.pool,
--- a/src/agatepick/repeatable/admitting.py
+++ b/src/agatepick/repeatable/admission.py
@@ -23,7 +23,7 @@
 
 from agatepick.repeatable import estimating
 from agatepick.repeatable import jobs
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import pool
 
 RATE_TIME_CONSTANT_SECONDS = 1.0
@@ -205,7 +205,7 @@
         self,
         workers: pool.Pool,
         estimator: estimating.Estimator,
-        waiting: owned.WaitingQueue,
+        waiting: owned_jobs.WaitingQueue,
         rng: random.Random,
     ) -> None:
         self._pool = workers
--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -13,12 +13,12 @@
 from agatepick.repeatable import events
 from agatepick.repeatable import health
 from agatepick.repeatable import leases
-from agatepick.repeatable import orders
+from agatepick.repeatable import publishing
 from agatepick.repeatable import reports
+from agatepick.repeatable import run_controller
 from agatepick.repeatable import runs
 from agatepick.repeatable import serving
 from agatepick.repeatable import sharing
-from agatepick.repeatable import telling
 from agatepick.repeatable import workerapi
 from agatepick import types
 
@@ -51,12 +51,12 @@
         self._incarnation = incarnation
         self._capacity = sharing.SharedCapacity()
         self._health = health.Health()
-        self._publisher = telling.Publisher(
+        self._publisher = publishing.Publisher(
             incarnation, self._capacity, self._health
         )
         self._owners: dict[types.PeerName, runs.Owner] = {}
         self._reports = reports.Reports()
-        self._controller = orders.RunController(
+        self._controller = run_controller.RunController(
             self._capacity,
             self._health,
             self._reports,
@@ -77,13 +77,15 @@
             core.StopRequested: self._on_stop,
             events.EntriesListed: self._on_listed,
             events.ZonesClosed: self._on_zones,
-            workerapi.WorkerSeen: self._controller.handle_announcement,
+            workerapi.WorkerAnnounced: self._controller.handle_announcement,
             workerapi.WorkerLeft: self._controller.handle_departure,
             workerapi.StartAnswered: self._controller.handle_start_answer,
             workerapi.StopAnswered: self._controller.handle_stop_answer,
-            workerapi.Watched: self._controller.handle_lists,
-            workerapi.WatchFailed: self._controller.handle_list_failure,
-            workerapi.WorkerReborn: self._controller.handle_other_incarnation,
+            workerapi.ListsReceived: self._controller.handle_lists,
+            workerapi.ListsFailed: self._controller.handle_list_failure,
+            workerapi.OtherIncarnationAnswered: (
+                self._controller.handle_other_incarnation
+            ),
         }
         self._message_handlers: dict[type, _MessageHandler] = {
             messages.StartRuns: self._handle_starts,
@@ -121,8 +123,8 @@
             effects.append(core.WakeAt(wake))
         return effects
 
-    def figures(self, now: float) -> dict[str, float]:
-        """Return the agent's gauges by name; see ``measures.FIGURES``."""
+    def gauges(self, now: float) -> dict[str, float]:
+        """Return the agent's gauges by name; see ``measures.GAUGES``."""
         return {
             'runs': len(self._controller.runs),
             'entries': sum(one.connected for one in self._owners.values()),
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -12,12 +12,12 @@
 
 from agatepick import core
 from agatepick.net import messages
-from agatepick.repeatable import admitting
+from agatepick.repeatable import admission
 from agatepick.repeatable import estimating
 from agatepick.repeatable import events
 from agatepick.repeatable import jobs
 from agatepick.repeatable import outcomes
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import placing
 from agatepick.repeatable import pool
 from agatepick.repeatable import routes
@@ -58,9 +58,9 @@
     def __init__(self, cfg: EntryConfig, rng: random.Random):
         self._pool = pool.Pool(rng)
         self._estimator = estimating.Estimator()
-        self._waiting = owned.WaitingQueue()
-        self._jobs = owned.Jobs()
-        self._admission = admitting.Admission(
+        self._waiting = owned_jobs.WaitingQueue()
+        self._jobs = owned_jobs.Jobs()
+        self._admission = admission.Admission(
             self._pool, self._estimator, self._waiting, rng
         )
         self._placing = placing.Placing(self._pool, self._estimator)
@@ -72,7 +72,7 @@
             self._end_job,
         )
         self._stragglers = stragglers.Stragglers(self._pool, self._estimator)
-        self._calls: dict[int, owned.OwnedJob] = {}
+        self._calls: dict[int, owned_jobs.OwnedJob] = {}
         self._watched_at = 0.0
         self._placement_due = False
         self._placed_at = 0.0
@@ -126,7 +126,7 @@
         """
         return bool(self._waiting) or self._placing.has_unanswered_grants
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Return whether the load balancer should send callers to this entry.
 
         An entry that can't reach any worker can't run jobs, so its callers
@@ -141,20 +141,20 @@
         """Whether the process has been asked to stop."""
         return self._stopping.requested
 
-    def knows(self, key: types.JobKey) -> bool:
+    def owns_open_job(self, key: types.JobKey) -> bool:
         """Return whether this entry owns a job that isn't answered yet."""
         job = self._jobs.get(key)
         return job is not None and not job.answered
 
-    def pending(self, route: str) -> int:
+    def count_pending(self, route: str) -> int:
         """Return the number of a queue's jobs of which no task has started."""
         return sum(
             job.spec.route.name == route and not job.started
             for job in self._jobs.open_jobs()
         )
 
-    def figures(self, now: float) -> dict[str, float]:
-        """Return the entry's gauges by name; see ``measures.FIGURES``."""
+    def gauges(self, now: float) -> dict[str, float]:
+        """Return the entry's gauges by name; see ``measures.GAUGES``."""
         jobs_open = self._jobs.open_jobs()
         usable = [worker for worker in self._pool if worker.is_usable(now)]
         waits = [now - job.arrived_at for job in jobs_open if not job.started]
@@ -194,7 +194,7 @@
                 refusal.retry_after,
                 refusal.load,
             )
-        job = owned.OwnedJob(
+        job = owned_jobs.OwnedJob(
             event.call,
             spec,
             now,
@@ -222,7 +222,7 @@
         spec: jobs.Job,
         reason: str,
         after: float,
-        load: admitting.Load | None = None,
+        load: admission.Load | None = None,
     ) -> list[object]:
         answer = jobs.Answer(jobs.Verdict.NOT_RUN, reason, after)
         inputs = {}
@@ -283,7 +283,7 @@
         ]
 
     def _end_job(
-        self, job: owned.OwnedJob, answer: jobs.Answer, now: float
+        self, job: owned_jobs.OwnedJob, answer: jobs.Answer, now: float
     ) -> list[object]:
         """Answer a job's callers and stop the runs that remain."""
         if answer.verdict is jobs.Verdict.COMPLETE:
@@ -308,7 +308,7 @@
             ),
             *[events.Reply(call, answer) for call in job.calls],
         ]
-        effects += owned.stop_runs(job, job.placed())
+        effects += owned_jobs.stop_runs(job, job.placed())
         self._jobs.forget(job)
         return effects
 
@@ -422,7 +422,7 @@
             effects += self._watch_job(job, now)
         return effects
 
-    def _watch_job(self, job: owned.OwnedJob, now: float) -> list[object]:
+    def _watch_job(self, job: owned_jobs.OwnedJob, now: float) -> list[object]:
         if now >= job.spec.deadline:
             answer = jobs.Answer(jobs.Verdict.GIVEN_UP, 'deadline')
             if not job.started:
@@ -436,7 +436,7 @@
             )
             return self._end_job(job, answer, now)
         stuck = self._stragglers.find(job, now)
-        stops = owned.stop_runs(job, [one.index for one in stuck])
+        stops = owned_jobs.stop_runs(job, [one.index for one in stuck])
         return [*[one.note for one in stuck], *stops]
 
     def _on_stop(self, event: core.StopRequested, now: float) -> list[object]:
--- a/src/agatepick/repeatable/events.py
+++ b/src/agatepick/repeatable/events.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class ListedEntry:
     """One entry in the list of available entries."""
 
     name: types.PeerName
@@ -59,7 +59,7 @@
 class EntriesListed:
     """Event: the entries that the store lists now."""
 
-    entries: tuple[Listed, ...]
+    entries: tuple[ListedEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/agatepick/repeatable/measures.py
+++ b/src/agatepick/repeatable/measures.py
@@ -22,7 +22,7 @@
 contains free text."""
 
 
-FIGURES = {
+GAUGES = {
     'jobs_open': 'jobs whose callers wait for an answer',
     'jobs_waiting': 'jobs with tasks that wait for room',
     'longest_wait_seconds': 'age of the oldest job that has not begun',
@@ -36,22 +36,22 @@
 """Gauges and their help texts by name. The values are computed on each scrape
 only."""
 
-Figures = typing.Callable[[], dict[str, float]]
+Gauges = typing.Callable[[], dict[str, float]]
 Counts = typing.Callable[[], dict[tuple[str, str], int]]
 
 
 class _Reader(registry.Collector):
     """Collector that turns gauges and store call counts into metrics."""
 
-    def __init__(self, figures: Figures, store_calls: Counts):
-        self._figures = figures
+    def __init__(self, gauges: Gauges, store_calls: Counts):
+        self._gauges = gauges
         self._store_calls = store_calls
 
     def collect(self) -> typing.Iterator[families.Metric]:
         """Yield a metric for each gauge, and one for calls to the store."""
-        for name, value in self._figures().items():
+        for name, value in self._gauges().items():
             yield families.GaugeMetricFamily(
-                f'agatepick_{name}', FIGURES[name], value
+                f'agatepick_{name}', GAUGES[name], value
             )
         calls = families.CounterMetricFamily(
             'agatepick_store_calls',
@@ -92,12 +92,12 @@
         if verdict is not None:
             self._answers.labels(verdict).observe(float(fields['seconds']))
 
-    def read(self, figures: Figures, store_calls: Counts) -> None:
+    def register(self, gauges: Gauges, store_calls: Counts) -> None:
         """Export gauges and the calls to the store on each scrape.
 
         :param store_calls: returns the calls so far by method and outcome.
         """
-        self._registry.register(_Reader(figures, store_calls))
+        self._registry.register(_Reader(gauges, store_calls))
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -10,10 +10,10 @@
 from agatepick import core
 from agatepick.decisions import backoff
 from agatepick.net import messages
-from agatepick.repeatable import admitting
+from agatepick.repeatable import admission
 from agatepick.repeatable import estimating
 from agatepick.repeatable import jobs
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import pool
 from agatepick.repeatable import reports
 from agatepick import types
@@ -32,7 +32,9 @@
 _WORKER_REASONS = frozenset({'stale_run', 'unwell'})
 """Reasons of refusals that the worker's free capacity doesn't explain."""
 
-EndJob = typing.Callable[[owned.OwnedJob, jobs.Answer, float], list[object]]
+EndJob = typing.Callable[
+    [owned_jobs.OwnedJob, jobs.Answer, float], list[object]
+]
 
 
 class Outcomes:
@@ -44,13 +46,13 @@
 
     def __init__(
         self,
-        owned_jobs: owned.Jobs,
-        waiting: owned.WaitingQueue,
+        all_jobs: owned_jobs.Jobs,
+        waiting: owned_jobs.WaitingQueue,
         estimator: estimating.Estimator,
-        release_rate: admitting.ReleaseRate,
+        release_rate: admission.ReleaseRate,
         end_job: EndJob,
     ) -> None:
-        self._jobs = owned_jobs
+        self._jobs = all_jobs
         self._waiting = waiting
         self._estimator = estimator
         self._release_rate = release_rate
@@ -84,11 +86,11 @@
         record = job.records[report.index]
         if record.agent != worker.name or record.run != report.run:
             return []
-        if record.state is not owned.TaskState.PLACED:
+        if record.state is not owned_jobs.TaskState.PLACED:
             return []
         if report.state == types.RunState.RUNNING:
             if record.stopping:
-                return owned.stop_runs(job, [report.index])
+                return owned_jobs.stop_runs(job, [report.index])
             return []
         # Its capacity counts as free from the next update on: the agent may
         # have granted it to another waiting entry, and would refuse a run that
@@ -105,7 +107,7 @@
     def _run_finished(
         self,
         worker: pool.Worker,
-        job: owned.OwnedJob,
+        job: owned_jobs.OwnedJob,
         report: messages.RunReport,
         now: float,
     ) -> list[object]:
@@ -125,7 +127,7 @@
     def _run_failed(
         self,
         worker: pool.Worker,
-        job: owned.OwnedJob,
+        job: owned_jobs.OwnedJob,
         report: messages.RunReport,
         now: float,
     ) -> list[object]:
@@ -134,7 +136,7 @@
         record.avoid = record.avoid | {worker.name}
         effects: list[object] = []
         if record.failures >= job.spec.route.max_attempts:
-            record.state = owned.TaskState.ENDED
+            record.state = owned_jobs.TaskState.ENDED
             if not job.answered:
                 answer = jobs.Answer(jobs.Verdict.FAILED, 'task_failed')
                 effects += self._end_job(job, answer, now)
@@ -144,7 +146,7 @@
     def _run_refused(
         self,
         worker: pool.Worker,
-        job: owned.OwnedJob,
+        job: owned_jobs.OwnedJob,
         report: messages.RunReport,
         now: float,
     ) -> list[object]:
@@ -167,11 +169,11 @@
         return self._requeue(job, report.index, report.reason, now)
 
     def _requeue(
-        self, job: owned.OwnedJob, index: int, reason: str, now: float
+        self, job: owned_jobs.OwnedJob, index: int, reason: str, now: float
     ) -> list[object]:
         """Queue a task again whose run ended without a result."""
         if job.answered:
-            job.records[index].state = owned.TaskState.ENDED
+            job.records[index].state = owned_jobs.TaskState.ENDED
             self._jobs.forget(job)
             return []
         job.requeue(index)
@@ -196,7 +198,7 @@
         record = job.records[key[1]]
         if record.agent != worker.name or record.run != placed.run:
             return []
-        if record.state is not owned.TaskState.PLACED:
+        if record.state is not owned_jobs.TaskState.PLACED:
             return []
         return self._requeue(job, key[1], reason, now)
 
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -15,7 +15,7 @@
 from agatepick import core
 from agatepick.net import messages
 from agatepick.repeatable import estimating
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import pool
 from agatepick import types
 
@@ -64,13 +64,15 @@
         """Drop the grant of an agent whose connection ended."""
         self._open_grants.pop(name, None)
 
-    def place(self, waiting: list[owned.OwnedJob], now: float) -> list[object]:
+    def place(
+        self, waiting: list[owned_jobs.OwnedJob], now: float
+    ) -> list[object]:
         """Start the tasks that fit, most urgent first; request the rest.
 
         :param waiting: jobs with waiting tasks, the most urgent first.
         """
         blocked = self._place_jobs(waiting, now) if waiting else []
-        by_pool: dict[str, list[owned.OwnedJob]] = {}
+        by_pool: dict[str, list[owned_jobs.OwnedJob]] = {}
         for job in blocked:
             by_pool.setdefault(job.spec.route.pool, []).append(job)
         wants = {
@@ -90,10 +92,10 @@
         return effects
 
     def _place_jobs(
-        self, waiting: list[owned.OwnedJob], now: float
-    ) -> list[owned.OwnedJob]:
+        self, waiting: list[owned_jobs.OwnedJob], now: float
+    ) -> list[owned_jobs.OwnedJob]:
         """Assign the tasks that fit, and return the jobs that have others."""
-        blocked: list[owned.OwnedJob] = []
+        blocked: list[owned_jobs.OwnedJob] = []
         candidates: dict[tuple[str, str], pool.Candidates] = {}
         min_unplaced_cpu: dict[tuple[str, str], float] = {}
         for job in waiting:
@@ -129,7 +131,7 @@
 
     def _choose(
         self,
-        job: owned.OwnedJob,
+        job: owned_jobs.OwnedJob,
         index: int,
         candidates: pool.Candidates,
     ) -> pool.Worker | None:
@@ -141,14 +143,14 @@
 
     def _assign(
         self,
-        job: owned.OwnedJob,
+        job: owned_jobs.OwnedJob,
         index: int,
         worker: pool.Worker,
         now: float,
     ) -> None:
         task = job.spec.tasks[index]
         record = job.records[index]
-        record.state = owned.TaskState.PLACED
+        record.state = owned_jobs.TaskState.PLACED
         record.agent = worker.name
         record.run += 1
         record.placed_at = now
@@ -238,7 +240,7 @@
 
 
 def expected_run_seconds(
-    estimator: estimating.Estimator, job: owned.OwnedJob, index: int
+    estimator: estimating.Estimator, job: owned_jobs.OwnedJob, index: int
 ) -> float:
     """Return the expected seconds of one task's run."""
     task = job.spec.tasks[index]
@@ -246,7 +248,9 @@
     return estimator.estimate_run(job.spec, task, siblings)
 
 
-def _build_want(blocked: list[owned.OwnedJob], now: float) -> messages.Want:
+def _build_want(
+    blocked: list[owned_jobs.OwnedJob], now: float
+) -> messages.Want:
     needs = [
         job.spec.tasks[index].needs for job in blocked for index in job.waiting
     ]
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -38,8 +38,8 @@
 class Reducer(core.Reducer, typing.Protocol):
     """Reducer that exports gauges."""
 
-    def figures(self, now: float) -> dict[str, float]:
-        """Return gauges by name; see ``measures.FIGURES``."""
+    def gauges(self, now: float) -> dict[str, float]:
+        """Return gauges by name; see ``measures.GAUGES``."""
         ...
 
 
@@ -83,9 +83,9 @@
         """Pass an event to the reducer."""
         self.shell.feed(event)
 
-    def figures(self) -> dict[str, float]:
+    def gauges(self) -> dict[str, float]:
         """Return the reducer's gauges by name."""
-        return self._reducer.figures(self.clock.now())
+        return self._reducer.gauges(self.clock.now())
 
     def handle(
         self, kind: type, handler: typing.Callable[[typing.Any], None]
--- a/src/agatepick/repeatable/telling.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -72,7 +72,7 @@
         self._incarnation = incarnation
         self._capacity = capacity
         self._health = health_record
-        self._worker: workerapi.WorkerSeen | None = None
+        self._worker: workerapi.WorkerAnnounced | None = None
         self._open = False
         self._entries = 0
         self._agents = 1
@@ -113,7 +113,7 @@
 
     def publish(
         self,
-        worker: workerapi.WorkerSeen | None,
+        worker: workerapi.WorkerAnnounced | None,
         is_open: bool,
         owners: Owners,
         now: float,
--- a/src/agatepick/repeatable/orders.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -13,10 +13,10 @@
 from agatepick.net import messages
 from agatepick.repeatable import health
 from agatepick.repeatable import leases
+from agatepick.repeatable import list_requests
 from agatepick.repeatable import reports
 from agatepick.repeatable import runs
 from agatepick.repeatable import sharing
-from agatepick.repeatable import watching
 from agatepick.repeatable import workerapi
 from agatepick import types
 
@@ -68,13 +68,13 @@
         run_reports: reports.Reports,
         on_refused: typing.Callable[[types.PeerName], None],
     ) -> None:
-        self.worker: workerapi.WorkerSeen | None = None
+        self.worker: workerapi.WorkerAnnounced | None = None
         self.runs: dict[str, runs.Run] = {}
         self._capacity = capacity
         self._health = health_record
         self._reports = run_reports
         self._on_refused = on_refused
-        self._watching = watching.Watching()
+        self._watching = list_requests.Watching()
         self._announced_at = 0.0
         self._last_end_handled = 0
         self._last_end_acknowledged = 0
@@ -86,17 +86,17 @@
         # outlive the time after which its entry starts its task elsewhere, and
         # a caller's quote would be filed twice.
         self._earlier_runs_over = False
-        self._persisted_worker: workerapi.WorkerSeen | None = None
+        self._persisted_worker: workerapi.WorkerAnnounced | None = None
 
     # The worker's incarnations
 
     def handle_announcement(
-        self, event: workerapi.WorkerSeen, now: float
+        self, event: workerapi.WorkerAnnounced, now: float
     ) -> list[object]:
         """Handle an announcement of the worker."""
         worker = self.worker
         if worker is not None:
-            if worker.life == event.life:
+            if worker.incarnation == event.incarnation:
                 if event.sequence <= worker.sequence:
                     return []
             elif event.born < worker.born:
@@ -105,12 +105,14 @@
                 return []
         self._announced_at = now
         effects: list[object] = []
-        if worker is None or worker.life != event.life:
+        if worker is None or worker.incarnation != event.incarnation:
             effects += self._switch_incarnation(event, now)
         elif worker.draining != event.draining:
             effects.append(
                 core.note(
-                    'worker_draining', life=event.life, now=event.draining
+                    'worker_draining',
+                    life=event.incarnation,
+                    now=event.draining,
                 )
             )
         effects += self._persist_worker(event)
@@ -119,22 +121,24 @@
         return effects
 
     def handle_other_incarnation(
-        self, event: workerapi.WorkerReborn, now: float
+        self, event: workerapi.OtherIncarnationAnswered, now: float
     ) -> list[object]:
         """Handle an answer from another incarnation of the worker."""
         worker = self.worker
-        if worker is None or worker.life != event.life:
+        if worker is None or worker.incarnation != event.incarnation:
             return []
         # The next announcement describes the new incarnation.
         successor = dataclasses.replace(
             worker,
-            life=event.new_life,
+            incarnation=event.new_incarnation,
             born=event.born,
             sequence=workerapi.NOT_ANNOUNCED,
         )
         return self._switch_incarnation(successor, now)
 
-    def _persist_worker(self, announced: workerapi.WorkerSeen) -> list[object]:
+    def _persist_worker(
+        self, announced: workerapi.WorkerAnnounced
+    ) -> list[object]:
         """Persist the worker for the next incarnation of this process.
 
         Otherwise, after a kill or a power loss, the agent has no description
@@ -150,19 +154,19 @@
         if persisted == self._persisted_worker:
             return []
         self._persisted_worker = persisted
-        return [workerapi.KeepWorker(persisted)]
+        return [workerapi.PersistWorker(persisted)]
 
     def handle_departure(
         self, event: workerapi.WorkerLeft, now: float
     ) -> list[object]:
         """Handle the worker's message that it exits."""
-        if self.worker is None or self.worker.life != event.life:
+        if self.worker is None or self.worker.incarnation != event.incarnation:
             return []
         self.worker = None
         self._persisted_worker = None
         return [
-            workerapi.KeepWorker(None),
-            core.note('worker_left', life=event.life),
+            workerapi.PersistWorker(None),
+            core.note('worker_left', life=event.incarnation),
             *self._end_answered_runs('worker_left', now),
         ]
 
@@ -175,10 +179,10 @@
             return []
         self._announced_at = now
         self._watching.mark_silent(now)
-        return [core.note('worker_lapsed', life=self.worker.life)]
+        return [core.note('worker_lapsed', life=self.worker.incarnation)]
 
     def _switch_incarnation(
-        self, event: workerapi.WorkerSeen, now: float
+        self, event: workerapi.WorkerAnnounced, now: float
     ) -> list[object]:
         self.worker = event
         self._last_end_handled = 0
@@ -202,7 +206,7 @@
             *effects,
             core.note(
                 'worker_up',
-                life=event.life,
+                life=event.incarnation,
                 pool=event.pool,
                 cpu=event.capacity.cpu,
             ),
@@ -248,7 +252,7 @@
         self._extend_lease(now)
         return [
             workerapi.StartRun(
-                worker.life,
+                worker.incarnation,
                 run.ref,
                 run.name,
                 run.payload,
@@ -273,7 +277,7 @@
         self, event: workerapi.StartAnswered, now: float
     ) -> list[object]:
         """Handle the answer to a start, or its timeout."""
-        run = self._find_run(event.life, event.ref)
+        run = self._find_run(event.incarnation, event.ref)
         if run is None:
             return []
         run.unanswered -= 1
@@ -326,7 +330,7 @@
             return []
         run.stopping = True
         run.stop_sent_at = now
-        return [workerapi.StopRun(worker.life, run.name, run.ref.run)]
+        return [workerapi.StopRun(worker.incarnation, run.name, run.ref.run)]
 
     def handle_stop_answer(
         self, event: workerapi.StopAnswered, now: float
@@ -360,10 +364,12 @@
             self._extend_lease(now)
         first_request = self._last_end_acknowledged == NO_LIST_YET
         waits = busy or not self._earlier_runs_over and not first_request
-        wait = watching.WAIT_SECONDS if waits else 0.0
+        wait = list_requests.WAIT_SECONDS if waits else 0.0
         self._watching.record_request(wait, now)
         return [
-            workerapi.Watch(worker.life, self._last_end_handled, lease, wait)
+            workerapi.RequestLists(
+                worker.incarnation, self._last_end_handled, lease, wait
+            )
         ]
 
     def blocks_starts(self, now: float) -> bool:
@@ -386,11 +392,11 @@
         self._lease_until = max(self._lease_until, until)
 
     def handle_lists(
-        self, event: workerapi.Watched, now: float
+        self, event: workerapi.ListsReceived, now: float
     ) -> list[object]:
         """Handle the worker's lists of running and ended runs."""
         worker = self.worker
-        if worker is None or worker.life != event.life:
+        if worker is None or worker.incarnation != event.incarnation:
             return []
         self._watching.record_answer(now)
         self._last_end_acknowledged = self._last_end_handled
@@ -400,30 +406,30 @@
         running = {(one.name, one.run) for one in event.running}
         for run in list(self.runs.values()):
             if (run.name, run.ref.run) not in running:
-                effects += self._end_if_absent(run, event.asked_at, now)
+                effects += self._end_if_absent(run, event.requested_at, now)
         effects += self._stop_unowned(event, now)
         return effects
 
     def handle_list_failure(
-        self, event: workerapi.WatchFailed, now: float
+        self, event: workerapi.ListsFailed, now: float
     ) -> list[object]:
         """Handle a failed request for the lists."""
         worker = self.worker
-        if worker is None or worker.life != event.life:
+        if worker is None or worker.incarnation != event.incarnation:
             return []
         self._watching.record_failure(now)
         if event.refused or event.other_life:
             # The worker's process has exited, and its runs with it.
             self.worker = None
             return [
-                core.note('worker_lost', life=event.life),
+                core.note('worker_lost', life=event.incarnation),
                 *self._end_answered_runs('worker_lost', now),
             ]
         if not self._watching.blocks_starts(now):
             return []
-        return [core.note('worker_silent', life=event.life)]
+        return [core.note('worker_silent', life=event.incarnation)]
 
-    def _handle_end(self, end: workerapi.EndedAt, now: float) -> list[object]:
+    def _handle_end(self, end: workerapi.EndedRun, now: float) -> list[object]:
         if end.number <= self._last_end_handled:
             return []
         self._last_end_handled = end.number
@@ -437,17 +443,20 @@
         return self._end_run(run, state, end.reason, now)
 
     def _end_if_absent(
-        self, run: runs.Run, asked_at: float, now: float
+        self, run: runs.Run, lists_requested_at: float, now: float
     ) -> list[object]:
         """End a run that is in no list if the list is newer than its calls."""
-        if not run.confirmed_at or run.confirmed_at >= asked_at:
+        if not run.confirmed_at or run.confirmed_at >= lists_requested_at:
             return []
-        if run.stopping and not 0.0 < run.stop_acknowledged_at < asked_at:
+        if (
+            run.stopping
+            and not 0.0 < run.stop_acknowledged_at < lists_requested_at
+        ):
             return []
         return self._end_run(run, types.RunState.OVER, 'absent', now)
 
     def _stop_unowned(
-        self, event: workerapi.Watched, now: float
+        self, event: workerapi.ListsReceived, now: float
     ) -> list[object]:
         """Stop runs that an earlier incarnation of this process started."""
         unowned = [
@@ -464,7 +473,8 @@
             return []
         self._unowned_stopped_at = now
         return [
-            workerapi.StopRun(event.life, one.name, one.run) for one in unowned
+            workerapi.StopRun(event.incarnation, one.name, one.run)
+            for one in unowned
         ]
 
     # Runs
@@ -531,8 +541,10 @@
             wakes.append(request_at)
         return min(wakes, default=None)
 
-    def _find_run(self, life: str, ref: messages.RunRef) -> runs.Run | None:
-        if self.worker is None or self.worker.life != life:
+    def _find_run(
+        self, incarnation: str, ref: messages.RunRef
+    ) -> runs.Run | None:
+        if self.worker is None or self.worker.incarnation != incarnation:
             return None
         for run in self.runs.values():
             if run.ref == ref:
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -43,14 +43,14 @@
 
     def __init__(self, name: types.PeerName) -> None:
         self._name = name
-        self._entries: dict[types.PeerName, events.Listed] = {}
+        self._entries: dict[types.PeerName, events.ListedEntry] = {}
         self._ranking: list[types.PeerName] = []
         self._dialled: set[types.PeerName] = set()
         self._away_since: dict[types.PeerName, float] = {}
         self._leaving_since: dict[types.PeerName, float] = {}
 
     def update_entries(
-        self, entries: tuple[events.Listed, ...]
+        self, entries: tuple[events.ListedEntry, ...]
     ) -> list[object]:
         """Replace the list of entries, and disconnect those that are gone."""
         listed = {one.name: one for one in entries}
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -11,7 +11,7 @@
 
 from agatepick import core
 from agatepick.repeatable import estimating
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import placing
 from agatepick.repeatable import pool
 
@@ -60,7 +60,7 @@
         self._pool = workers
         self._estimator = estimator
 
-    def find(self, job: owned.OwnedJob, now: float) -> list[Straggler]:
+    def find(self, job: owned_jobs.OwnedJob, now: float) -> list[Straggler]:
         """Return a job's runs to move now, each counted as a move.
 
         A job is checked when one of its runs may be due, not at each call:
@@ -81,7 +81,7 @@
             if now >= at and self._fits_elsewhere(job, index, now)
         ]
 
-    def _due_at(self, job: owned.OwnedJob, index: int) -> float:
+    def _due_at(self, job: owned_jobs.OwnedJob, index: int) -> float:
         """Return the instant from which a run counts as stuck."""
         limit = STRAGGLER_RATIO
         if not job.run_seconds.get(job.spec.tasks[index].step):
@@ -90,11 +90,13 @@
         placed_at = job.records[index].placed_at
         return placed_at + STRAGGLER_SPARE_SECONDS + may_take
 
-    def _expected(self, job: owned.OwnedJob, index: int) -> float:
+    def _expected(self, job: owned_jobs.OwnedJob, index: int) -> float:
         seconds = placing.expected_run_seconds(self._estimator, job, index)
         return max(seconds, MIN_EXPECTED_SECONDS)
 
-    def _move(self, job: owned.OwnedJob, index: int, now: float) -> Straggler:
+    def _move(
+        self, job: owned_jobs.OwnedJob, index: int, now: float
+    ) -> Straggler:
         record = job.records[index]
         record.moves += 1
         record.avoid = record.avoid | {record.agent}
@@ -109,7 +111,7 @@
         return Straggler(index, note)
 
     def _fits_elsewhere(
-        self, job: owned.OwnedJob, index: int, now: float
+        self, job: owned_jobs.OwnedJob, index: int, now: float
     ) -> bool:
         """Return whether another healthy worker has capacity for a task.
 
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -18,17 +18,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorkerSeen:
+class WorkerAnnounced:
     """Event: the worker announced itself.
 
-    :param life: identifier of one incarnation of the worker, which has no runs
-        of earlier ones.
+    :param incarnation: identifier of one incarnation of the worker, which has
+        no runs of earlier ones.
     :param born: start of the incarnation in milliseconds, which orders them.
     :param sequence: number that increases within one incarnation; a delayed
         message has a lower one.
     """
 
-    life: str
+    incarnation: str
     born: int
     sequence: int
     pool: str
@@ -39,20 +39,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeepWorker:
+class PersistWorker:
     """Effect: persist the worker for this process's next incarnation.
 
     :param worker: description to persist; ``None`` to delete it.
     """
 
-    worker: WorkerSeen | None
+    worker: WorkerAnnounced | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerLeft:
     """Event: the worker exits now."""
 
-    life: str
+    incarnation: str
 
 
 class StartResult(enum.StrEnum):
@@ -80,7 +80,7 @@
     :param lease_seconds: time by which the worker's lease is extended.
     """
 
-    life: str
+    incarnation: str
     ref: messages.RunRef
     name: str
     payload: bytes
@@ -91,7 +91,7 @@
 class StartAnswered:
     """Event: the worker answered a start, or the start timed out."""
 
-    life: str
+    incarnation: str
     ref: messages.RunRef
     result: StartResult
     reason: str = ''
@@ -101,7 +101,7 @@
 class StopRun:
     """Effect: stop a run; the worker won't start it later either."""
 
-    life: str
+    incarnation: str
     name: str
     run: int
 
@@ -110,23 +110,23 @@
 class StopAnswered:
     """Event: the worker acknowledged a stop, or the stop failed."""
 
-    life: str
+    incarnation: str
     name: str
     run: int
     ok: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Watch:
+class RequestLists:
     """Effect: extend the worker's lease and request its lists of runs.
 
-    :param seen: number of the last end that the agent has handled.
+    :param last_end: number of the last end that the agent has handled.
     :param lease_seconds: time by which the lease is extended; 0 for none.
     :param wait_seconds: time for which the worker may wait for an end.
     """
 
-    life: str
-    seen: int
+    incarnation: str
+    last_end: int
     lease_seconds: float
     wait_seconds: float
 
@@ -140,7 +140,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RunningAt:
+class RunningRun:
     """One run that is running at the worker."""
 
     name: str
@@ -148,7 +148,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndedAt:
+class EndedRun:
     """One run that ended at the worker.
 
     :param number: sequence number among the worker's ends.
@@ -162,43 +162,43 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Watched:
-    """Event: the answer to a :class:`Watch`.
+class ListsReceived:
+    """Event: the answer to a :class:`RequestLists`.
 
-    :param asked_at: instant of the request.
+    :param requested_at: instant of the request.
     """
 
-    life: str
-    asked_at: float
-    running: tuple[RunningAt, ...]
-    ended: tuple[EndedAt, ...]
+    incarnation: str
+    requested_at: float
+    running: tuple[RunningRun, ...]
+    ended: tuple[EndedRun, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorkerReborn:
-    """Event: another incarnation of the worker answered a :class:`Watch`.
+class OtherIncarnationAnswered:
+    """Event: another incarnation answered a :class:`RequestLists`.
 
     It has the same name, so it also carries out requests for the earlier one.
 
-    :param life: incarnation to which the request was sent.
-    :param new_life: incarnation that answered.
+    :param incarnation: incarnation to which the request was sent.
+    :param new_incarnation: incarnation that answered.
     :param born: start of the new incarnation in milliseconds.
     """
 
-    life: str
-    new_life: str
+    incarnation: str
+    new_incarnation: str
     born: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchFailed:
-    """Event: a :class:`Watch` got no answer.
+class ListsFailed:
+    """Event: a :class:`RequestLists` got no answer.
 
     :param refused: whether nothing listens at the worker's address.
     :param other_life: whether another worker answers there, which accepts no
         requests for this one.
     """
 
-    life: str
+    incarnation: str
     refused: bool = False
     other_life: bool = False
--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -315,7 +315,7 @@
         if isinstance(effect, core.Send):
             self.messages += 1
             self._spend(node.name, MESSAGE_SECONDS)
-        if isinstance(effect, workerapi.StartRun | workerapi.Watch):
+        if isinstance(effect, workerapi.StartRun | workerapi.RequestLists):
             self._spend(node.name, WORKER_CALL_SECONDS)
         if isinstance(effect, core.Note) and effect.name == 'run_refused':
             self.refused_starts += ('reason', 'room') in effect.fields
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -64,7 +64,7 @@
         self.unwell = False
 
     @property
-    def life(self):
+    def incarnation(self):
         return f'{self.name}@{self.born}'
 
     def restart(self):
@@ -123,7 +123,7 @@
     def list_runs(self, seen):
         self.expire()
         running = tuple(
-            workerapi.RunningAt(name, one[0])
+            workerapi.RunningRun(name, one[0])
             for name, one in self.runs.items()
         )
         ended = tuple(one for one in self.ended if one.number > seen)
@@ -132,7 +132,7 @@
     def _end(self, name, run, kind, reason):
         del self.runs[name]
         number = len(self.ended) + 1
-        self.ended.append(workerapi.EndedAt(number, name, run, kind, reason))
+        self.ended.append(workerapi.EndedRun(number, name, run, kind, reason))
 
 
 class Node:
@@ -141,7 +141,7 @@
     def __init__(self, name, make):
         self.name = name
         self.make = make
-        self.life = 0
+        self.incarnation = 0
         self.alive = False
         self.frozen_until = 0.0
         self.reducer = None
@@ -210,21 +210,21 @@
     def start(self, name):
         """Start or restart a process."""
         node = self.nodes[name]
-        node.life += 1
+        node.incarnation += 1
         node.alive = True
         node.frozen_until = 0.0
         node.held = []
         node.wake_at = 0.0
         node.reducer = node.make(name)
         if name in self.workers:
-            node.reducer._incarnation = node.life
+            node.reducer._incarnation = node.incarnation
         else:
             table = routes.RouteTable(1, (ROUTE,))
             self.feed(name, events.RoutesRead(table))
         if name in self.workers and not self.store_away:
             self.feed(name, events.ZonesClosed(frozenset()))
-        self._tick(name, node.life)
-        self._beat(name, node.life)
+        self._tick(name, node.incarnation)
+        self._beat(name, node.incarnation)
         if self.listed and name in self.workers:
             self.dialled = {one for one in self.dialled if name not in one}
             self.feed(name, events.EntriesListed(self._entry_list()))
@@ -236,7 +236,7 @@
 
     def _entry_list(self):
         return tuple(
-            events.Listed(one.name, 'address', f'z{number % 4}')
+            events.ListedEntry(one.name, 'address', f'z{number % 4}')
             for number, one in enumerate(self.entries())
         )
 
@@ -256,7 +256,7 @@
     def freeze(self, name, seconds):
         """Suspend a process; events that arrive meanwhile are held for it."""
         self.nodes[name].frozen_until = self.now + seconds
-        self.schedule(seconds, self._thaw, name, self.nodes[name].life)
+        self.schedule(seconds, self._thaw, name, self.nodes[name].incarnation)
 
     def cut(self, one, other, seconds):
         """Drop all messages between two processes without any error."""
@@ -323,27 +323,27 @@
         for effect in node.reducer.reduce(event, self.now):
             self._apply(node, effect)
 
-    def _thaw(self, name, life):
+    def _thaw(self, name, incarnation):
         node = self.nodes[name]
-        if node.alive and node.life == life:
+        if node.alive and node.incarnation == incarnation:
             held, node.held = node.held, []
             for event in held:
                 self.feed(name, event)
 
-    def _tick(self, name, life):
+    def _tick(self, name, incarnation):
         node = self.nodes[name]
-        if node.alive and node.life == life:
+        if node.alive and node.incarnation == incarnation:
             if self.now >= node.frozen_until:
                 self.feed(name, core.Tick())
-            self.schedule(TICK, self._tick, name, life)
+            self.schedule(TICK, self._tick, name, incarnation)
 
-    def _beat(self, name, life):
+    def _beat(self, name, incarnation):
         node = self.nodes[name]
         worker = self.workers.get(name)
-        if worker is None or not node.alive or node.life != life:
+        if worker is None or not node.alive or node.incarnation != incarnation:
             return
-        seen = workerapi.WorkerSeen(
-            worker.life,
+        announced = workerapi.WorkerAnnounced(
+            worker.incarnation,
             worker.born,
             next(self._order),
             'pool',
@@ -352,8 +352,8 @@
             False,
             '',
         )
-        self.feed(name, seen)
-        self.schedule(1.5, self._beat, name, life)
+        self.feed(name, announced)
+        self.schedule(1.5, self._beat, name, incarnation)
 
     # Links
 
@@ -370,7 +370,9 @@
         self.connected[pair] = next(self._order)
         for end, peer in (ends, ends[::-1]):
             role = 'agent' if peer.name in self.workers else 'entry'
-            hello = messages.Hello(peer.name, role, peer.life, 'z', '', '', 0)
+            hello = messages.Hello(
+                peer.name, role, peer.incarnation, 'z', '', '', 0
+            )
             self.feed(end.name, core.PeerUp(hello))
 
     def _break(self, pair):
@@ -379,7 +381,7 @@
         ends = [self.nodes[name] for name in pair]
         for end, peer in (ends, ends[::-1]):
             if end.alive:
-                self.feed(end.name, core.PeerDown(peer.name, peer.life))
+                self.feed(end.name, core.PeerDown(peer.name, peer.incarnation))
         self.schedule(REDIAL_SECONDS, self._connect, *pair)
 
     def _break_if_cut(self, pair):
@@ -427,7 +429,7 @@
                 self._handle_start(node, effect, until)
             case workerapi.StopRun():
                 self._handle_stop(node, effect)
-            case workerapi.Watch():
+            case workerapi.RequestLists():
                 self._handle_watch(node, effect)
 
     def _wake_later(self, node, at):
@@ -436,10 +438,12 @@
             return
         node.wake_at = max(at, self.now + 0.001)
         seconds = node.wake_at - self.now
-        self.schedule(seconds, self._wake, node, node.life, node.wake_at)
+        self.schedule(
+            seconds, self._wake, node, node.incarnation, node.wake_at
+        )
 
-    def _wake(self, node, life, at):
-        if node.life == life and node.wake_at == at:
+    def _wake(self, node, incarnation, at):
+        if node.incarnation == incarnation and node.wake_at == at:
             node.wake_at = 0.0
             if self.now >= node.frozen_until:
                 self.feed(node.name, core.Tick())
@@ -460,12 +464,14 @@
             self.false_refusals.append(spec.key)
         self.answers[spec.key] = effect.answer
 
-    def _answer(self, node, life, event):
-        if node.alive and node.life == life:
-            self.schedule(0.0005, self._feed_life, node.name, life, event)
+    def _answer(self, node, incarnation, event):
+        if node.alive and node.incarnation == incarnation:
+            self.schedule(
+                0.0005, self._feed_incarnation, node.name, incarnation, event
+            )
 
-    def _feed_life(self, name, life, event):
-        if self.nodes[name].life == life:
+    def _feed_incarnation(self, name, incarnation, event):
+        if self.nodes[name].incarnation == incarnation:
             self.feed(name, event)
 
     def _is_lost(self):
@@ -478,15 +484,21 @@
             late = self.rng.uniform(2.0, 12.0)
             self.schedule(late, self._late_start, worker, args)
             event = workerapi.StartAnswered(
-                effect.life, effect.ref, workerapi.StartResult.UNKNOWN
+                effect.incarnation, effect.ref, workerapi.StartResult.UNKNOWN
+            )
+            self.schedule(
+                0.12,
+                self._feed_incarnation,
+                node.name,
+                node.incarnation,
+                event,
             )
-            self.schedule(0.12, self._feed_life, node.name, node.life, event)
             return
         # Requests name the worker, not its incarnation: a new one accepts them
         # too.
         result = worker.start(*args)
-        event = workerapi.StartAnswered(effect.life, effect.ref, result)
-        self._answer(node, node.life, event)
+        event = workerapi.StartAnswered(effect.incarnation, effect.ref, result)
+        self._answer(node, node.incarnation, event)
 
     def _late_start(self, worker, args):
         if worker.up:
@@ -498,32 +510,42 @@
         if ok:
             worker.stop(effect.name, effect.run)
         event = workerapi.StopAnswered(
-            effect.life, effect.name, effect.run, ok
+            effect.incarnation, effect.name, effect.run, ok
         )
-        self._answer(node, node.life, event)
+        self._answer(node, node.incarnation, event)
 
     def _handle_watch(self, node, effect):
         worker = self.workers[node.name]
         if self._is_lost() or not worker.up:
-            event = workerapi.WatchFailed(effect.life)
-            self.schedule(0.23, self._feed_life, node.name, node.life, event)
+            event = workerapi.ListsFailed(effect.incarnation)
+            self.schedule(
+                0.23,
+                self._feed_incarnation,
+                node.name,
+                node.incarnation,
+                event,
+            )
             return
-        if worker.life != effect.life:
-            event = workerapi.WorkerReborn(
-                effect.life, worker.life, worker.born
+        if worker.incarnation != effect.incarnation:
+            event = workerapi.OtherIncarnationAnswered(
+                effect.incarnation, worker.incarnation, worker.born
             )
-            self._answer(node, node.life, event)
+            self._answer(node, node.incarnation, event)
             return
         if effect.lease_seconds:
             worker.expire()
             worker.extend(self.now + effect.lease_seconds * leases.CLOCK_DRIFT)
         asked = self.now
         wait = 0.02 if effect.wait_seconds else 0.001
-        self.schedule(wait, self._answer_watch, node, node.life, effect, asked)
+        self.schedule(
+            wait, self._answer_watch, node, node.incarnation, effect, asked
+        )
 
-    def _answer_watch(self, node, life, effect, asked):
+    def _answer_watch(self, node, incarnation, effect, asked):
         worker = self.workers[node.name]
-        running, ended = worker.list_runs(effect.seen)
-        event = workerapi.Watched(worker.life, asked, running, ended)
-        if worker.life == effect.life:
-            self._feed_life(node.name, life, event)
+        running, ended = worker.list_runs(effect.last_end)
+        event = workerapi.ListsReceived(
+            worker.incarnation, asked, running, ended
+        )
+        if worker.incarnation == effect.incarnation:
+            self._feed_incarnation(node.name, incarnation, event)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -68,10 +68,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Broken:
+class Violation:
     """A violated guarantee and the observation that shows it."""
 
-    promise: str
+    guarantee: str
     detail: str
 
 
@@ -197,8 +197,8 @@
         self.faults = []
         self.answered = collections.Counter()
 
-    def record_violation(self, promise, detail):
-        self.broken.append(Broken(promise, detail))
+    def record_violation(self, guarantee, detail):
+        self.broken.append(Violation(guarantee, detail))
 
     def record_start(self, worker, task, run):
         if task in self.running:
@@ -622,7 +622,7 @@
 )
 
 
-def play(seed, seconds, folder, faults=FAULTS):
+def run_seed(seed, seconds, folder, faults=FAULTS):
     """Run one seed; return the violations and the counts of answers.
 
     :param faults: faults that may be injected.
@@ -639,7 +639,7 @@
     broken, answered = asyncio.run(main())
     if broken:
         # The file lies beside the logs of the processes that explain it.
-        lines = [f'{one.promise}: {one.detail}\n' for one in broken]
+        lines = [f'{one.guarantee}: {one.detail}\n' for one in broken]
         (folder / 'broken.txt').write_text(''.join(lines))
     return broken, answered
 
@@ -669,10 +669,10 @@
         # Each run has its own folder, as a later run must not overwrite the
         # logs of an earlier one that failed.
         folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=logs)
-        broken, answered = play(seed, args.seconds, folder)
+        broken, answered = run_seed(seed, args.seconds, folder)
         print(f'seed={seed} broken={len(broken)} answers={answered}')
         for one in broken[:5]:
-            print(f'  {one.promise}: {one.detail} (logs in {folder})')
+            print(f'  {one.guarantee}: {one.detail} (logs in {folder})')
         sys.stdout.flush()
         failed += bool(broken)
         if not broken:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -19,7 +19,7 @@
 from agatepick.net import messages
 from agatepick.platform import following
 from agatepick.platform import rows
-from agatepick.repeatable import watching
+from agatepick.repeatable import list_requests
 from tests import busy_world
 
 LISTS_A_SECOND = 220
@@ -61,7 +61,7 @@
     :param answers: kinds of its answers to the first request, the second and
         so on.
     """
-    timing = watching.Watching()
+    timing = list_requests.Watching()
     now = 0.0
     timing.reset(now)
     requests = []
@@ -73,7 +73,7 @@
         while timing.is_due(now) and len(requests) < MAX_REQUESTS:
             how = answers[len(requests) % len(answers)]
             requests.append(now)
-            timing.record_request(watching.WAIT_SECONDS, now)
+            timing.record_request(list_requests.WAIT_SECONDS, now)
             if how == 'at_once':
                 timing.record_answer(now)
             elif how == 'lists':
@@ -83,7 +83,7 @@
             elif how == 'resets':
                 out.append((now + step, timing.record_failure))
             else:
-                late = now + watching.WAIT_SECONDS + 0.08
+                late = now + list_requests.WAIT_SECONDS + 0.08
                 out.append((late, timing.record_failure))
         now += step
     return requests
@@ -146,7 +146,7 @@
     store = Store(answer)
 
     async def simulate():
-        work = following.follow(
+        work = following.watch_table(
             store, 'table', 1.0, lambda found: None, random.Random(1)
         )
         with pytest.raises(TimeoutError):
--- a/tests/test_watching.py
+++ b/tests/test_list_requests.py
@@ -1,12 +1,12 @@
-from agatepick.repeatable import watching
+from agatepick.repeatable import list_requests
 
 NOW = 50.0
-WAIT = watching.WAIT_SECONDS
+WAIT = list_requests.WAIT_SECONDS
 
 
 def request_lists():
     """Return the requests of a worker whose lists were just requested."""
-    timing = watching.Watching()
+    timing = list_requests.Watching()
     timing.reset(NOW)
     timing.record_request(WAIT, NOW)
     return timing
@@ -25,7 +25,7 @@
     Until it timed out, no end of a run there would be reported.
     """
     timing = request_lists()
-    late = NOW + WAIT + watching.HEDGE_SECONDS
+    late = NOW + WAIT + list_requests.HEDGE_SECONDS
     assert not timing.is_due(late - 0.01)
     assert timing.is_due(late)
     timing.record_request(WAIT, late)
@@ -38,18 +38,22 @@
 def test_a_silent_worker_gets_no_starts_and_then_no_lease():
     """A worker hangs; runs that are started there would be lost."""
     timing = request_lists()
-    assert not timing.blocks_starts(NOW + watching.BLOCK_STARTS_SECONDS - 0.01)
-    assert timing.blocks_starts(NOW + watching.BLOCK_STARTS_SECONDS + 0.01)
-    assert not timing.silent(NOW + watching.SILENT_SECONDS - 0.01)
-    now = NOW + watching.SILENT_SECONDS + 0.01
+    assert not timing.blocks_starts(
+        NOW + list_requests.BLOCK_STARTS_SECONDS - 0.01
+    )
+    assert timing.blocks_starts(
+        NOW + list_requests.BLOCK_STARTS_SECONDS + 0.01
+    )
+    assert not timing.silent(NOW + list_requests.SILENT_SECONDS - 0.01)
+    now = NOW + list_requests.SILENT_SECONDS + 0.01
     assert timing.silent(now)
     timing.record_failure(now)
     assert not timing.is_due(now + 0.1)
-    assert timing.is_due(now + watching.PROBE_SECONDS + 0.01)
+    assert timing.is_due(now + list_requests.PROBE_SECONDS + 0.01)
 
 
 def test_a_worker_without_announcements_counts_as_silent():
-    timing = watching.Watching()
+    timing = list_requests.Watching()
     timing.reset(NOW)
     timing.mark_silent(NOW)
     assert timing.silent(NOW)
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -37,7 +37,7 @@
     metrics = measures.Measures()
     waits = [0.0]
     calls = {('/v1/rows-get', '200'): 3}
-    metrics.read(lambda: {'longest_wait_seconds': waits[0]}, lambda: calls)
+    metrics.register(lambda: {'longest_wait_seconds': waits[0]}, lambda: calls)
     assert 'agatepick_longest_wait_seconds 0.0' in metrics.text().decode()
     waits[0] = 1.5
     text = metrics.text().decode()
@@ -52,11 +52,11 @@
     world.submit(repeatable_world.make_job('j', 11, expected=0.3))
     world.run(0.02)
     gauges = {
-        name: node.reducer.figures(world.now)
+        name: node.reducer.gauges(world.now)
         for name, node in world.nodes.items()
     }
     assert set(gauges['entry-0']) | set(gauges['agent-0']) == set(
-        measures.FIGURES
+        measures.GAUGES
     )
     assert gauges['entry-0']['jobs_open'] == 1.0
     assert gauges['entry-0']['jobs_waiting'] == 1.0
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -26,7 +26,7 @@
     assert listed == found
 
 
-def test_the_page_explains_each_figure():
+def test_the_page_explains_each_gauge():
     page = (ROOT / 'docs' / 'OPERATIONS.md').read_text()
-    for name, meaning in measures.FIGURES.items():
+    for name, meaning in measures.GAUGES.items():
         assert re.search(rf'\| `{name}` \| \w+ \| {meaning} \|', page), name
--- a/tests/test_owned.py
+++ b/tests/test_owned_jobs.py
@@ -3,7 +3,7 @@
 import pytest
 
 from agatepick.repeatable import jobs
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import routes
 from agatepick import types
 
@@ -24,7 +24,7 @@
         after=(frozenset(),),
         deadline=NOW + 10.0,
     )
-    job = owned.OwnedJob(1, spec, NOW, latest, 0.1)
+    job = owned_jobs.OwnedJob(1, spec, NOW, latest, 0.1)
     job.queue_ready_tasks()
     return job
 
@@ -34,7 +34,7 @@
     job.waiting.remove(index)
     job.mark_started(at)
     record = job.records[index]
-    record.state = owned.TaskState.PLACED
+    record.state = owned_jobs.TaskState.PLACED
     record.run = run
     record.placed_at = at
 
@@ -45,7 +45,7 @@
     If each job that is slightly more urgent overtook it, its caller would wait
     for its last task, and the work of its first ones would be wasted.
     """
-    waiting = owned.WaitingQueue()
+    waiting = owned_jobs.WaitingQueue()
     urgent, wide, other = (
         make_job('urgent', NOW + 0.1),
         make_job('begun', NOW + 0.3),
@@ -59,7 +59,7 @@
 
 
 def test_a_job_leaves_the_queue_with_its_last_waiting_task():
-    waiting = owned.WaitingQueue()
+    waiting = owned_jobs.WaitingQueue()
     job = make_job(tasks=1)
     waiting.add(job)
     start_task(job, 0, NOW)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -8,7 +8,7 @@
 from agatepick.net import messages
 from agatepick.repeatable import estimating
 from agatepick.repeatable import jobs
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import placing
 from agatepick.repeatable import pool
 from agatepick.repeatable import routes
@@ -39,7 +39,7 @@
         after=(frozenset(),),
         deadline=NOW + 10.0,
     )
-    job = owned.OwnedJob(1, spec, NOW, latest, 0.1)
+    job = owned_jobs.OwnedJob(1, spec, NOW, latest, 0.1)
     job.queue_ready_tasks()
     return job
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -145,7 +145,7 @@
         self.states = []
         self._store = rows.RowStore(store.address)
         self._task = asyncio.get_running_loop().create_task(
-            following.follow(
+            following.watch_table(
                 self._store, table, wait, self.states.append, random.Random(1)
             )
         )
@@ -298,12 +298,12 @@
             self.events.put_nowait,
         )
         self.client.worker_clock.add_sample(standin.clock_ms())
-        self.life = worker.make_life(standin.name, standin.born)
+        self.incarnation = worker.make_incarnation(standin.name, standin.born)
 
     def start(self, run=1):
         self.client.start(
             workerapi.StartRun(
-                self.life,
+                self.incarnation,
                 messages.RunRef('j', 0, run),
                 'j.0.0.0',
                 b'text',
@@ -325,7 +325,9 @@
         name, body = standin.orders[0]
         ahead = body['until_ms'] - standin.clock_ms()
         assert 300 < ahead <= 650
-        orders.client.watch(workerapi.Watch(orders.life, 0, 0.65, 0.5))
+        orders.client.watch(
+            workerapi.RequestLists(orders.incarnation, 0, 0.65, 0.5)
+        )
         watched = await orders.get_event()
         assert watched.ended[0].kind is workerapi.EndKind.DONE
         assert standin.target_ids == [standin.name] * 2
@@ -400,10 +402,12 @@
         standin = platform_standins.Worker()
         orders = Orders(standin)
         standin.born += 1000
-        orders.client.watch(workerapi.Watch(orders.life, 0, 0.65, 0.0))
-        new_life = worker.make_life(standin.name, standin.born)
-        assert await orders.get_event() == workerapi.WorkerReborn(
-            orders.life, new_life, standin.born
+        orders.client.watch(
+            workerapi.RequestLists(orders.incarnation, 0, 0.65, 0.0)
+        )
+        new_incarnation = worker.make_incarnation(standin.name, standin.born)
+        assert await orders.get_event() == workerapi.OtherIncarnationAnswered(
+            orders.incarnation, new_incarnation, standin.born
         )
         await orders.client.close()
 
--- a/tests/test_telling.py
+++ b/tests/test_publishing.py
@@ -5,9 +5,9 @@
 from agatepick import core
 from agatepick.net import messages
 from agatepick.repeatable import health
+from agatepick.repeatable import publishing
 from agatepick.repeatable import runs
 from agatepick.repeatable import sharing
-from agatepick.repeatable import telling
 from agatepick import types
 
 NOW = 50.0
@@ -20,7 +20,7 @@
     """Return the updates per second that an entry gets from one busy agent."""
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(64.0, 4096, 0))
-    publisher = telling.Publisher(1, capacity, health.Health())
+    publisher = publishing.Publisher(1, capacity, health.Health())
     owner = runs.Owner('entry', 1, agents=agents)
     count = 0
     for step in range(SECONDS * STEPS_A_SECOND):
@@ -56,7 +56,7 @@
     capacity, a moment before, must not delay it.
     """
     capacity = sharing.SharedCapacity()
-    publisher = telling.Publisher(1, capacity, health.Health())
+    publisher = publishing.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
     assert publisher.publish(None, False, owners, NOW)
     capacity.resize(TASK)
@@ -74,7 +74,7 @@
     """
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(places * 6.0, places * 64, 0))
-    publisher = telling.Publisher(1, capacity, health.Health())
+    publisher = publishing.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
     assumed = types.Needs()
     running, changes, updates = 0, 0, 0
@@ -113,9 +113,9 @@
     If it doesn't learn of released ones, its callers wait.
     """
     longest, _ = simulate(random.Random(seed), 3, 20.0)
-    assert longest['places'] <= telling.MIN_UPDATE_SECONDS + 0.002
+    assert longest['places'] <= publishing.MIN_UPDATE_SECONDS + 0.002
     longest, _ = simulate(random.Random(seed), 40, 20.0)
-    assert longest['cores'] <= telling.MAX_STALE_SECONDS + 0.002
+    assert longest['cores'] <= publishing.MAX_STALE_SECONDS + 0.002
 
 
 def test_single_slots_are_not_published_where_there_are_many():
@@ -131,13 +131,13 @@
     """An entry answered a grant or was refused; capacity is free again."""
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(60.0, 640, 0))
-    publisher = telling.Publisher(1, capacity, health.Health())
+    publisher = publishing.Publisher(1, capacity, health.Health())
     owners = {'entry': runs.Owner('entry', 1)}
     assert publisher.publish(None, True, owners, NOW)
     publisher.subtract_start('entry', TASK)
     publisher.clear_capacity('entry')
     assert publisher.publish(None, True, owners, NOW + 0.001) == []
-    later = NOW + telling.MIN_UPDATE_SECONDS + 0.001
+    later = NOW + publishing.MIN_UPDATE_SECONDS + 0.001
     assert publisher.next_due() <= later
     (update,) = publisher.publish(None, True, owners, later)
     assert update.message.free.cpu == 60.0
@@ -147,7 +147,7 @@
     """Another entry replaced it; starts that it sends would be refused."""
     capacity = sharing.SharedCapacity()
     capacity.resize(TASK)
-    publisher = telling.Publisher(1, capacity, health.Health())
+    publisher = publishing.Publisher(1, capacity, health.Health())
     owner = runs.Owner('entry', 1)
     assert publisher.publish(None, True, {'entry': owner}, NOW)
     for leaving, change in (
--- a/tests/test_admitting.py
+++ b/tests/test_repeatable_admission.py
@@ -1,12 +1,12 @@
 import random
 
-from agatepick.repeatable import admitting
+from agatepick.repeatable import admission
 
 
 def test_nothing_waits_while_cores_are_free():
-    load = admitting.Load(needed=48.0, free=60.0, rate=10.0)
+    load = admission.Load(needed=48.0, free=60.0, rate=10.0)
     assert load.wait() == 0.0
-    assert admitting.starts_in_time(load, 0.0, admitting.MIN_WAIT_SHARE)
+    assert admission.starts_in_time(load, 0.0, admission.MIN_WAIT_SHARE)
 
 
 def test_a_job_behind_a_long_queue_is_refused_at_once():
@@ -14,9 +14,9 @@
 
     If the job were admitted, its caller would wait for a useless answer.
     """
-    load = admitting.Load(needed=900.0, free=0.0, rate=300.0)
+    load = admission.Load(needed=900.0, free=0.0, rate=300.0)
     assert load.wait() == 3.0
-    assert not admitting.starts_in_time(load, 1.0, admitting.MAX_WAIT_SHARE)
+    assert not admission.starts_in_time(load, 1.0, admission.MAX_WAIT_SHARE)
 
 
 def test_a_job_is_refused_while_round_trips_take_too_long():
@@ -24,9 +24,9 @@
 
     Each admitted job would make all wait longer, and none would start in time.
     """
-    load = admitting.Load(needed=0.0, free=60.0, rate=10.0, trip=0.4)
-    assert not admitting.starts_in_time(load, slack=0.3, share=1.0)
-    assert admitting.starts_in_time(load, slack=0.5, share=1.0)
+    load = admission.Load(needed=0.0, free=60.0, rate=10.0, trip=0.4)
+    assert not admission.starts_in_time(load, slack=0.3, share=1.0)
+    assert admission.starts_in_time(load, slack=0.5, share=1.0)
 
 
 def test_a_slow_round_trip_alone_does_not_stop_admission():
@@ -35,24 +35,24 @@
     If the share also limited the round trip, each job would be refused, none
     would start, and the share would stay low although workers are idle.
     """
-    load = admitting.Load(needed=0.0, free=60.0, rate=10.0, trip=0.03)
-    assert admitting.starts_in_time(
-        load, slack=0.13, share=admitting.MIN_WAIT_SHARE
+    load = admission.Load(needed=0.0, free=60.0, rate=10.0, trip=0.03)
+    assert admission.starts_in_time(
+        load, slack=0.13, share=admission.MIN_WAIT_SHARE
     )
 
 
 def test_retries_of_callers_refused_together_are_spread():
     """The callers of a refused burst would otherwise all retry at once."""
     rng = random.Random(1)
-    load = admitting.Load(needed=900.0, free=0.0, rate=300.0)
-    times = [admitting.retry_after(load, 1.0, rng) for _ in range(100)]
+    load = admission.Load(needed=900.0, free=0.0, rate=300.0)
+    times = [admission.retry_after(load, 1.0, rng) for _ in range(100)]
     assert min(times) >= 2.0
     assert max(times) - min(times) > 1.5
-    assert max(times) <= admitting.MAX_RETRY_SECONDS
+    assert max(times) <= admission.MAX_RETRY_SECONDS
 
 
 def test_the_release_rate_follows_ended_runs():
-    release_rate = admitting.ReleaseRate()
+    release_rate = admission.ReleaseRate()
     now = 0.0
     for _ in range(400):
         now += 0.01
@@ -63,7 +63,7 @@
 
 
 def test_a_default_run_time_is_assumed_before_any_end():
-    assert admitting.ReleaseRate().mean_run_seconds() > 0.0
+    assert admission.ReleaseRate().mean_run_seconds() > 0.0
 
 
 def test_late_starts_make_admission_stricter():
@@ -71,27 +71,27 @@
 
     Callers that were admitted by the prediction alone would get late answers.
     """
-    margin = admitting.Margin()
-    assert margin.share == admitting.MAX_WAIT_SHARE
+    margin = admission.Margin()
+    assert margin.share == admission.MAX_WAIT_SHARE
     for _ in range(5):
         margin.record_start(in_time=False)
-    assert margin.share < 0.2 * admitting.MAX_WAIT_SHARE
+    assert margin.share < 0.2 * admission.MAX_WAIT_SHARE
     for _ in range(100):
         margin.record_start(in_time=False)
-    assert margin.share == admitting.MIN_WAIT_SHARE
+    assert margin.share == admission.MIN_WAIT_SHARE
 
 
 def test_starts_in_time_relax_admission_again():
-    margin = admitting.Margin()
+    margin = admission.Margin()
     for _ in range(100):
         margin.record_start(in_time=False)
     for _ in range(200):
         margin.record_start(in_time=True)
-    assert margin.share == admitting.MAX_WAIT_SHARE
+    assert margin.share == admission.MAX_WAIT_SHARE
 
 
 def test_one_late_job_in_nineteen_changes_nothing():
-    margin = admitting.Margin()
+    margin = admission.Margin()
     margin.record_start(in_time=False)
     before = margin.share
     for _ in range(18):
--- a/tests/test_orders.py
+++ b/tests/test_run_controller.py
@@ -3,8 +3,8 @@
 from agatepick.net import messages
 from agatepick.repeatable import health
 from agatepick.repeatable import leases
-from agatepick.repeatable import orders
 from agatepick.repeatable import reports
+from agatepick.repeatable import run_controller
 from agatepick.repeatable import runs
 from agatepick.repeatable import sharing
 from agatepick.repeatable import workerapi
@@ -20,7 +20,7 @@
 
 def make_controller(room=None, on_refused=lambda entry: None):
     """Return the run controller of an agent without a worker."""
-    return orders.RunController(
+    return run_controller.RunController(
         room or sharing.SharedCapacity(),
         health.Health(),
         reports.Reports(),
@@ -34,7 +34,8 @@
     room = sharing.SharedCapacity()
     controller = make_controller(room)
     controller.handle_announcement(
-        workerapi.WorkerSeen('w@1', 1, 1, 'p', CAPACITY, (), False, ''), NOW
+        workerapi.WorkerAnnounced('w@1', 1, 1, 'p', CAPACITY, (), False, ''),
+        NOW,
     )
     room.acquire(NEEDS)
     owner = runs.Owner('e', 1, lease_until=NOW + 60.0)
@@ -46,8 +47,8 @@
     return [one for one in effects if isinstance(one, kind)]
 
 
-def answer_start(controller, result, now, life='w@1'):
-    event = workerapi.StartAnswered(life, REF, result)
+def answer_start(controller, result, now, incarnation='w@1'):
+    event = workerapi.StartAnswered(incarnation, REF, result)
     return controller.handle_start_answer(event, now)
 
 
@@ -57,7 +58,7 @@
     for step in range(1, 60):
         effects = controller.enforce_leases(NOW + step * 0.005)
         sent += len(of_kind(effects, workerapi.StartRun))
-    assert sent == orders.MAX_START_ATTEMPTS
+    assert sent == run_controller.MAX_START_ATTEMPTS
 
 
 def test_an_answered_start_is_not_sent_again(controller):
@@ -72,17 +73,19 @@
 
     If its task were started elsewhere at once, it would have two runs.
     """
-    controller.enforce_leases(NOW + orders.START_RETRY_SECONDS + 0.001)
+    controller.enforce_leases(NOW + run_controller.START_RETRY_SECONDS + 0.001)
     now = NOW + 0.04
     effects = answer_start(controller, workerapi.StartResult.NO_ROOM, now)
     assert len(of_kind(effects, workerapi.StopRun)) == 1
     assert 'j.0' in controller.runs
     stopped = workerapi.StopAnswered('w@1', 'j.0', 1, True)
     controller.handle_stop_answer(stopped, now + 0.01)
-    controller.handle_lists(workerapi.Watched('w@1', now, (), ()), now + 0.02)
+    controller.handle_lists(
+        workerapi.ListsReceived('w@1', now, (), ()), now + 0.02
+    )
     assert 'j.0' in controller.runs
     controller.handle_lists(
-        workerapi.Watched('w@1', now + 0.02, (), ()), now + 0.03
+        workerapi.ListsReceived('w@1', now + 0.02, (), ()), now + 0.03
     )
     assert 'j.0' not in controller.runs
 
@@ -99,7 +102,7 @@
     lease is far ahead, and is cut to the longest that the worker allows.
     """
     controller.handle_other_incarnation(
-        workerapi.WorkerReborn('w@1', 'w@2', 2), NOW + 0.01
+        workerapi.OtherIncarnationAnswered('w@1', 'w@2', 2), NOW + 0.01
     )
     assert 'j.0' in controller.runs
     controller.enforce_leases(NOW + leases.WORKER_EXPIRY_SECONDS + 0.1)
@@ -112,7 +115,7 @@
 
 def test_an_unanswered_start_is_kept_after_its_worker_is_gone(controller):
     """The worker's port is closed while a start is in transit."""
-    event = workerapi.WatchFailed('w@1', refused=True)
+    event = workerapi.ListsFailed('w@1', refused=True)
     controller.handle_list_failure(event, NOW + 0.01)
     assert controller.worker is None
     assert 'j.0' in controller.runs
@@ -121,13 +124,13 @@
 def test_an_answered_run_ends_with_its_worker(controller):
     answer_start(controller, workerapi.StartResult.STARTED, NOW + 0.002)
     controller.handle_list_failure(
-        workerapi.WatchFailed('w@1', refused=True), NOW + 0.01
+        workerapi.ListsFailed('w@1', refused=True), NOW + 0.01
     )
     assert controller.runs == {}
 
 
 def make_announcement(sequence, draining=False):
-    return workerapi.WorkerSeen(
+    return workerapi.WorkerAnnounced(
         'w@1', 1, sequence, 'p', CAPACITY, (), draining, ''
     )
 
@@ -136,7 +139,7 @@
     """Otherwise each announcement would cost a write to the store."""
     assert not of_kind(
         controller.handle_announcement(make_announcement(2), NOW),
-        workerapi.KeepWorker,
+        workerapi.PersistWorker,
     )
 
 
@@ -145,21 +148,23 @@
     effects = controller.handle_announcement(
         make_announcement(2, draining=True), NOW
     )
-    assert of_kind(effects, workerapi.KeepWorker) == [
-        workerapi.KeepWorker(None)
+    assert of_kind(effects, workerapi.PersistWorker) == [
+        workerapi.PersistWorker(None)
     ]
     effects = controller.handle_announcement(make_announcement(3), NOW)
-    (effect,) = of_kind(effects, workerapi.KeepWorker)
-    assert effect.worker.life == 'w@1'
+    (effect,) = of_kind(effects, workerapi.PersistWorker)
+    assert effect.worker.incarnation == 'w@1'
 
 
 def test_a_worker_that_left_is_not_persisted(controller):
     effects = controller.handle_departure(workerapi.WorkerLeft('w@1'), NOW)
-    assert workerapi.KeepWorker(None) in effects
+    assert workerapi.PersistWorker(None) in effects
 
 
-def make_lists(life='w@1', running=(), ended=()):
-    return workerapi.Watched(life, NOW + 1.0, tuple(running), tuple(ended))
+def make_lists(incarnation='w@1', running=(), ended=()):
+    return workerapi.ListsReceived(
+        incarnation, NOW + 1.0, tuple(running), tuple(ended)
+    )
 
 
 def test_nothing_starts_beside_a_run_of_an_earlier_incarnation():
@@ -174,7 +179,7 @@
     assert controller.blocks_starts(NOW)
     (first,) = controller.request_lists(NOW)
     assert (first.wait_seconds, first.lease_seconds) == (0.0, 0.0)
-    old = workerapi.RunningAt('j.0', 1)
+    old = workerapi.RunningRun('j.0', 1)
     effects = controller.handle_lists(make_lists(running=[old]), NOW + 0.01)
     assert effects == [workerapi.StopRun('w@1', 'j.0', 1)]
     assert controller.blocks_starts(NOW + 0.01)
@@ -189,9 +194,9 @@
 def test_a_lost_stop_is_sent_again_until_the_run_is_gone():
     controller = make_controller()
     controller.handle_announcement(make_announcement(1), NOW)
-    old = workerapi.RunningAt('j.0', 1)
+    old = workerapi.RunningRun('j.0', 1)
     stops = 0
-    pause = 1.1 * orders.UNOWNED_STOP_RETRY_SECONDS
+    pause = 1.1 * run_controller.UNOWNED_STOP_RETRY_SECONDS
     for step in range(1, 5):
         effects = controller.handle_lists(
             make_lists(running=[old]), NOW + step * pause
@@ -212,7 +217,7 @@
     spec = messages.RunSpec('j', 0, 1, 'j.0', types.Needs(), 0.1)
     (start,) = controller.start(owner, spec, b'', NOW)
     answer = workerapi.StartAnswered(
-        start.life, start.ref, workerapi.StartResult.NO_ROOM
+        start.incarnation, start.ref, workerapi.StartResult.NO_ROOM
     )
     controller.handle_start_answer(answer, NOW)
     assert refused == ['entry']
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -12,7 +12,9 @@
 
 def entries(count, zones=4):
     return tuple(
-        events.Listed(f'e-{number}', f'host:{number}', f'z{number % zones}')
+        events.ListedEntry(
+            f'e-{number}', f'host:{number}', f'z{number % zones}'
+        )
         for number in range(count)
     )
 
@@ -89,7 +91,7 @@
     """Its machine was replaced by one with the same name."""
     agent, first = make_agent(3)
     moved = tuple(
-        events.Listed(one.name, f'new:{one.name}', one.zone)
+        events.ListedEntry(one.name, f'new:{one.name}', one.zone)
         for one in entries(3)
     )
     assert disconnected(agent.update_entries(moved)) == first
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -7,7 +7,7 @@
 from agatepick.net import messages
 from agatepick.repeatable import estimating
 from agatepick.repeatable import jobs
-from agatepick.repeatable import owned
+from agatepick.repeatable import owned_jobs
 from agatepick.repeatable import pool
 from agatepick.repeatable import routes
 from agatepick.repeatable import stragglers
@@ -47,10 +47,10 @@
         after=(frozenset(),),
         deadline=NOW + 60.0,
     )
-    job = owned.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
+    job = owned_jobs.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
     job.queue_ready_tasks()
     for record in job.records:
-        record.state = owned.TaskState.PLACED
+        record.state = owned_jobs.TaskState.PLACED
         record.agent = 'slow'
         record.placed_at = NOW
     job.mark_started(NOW)
--- a/tests/test_kept.py
+++ b/tests/test_worker_record.py
@@ -6,9 +6,9 @@
 import pytest
 
 from agatepick.net import clocks
-from agatepick.platform import kept
 from agatepick.platform import rows
 from agatepick.platform import worker
+from agatepick.platform import worker_record
 from agatepick.repeatable import workerapi
 from agatepick import types
 from tests import platform_standins
@@ -18,8 +18,10 @@
 
 def make_announcement(standin, name=None):
     """Return the event for an announcement of the stand-in."""
-    return workerapi.WorkerSeen(
-        life=worker.make_life(name or standin.name, standin.born),
+    return workerapi.WorkerAnnounced(
+        incarnation=worker.make_incarnation(
+            name or standin.name, standin.born
+        ),
         born=standin.born,
         sequence=4,
         pool='pool',
@@ -40,8 +42,8 @@
     async def store_worker(self, announced):
         """Store a worker as one incarnation of the agent does."""
         client = rows.RowStore(self.store.address)
-        record = kept.WorkerRecord(client, KEY, random.Random(1))
-        record.update(workerapi.KeepWorker(announced))
+        record = worker_record.WorkerRecord(client, KEY, random.Random(1))
+        record.update(workerapi.PersistWorker(announced))
         work = asyncio.get_running_loop().create_task(record.write_changes())
         async with asyncio.timeout(10):
             while '/v1/rows-tx' not in self.store.calls:
@@ -54,7 +56,7 @@
         """Return the events that the next incarnation gets at its start."""
         fed = []
         client = rows.RowStore(self.store.address)
-        record = kept.WorkerRecord(client, KEY, random.Random(2))
+        record = worker_record.WorkerRecord(client, KEY, random.Random(2))
         orders = worker.WorkerClient(
             self.worker.address, clocks.ProcessClock.start(), fed.append
         )
@@ -68,7 +70,7 @@
 def extend_timeouts(monkeypatch):
     # Answers on a busy machine may take longer than on the platform.
     monkeypatch.setattr(worker, 'ORDER_SECONDS', 30.0)
-    monkeypatch.setattr(kept, 'GIVE_UP_SECONDS', 0.2)
+    monkeypatch.setattr(worker_record, 'GIVE_UP_SECONDS', 0.2)
 
 
 def test_a_restarted_agent_uses_its_worker_before_the_announcement():
@@ -82,7 +84,7 @@
         agent = Incarnations()
         await agent.store_worker(make_announcement(agent.worker))
         (found,) = await agent.restore()
-        assert found.life == make_announcement(agent.worker).life
+        assert found.incarnation == make_announcement(agent.worker).incarnation
         assert found.pool == 'pool'
         assert found.capacity == types.Needs(64.0, 262144, 0)
         assert found.labels == ('a', 'r1-1')
@@ -101,7 +103,7 @@
         agent.worker.born += 5_000
         (found,) = await agent.restore()
         assert found.born == before.born + 5_000
-        assert found.life != before.life
+        assert found.incarnation != before.incarnation
 
     asyncio.run(main())
 
@@ -149,7 +151,7 @@
 def test_an_invalid_row_restores_no_worker(caplog):
     async def main():
         agent = Incarnations()
-        agent.store.put(kept.TABLE, KEY, b'{"name": 7}')
+        agent.store.put(worker_record.TABLE, KEY, b'{"name": 7}')
         assert await agent.restore() == []
         assert 'kept_unreadable' in caplog.text
 
