--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -182,9 +182,9 @@
     def _on_peer_up(self, hello: messages.Hello) -> list[object]:
         if hello.role != entries.ROLE_ENTRY:
             return [core.note('not_an_entry', peer=hello.name)]
-        before = self._entries.get(hello.name)
-        if before is not None:
-            self._reporting.leave(before)
+        old_entry = self._entries.get(hello.name)
+        if old_entry is not None:
+            self._reporting.leave(old_entry)
         return self._reporting.build_orphans(self._entries.add(hello))
 
     def _on_peer_down(self, event: core.PeerDown) -> list[object]:
@@ -363,8 +363,11 @@
         self._reporting.offer_all()
 
     def _on_tick(self, now: float) -> list[object]:
-        before, self._last_tick_at = self._last_tick_at, now
-        if before is not None and now - before > PAUSE_GAP_SECONDS:
+        previous_tick_at, self._last_tick_at = self._last_tick_at, now
+        if (
+            previous_tick_at is not None
+            and now - previous_tick_at > PAUSE_GAP_SECONDS
+        ):
             # Renewals that arrived during the pause are still in the sockets.
             # Unless the term is extended, the announcement would expire
             # before they are read, and all running tasks would end as lost.
@@ -386,14 +389,14 @@
         """Exit once no task runs and all results have been sent."""
         if self._stopping_at is None or self._exited or len(self._running):
             return []
-        waited = now - self._stopping_at >= RESULT_WAIT_SECONDS
+        wait_over = now - self._stopping_at >= RESULT_WAIT_SECONDS
         if self._reporting.next_at() is not None:
             return []
-        if self._reporting.has_undelivered() and not waited:
+        if self._reporting.has_undelivered() and not wait_over:
             return []
         self._exited = True
         goodbyes = [
-            core.Send(one.owner.name, messages.Goodbye('stopped'))
-            for one in self._entries
+            core.Send(entry.owner.name, messages.Goodbye('stopped'))
+            for entry in self._entries
         ]
         return [*goodbyes, core.Exit()]
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -56,7 +56,9 @@
 
     def offer_all(self) -> None:
         """Schedule an offer to every entry because the upstream changed."""
-        self._offer_to.update(one.owner for one in self._entries if one.joined)
+        self._offer_to.update(
+            entry.owner for entry in self._entries if entry.joined
+        )
 
     def has_undelivered(self) -> bool:
         """Return whether an owner that isn't removed lacks any reports."""
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -127,11 +127,12 @@
         """Return whether the worker has a task's resources free."""
         if self._announced is None:
             return False
-        taken = [task.needs for task in self._tasks.values()]
+        running_needs = [task.needs for task in self._tasks.values()]
         total = types.Needs(
-            needs.cpu + sum(one.cpu for one in taken),
-            needs.memory_mb + sum(one.memory_mb for one in taken),
-            needs.accelerators + sum(one.accelerators for one in taken),
+            needs.cpu + sum(need.cpu for need in running_needs),
+            needs.memory_mb + sum(need.memory_mb for need in running_needs),
+            needs.accelerators
+            + sum(need.accelerators for need in running_needs),
         )
         return total.fits(self._announced.capacity)
 
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -50,7 +50,7 @@
     @property
     def running(self) -> int:
         """Number of tasks that hold a slot."""
-        leased = sum(one.running for one in self._leases.values())
+        leased = sum(lease.running for lease in self._leases.values())
         return leased + sum(self._unleased_running.values())
 
     @property
@@ -121,7 +121,9 @@
 
         :returns: the entries whose credits changed.
         """
-        unmet = any(one.credits < one.need for one in self._leases.values())
+        unmet = any(
+            lease.credits < lease.need for lease in self._leases.values()
+        )
         if not unmet and not self._stale:
             return []
         self._stale = False
@@ -135,32 +137,32 @@
 
     def _shares(self) -> dict[ledger.Owner, int]:
         # Running tasks keep their slots even above their entry's fair share.
-        shares = {name: one.running for name, one in self._leases.items()}
-        left = (
+        shares = {name: lease.running for name, lease in self._leases.items()}
+        remaining = (
             self._slots
             - sum(shares.values())
             - sum(self._unleased_running.values())
         )
-        needs = {name: one.need for name, one in self._leases.items()}
-        left = _fill_lowest(shares, needs, left)
+        needs = {name: lease.need for name, lease in self._leases.items()}
+        remaining = _fill_lowest(shares, needs, remaining)
         limits = {name: self._slots for name in self._leases}
-        _fill_lowest(shares, limits, left)
+        _fill_lowest(shares, limits, remaining)
         return shares
 
 
 def _fill_lowest(
     shares: dict[ledger.Owner, int],
     limits: dict[ledger.Owner, int],
-    left: int,
+    remaining: int,
 ) -> int:
-    """Add ``left`` slots one by one to the lowest share below its limit.
+    """Add ``remaining`` slots one by one to the lowest share below its limit.
 
     :returns: the number of slots that remain.
     """
-    while left > 0:
+    while remaining > 0:
         below = [name for name in shares if shares[name] < limits[name]]
         if not below:
-            return left
+            return remaining
         shares[min(below, key=shares.__getitem__)] += 1
-        left -= 1
-    return left
+        remaining -= 1
+    return remaining
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -154,13 +154,13 @@
 
     def listed(self) -> tuple[messages.Member, ...]:
         """Return the entries that are listed in this version."""
-        return tuple(one for one in self.entries if not one.removed_at)
+        return tuple(entry for entry in self.entries if not entry.removed_at)
 
     def member(self, name: str) -> messages.Member | None:
         """Return the listed entry of that name, or ``None``."""
-        for one in self.entries:
-            if one.name == name and not one.removed_at:
-                return one
+        for entry in self.entries:
+            if entry.name == name and not entry.removed_at:
+                return entry
         return None
 
     def lists(self, me: messages.Member) -> bool:
@@ -170,9 +170,9 @@
 
     def zone(self, name: str) -> Zone | None:
         """Return the state of a zone, or ``None`` if it was never out."""
-        for one in self.zones:
-            if one.name == name:
-                return one
+        for zone in self.zones:
+            if zone.name == name:
+                return zone
         return None
 
     def zone_out(self, name: str) -> bool:
@@ -182,16 +182,16 @@
 
     def quota(self, team: str) -> int | None:
         """Return the quota of a team in slots, or ``None`` without one."""
-        for one in self.quotas:
-            if one.team == team:
-                return one.slots
+        for quota in self.quotas:
+            if quota.team == team:
+                return quota.slots
         return None
 
     def setting(self, key: str) -> str | None:
         """Return the value of a free setting, or ``None`` if it is not set."""
-        for one in self.settings:
-            if one.key == key:
-                return one.value
+        for setting in self.settings:
+            if setting.key == key:
+                return setting.value
         return None
 
 
@@ -243,12 +243,13 @@
 class Proposed:
     """Effect that reports the outcome of a proposed change to its requester.
 
-    :param verdict: ``accepted``, ``conflict`` (a concurrent change was
-        written instead of this one), ``unknown`` (the store's answer was
-        lost, so the change may or may not take effect), ``unavailable``
-        (nothing was written) or ``invalid`` (``reason`` names the field).
-    :param version: the version that contains the change, or for a conflict
-        the last known version.
+    :param verdict: ``accepted``, ``conflict`` (another change was written
+        and this one was not), ``unknown`` (the store's answer was lost: the
+        change has taken effect, may still do so, or never will),
+        ``unavailable`` (nothing was written) or ``invalid`` (``reason`` names
+        the field).
+    :param version: the version that contains the change, or would contain it
+        if the verdict is ``unknown``; otherwise the last known version.
     """
 
     request_id: int
@@ -359,9 +360,9 @@
 ) -> tuple[messages.Member, ...]:
     oldest = now - REMOVED_RETENTION_SECONDS
     return tuple(
-        one
-        for one in entries
-        if not one.removed_at or one.removed_at >= oldest
+        entry
+        for entry in entries
+        if not entry.removed_at or entry.removed_at >= oldest
     )
 
 
@@ -387,8 +388,8 @@
             )
             return dataclasses.replace(base, leaving=leaving)
         case UpstreamCleared(agent):
-            kept = tuple(one for one in base.leaving if one != agent)
-            return dataclasses.replace(base, leaving=kept)
+            others = tuple(name for name in base.leaving if name != agent)
+            return dataclasses.replace(base, leaving=others)
         case EntryListed():
             return _list_entry(base, change, at)
         case EntryRemoved(name, incarnation, stopped_at):
@@ -408,7 +409,7 @@
 ) -> ClusterConfig:
     if base.zone_out(_require_nonempty('zone', name)) == out:
         return base
-    others = tuple(one for one in base.zones if one.name != name)
+    others = tuple(zone for zone in base.zones if zone.name != name)
     return dataclasses.replace(base, zones=(*others, Zone(name, out, at)))
 
 
@@ -416,12 +417,12 @@
     base: ClusterConfig, team: str, slots: int | None
 ) -> ClusterConfig:
     _require_nonempty('team', team)
-    kept = tuple(one for one in base.quotas if one.team != team)
+    others = tuple(quota for quota in base.quotas if quota.team != team)
     if slots is None:
-        return dataclasses.replace(base, quotas=kept)
+        return dataclasses.replace(base, quotas=others)
     if slots < 0:
         raise _make_field_error('slots', f'{slots} is negative')
-    return dataclasses.replace(base, quotas=(*kept, Quota(team, slots)))
+    return dataclasses.replace(base, quotas=(*others, Quota(team, slots)))
 
 
 def _list_entry(
@@ -446,12 +447,12 @@
     stopped_at: float = 0.0,
 ) -> ClusterConfig:
     entries = tuple(
-        dataclasses.replace(one, removed_at=at, stopped_at=stopped_at)
-        if one.name == name
-        and one.incarnation == incarnation
-        and not one.removed_at
-        else one
-        for one in base.entries
+        dataclasses.replace(entry, removed_at=at, stopped_at=stopped_at)
+        if entry.name == name
+        and entry.incarnation == incarnation
+        and not entry.removed_at
+        else entry
+        for entry in base.entries
     )
     return dataclasses.replace(base, entries=entries)
 
@@ -460,7 +461,7 @@
     base: ClusterConfig, key: str, value: str | None
 ) -> ClusterConfig:
     _require_nonempty('key', key)
-    kept = tuple(one for one in base.settings if one.key != key)
+    others = tuple(setting for setting in base.settings if setting.key != key)
     if value is None:
-        return dataclasses.replace(base, settings=kept)
-    return dataclasses.replace(base, settings=(*kept, Setting(key, value)))
+        return dataclasses.replace(base, settings=others)
+    return dataclasses.replace(base, settings=(*others, Setting(key, value)))
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -68,9 +68,9 @@
         self._cfg = cfg
         self._me = me
         self._rng = rng
-        self._known = history.History()
-        self._reader = headreader.HeadReader(self._known)
-        self._writer = proposals.Writer(me, self._known, cfg.rules)
+        self._history = history.History()
+        self._reader = headreader.HeadReader(self._history)
+        self._writer = proposals.Writer(me, self._history, cfg.rules)
         self._members = membership.Membership(me, cfg.rules)
         self._clocks = clockwatch.ClockWatch(cfg.rules.margin)
         self._pending_calls: dict[int, str] = {}
@@ -80,7 +80,7 @@
         self._permits = permits.Permits(
             me,
             cfg.rules,
-            self._known,
+            self._history,
             self._members,
             self._writer,
             self._clocks,
@@ -90,7 +90,7 @@
         self._dials = dials.Dials()
         self._followed_version = 0
         self._listing = listing.Listing(
-            me, self._known, self._members, self._writer, rng, cfg.leave
+            me, self._history, self._members, self._writer, rng, cfg.leave
         )
 
     @classmethod
@@ -108,12 +108,12 @@
     @property
     def version(self) -> int:
         """Return the last known version, whether in force or not."""
-        return self._known.version
+        return self._history.version
 
     @property
     def latest(self) -> cluster.ClusterConfig:
         """Return the last known document, whether in force or not."""
-        return self._known.latest
+        return self._history.latest
 
     @property
     def may_exit(self) -> bool:
@@ -125,7 +125,7 @@
 
     def in_force(self, now: float) -> cluster.ClusterConfig:
         """Return the document in force at ``now``."""
-        return self._known.in_force(now)
+        return self._history.in_force(now)
 
     def lease_until(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease.
@@ -157,13 +157,13 @@
         """Return whether no change is pending, uncertain or being written."""
         return (
             self._writer.idle
-            and not self._known.pending(now)
+            and not self._history.pending(now)
             and not self._permits.uncertain()
         )
 
     def status(self, now: float) -> configstatus.ConfigurationStatus:
         """Return the status for operators."""
-        doc = self._known.in_force(now)
+        doc = self._history.in_force(now)
         return configstatus.ConfigurationStatus(
             version=self.version,
             version_in_force=doc.version,
@@ -180,7 +180,7 @@
             uncertain=tuple(one.row for one in self._permits.uncertain()),
             lost=tuple(one.name for one in self._members.lost(now)),
             in_force=doc,
-            accepted=self._known.latest,
+            accepted=self._history.latest,
         )
 
     # -- events ------------------------------------------------------------
@@ -336,7 +336,7 @@
         return effects + self._renew(now)
 
     def _renew(self, now: float) -> list[object]:
-        head = self._known.head
+        head = self._history.head
         uncertain = self._writer.uncertain()
         # A renewal moves the stamp, which would fail our own transaction.
         if self._pending_renewal is not None or self._writer.writing:
@@ -353,7 +353,7 @@
         head, self._pending_renewal = self._pending_renewal, None
         if not isinstance(answer, store.Committed) or head is None:
             return []
-        self._known.record_head(head)
+        self._history.record_head(head)
         return self._on_head(head, now)
 
     def _on_written(self, answer: store.Answer, now: float) -> list[object]:
@@ -396,7 +396,7 @@
         self, message: messages.Changes, now: float
     ) -> list[object]:
         for data in message.rows:
-            self._known.add_row(cluster.decode(data, cluster.ChangeRow), now)
+            self._history.add_row(cluster.decode(data, cluster.ChangeRow), now)
         effects = self._follow_versions(now)
         effects += self._writer.resolve_uncertain()
         self._permits.extend_from_peers(now)
@@ -405,7 +405,7 @@
     def _on_changes_wanted(
         self, peer: str, message: messages.ChangesWanted
     ) -> list[object]:
-        rows = self._known.since(message.since)[:MAX_ROWS_PER_MESSAGE]
+        rows = self._history.since(message.since)[:MAX_ROWS_PER_MESSAGE]
         if not rows:
             return []
         data = tuple(cluster.encode(row) for row in rows)
@@ -422,11 +422,11 @@
         data = b'' if own is None else cluster.encode(own)
         grant = messages.Grant(self.version, now, data)
         effects: list[object] = []
-        for one in self._members.others:
-            if not self._writer.may_grant(one.name):
+        for member in self._members.others:
+            if not self._writer.may_grant(member.name):
                 continue
-            self._granted_at[one.name] = now
-            effects.append(core.Send(one.name, grant))
+            self._granted_at[member.name] = now
+            effects.append(core.Send(member.name, grant))
         return effects
 
     def _follow_versions(self, now: float) -> list[object]:
@@ -443,9 +443,9 @@
 
     def _collect_addresses(self) -> dict[str, str]:
         return {
-            one.name: one.address
-            for one in self._members.others
-            if one.name != self._me.name
+            member.name: member.address
+            for member in self._members.others
+            if member.name != self._me.name
         }
 
     # -- changes -----------------------------------------------------------
@@ -486,6 +486,10 @@
         return self._listing.maintain() if self._permits.has_read else []
 
     def _is_due(self, name: str, seconds: float, now: float) -> bool:
+        """Return whether a periodic task is due; schedule its next run then.
+
+        :param seconds: mean interval between two runs.
+        """
         if now < self._due_at.get(name, 0.0):
             return False
         spread = self._rng.uniform(
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -35,8 +35,8 @@
 class HeadReader:
     """State of the read in progress."""
 
-    def __init__(self, known: history.History):
-        self._known = known
+    def __init__(self, version_history: history.History):
+        self._history = version_history
         self._head: cluster.Head | None = None
         self._request: store.Request | None = None
 
@@ -70,7 +70,7 @@
         if request == headrows.read_head:
             self._head = headrows.parse_head(rows)
         elif request == headrows.read_snapshot:
-            if not self._known.add_snapshot(
+            if not self._history.add_snapshot(
                 headrows.parse_snapshot(rows), now
             ):
                 raise exceptions.BadMessage(
@@ -78,7 +78,7 @@
                 )
         else:
             added = [
-                self._known.add_row(row, now)
+                self._history.add_row(row, now)
                 for row in headrows.parse_changes(rows)
             ]
             if not any(added) and self._is_behind():
@@ -87,13 +87,13 @@
 
     def _is_behind(self) -> bool:
         head = typing.cast(cluster.Head, self._head)
-        return head.version > self._known.version
+        return head.version > self._history.version
 
     def _continue(self) -> Outcome:
         head = typing.cast(cluster.Head, self._head)
         if self._is_behind():
             return self._set_request(
-                headrows.read_changes(self._known.version)
+                headrows.read_changes(self._history.version)
             )
-        self._known.record_head(head)
+        self._history.record_head(head)
         return HeadRead(head)
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -24,14 +24,14 @@
     def __init__(
         self,
         me: messages.Member,
-        known: history.History,
+        version_history: history.History,
         members: membership.Membership,
         writer: proposals.Writer,
         rng: random.Random,
         leave: float,
     ):
         self._me = me
-        self._known = known
+        self._history = version_history
         self._members = members
         self._writer = writer
         self._rng = rng
@@ -44,7 +44,7 @@
     @property
     def listed(self) -> bool:
         """Return whether this entry is listed in the last known version."""
-        return self._known.latest.lists(self._me)
+        return self._history.latest.lists(self._me)
 
     def start_leaving(self, stopped_at: float, now: float) -> None:
         """Start to delist this entry.
@@ -62,7 +62,7 @@
         """Update :attr:`may_exit`."""
         if self._leave_deadline == math.inf:
             return
-        listed = self.listed or self._known.in_force(now).lists(self._me)
+        listed = self.listed or self._history.in_force(now).lists(self._me)
         self.may_exit = (
             self.may_exit or not listed or now >= self._leave_deadline
         )
@@ -92,8 +92,8 @@
 
     def remove_lost(self, now: float) -> None:
         """Submit the removal of entries whose processes are dead or silent."""
-        for one in self._members.lost(now):
-            self._submit(cluster.EntryRemoved(one.name, one.incarnation))
+        for member in self._members.lost(now):
+            self._submit(cluster.EntryRemoved(member.name, member.incarnation))
 
     def _request_listing(self, change: cluster.EntryListed) -> list[object]:
         """Send a listed entry the request to write this entry's listing.
@@ -105,7 +105,7 @@
         reachable = self._members.alive() & self._members.connected.keys()
         if not reachable:
             return []
-        version = self._known.version
+        version = self._history.version
         row = cluster.ChangeRow(
             version + 1, 0.0, change, self._me.name, self._me.incarnation, 0
         )
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -65,11 +65,11 @@
     def update_listed(self, config: cluster.ClusterConfig, now: float) -> None:
         """Replace the listed entries by those of a new version."""
         self._others = tuple(
-            one
-            for one in config.listed()
-            if (one.name, one.incarnation) != _get_id(self._me)
+            member
+            for member in config.listed()
+            if (member.name, member.incarnation) != _get_id(self._me)
         )
-        listed = {_get_id(one) for one in self._others}
+        listed = {_get_id(member) for member in self._others}
         for key in listed - self._peers.keys():
             self._peers[key] = _Peer(last_message_at=now)
         for key in self._peers.keys() - listed:
@@ -147,24 +147,28 @@
 
     def grants(self) -> tuple[readlease.PeerGrant, ...]:
         """Return the last grant of every other listed entry."""
-        return tuple(self._peers[_get_id(one)].grant for one in self._others)
+        return tuple(
+            self._peers[_get_id(member)].grant for member in self._others
+        )
 
     def uncertain_changes(self) -> list[cluster.Uncertain]:
         """Return the changes that peers reported and may have written."""
         return [
-            one for grant in self.grants() for one in grant.uncertain_changes()
+            change
+            for grant in self.grants()
+            for change in grant.uncertain_changes()
         ]
 
     def alive(self) -> frozenset[str]:
         """Return the names of the other listed entries not provably dead."""
         return frozenset(
-            one.name for one in self._others if not self.is_dead(one)
+            member.name for member in self._others if not self.is_dead(member)
         )
 
     def is_dead(self, member: messages.Member) -> bool:
         """Return whether a listed entry's process is provably dead.
 
-        An older incarnation of this entry is, since this process has its
+        An older incarnation of this entry is dead, since this process has its
         address.
         """
         if member.name == self._me.name:
@@ -173,7 +177,9 @@
 
     def lost(self, now: float) -> list[messages.Member]:
         """Return the listed entries that this entry should now remove."""
-        return [one for one in self._others if self._is_lost(one, now)]
+        return [
+            member for member in self._others if self._is_lost(member, now)
+        ]
 
     def _is_lost(self, member: messages.Member, now: float) -> bool:
         if member.name == self._me.name:
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -72,14 +72,14 @@
         self,
         me: messages.Member,
         rules: readlease.Rules,
-        known: history.History,
+        version_history: history.History,
         members: membership.Membership,
         writer: proposals.Writer,
         clocks: clockwatch.ClockWatch,
     ):
         self._me = me
         self._rules = rules
-        self._known = known
+        self._history = version_history
         self._members = members
         self._writer = writer
         self._clocks = clocks
@@ -99,12 +99,12 @@
 
         An unlisted entry receives no intents, so it can't rely on grants.
         """
-        if not self._known.latest.lists(self._me):
+        if not self._history.latest.lists(self._me):
             return
         self._lease = readlease.extend(
             self._lease,
             now,
-            self._known.version,
+            self._history.version,
             self._members.grants(),
             self.uncertain(),
             self._rules,
@@ -116,19 +116,19 @@
         own = self._writer.uncertain()
         if own is not None:
             changes.append(own)
-        return readlease.select_live(changes, self._known.head)
+        return readlease.select_live(changes, self._history.head)
 
     def serving(self, now: float) -> bool:
         """Return whether the head was read and this entry is in force."""
         return (
             self.has_read
-            and self._known.covers(now)
-            and self._known.in_force(now).lists(self._me)
+            and self._history.covers(now)
+            and self._history.in_force(now).lists(self._me)
         )
 
     def lease_until(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease."""
-        end = min(self._lease, self._known.removal(self._me, now))
+        end = min(self._lease, self._history.removal(self._me, now))
         valid = now < end and self.serving(now) and self._clocks.trusted
         return end if valid else 0.0
 
@@ -141,7 +141,7 @@
         return Snapshot(
             now,
             self.lease_until(now),
-            self._known.in_force(now),
-            self._known.pending(now),
+            self._history.in_force(now),
+            self._history.pending(now),
             self.uncertain(),
         )
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -27,7 +27,7 @@
 milliseconds, so a second attempt rarely fails as well.
 """
 PROPOSAL_TIMEOUT_SECONDS = 8.0
-"""Time limit for a proposal, for which an operator waits at most.
+"""Time limit for a proposal, the longest wait of an operator for a verdict.
 
 It exceeds two fences, since waiting for a silent peer takes one of them.
 """
@@ -56,13 +56,14 @@
 
     :param based_on: version that the operator's request is based on;
         ``None`` for any.
-    :param seen: last version known at this entry at the time of the request.
+    :param known_version: last version known at this entry at the time of the
+        request.
     """
 
     request_id: int
     change: cluster.Change
     based_on: int | None
-    seen: int
+    known_version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,12 +87,12 @@
     def __init__(
         self,
         me: messages.Member,
-        known: history.History,
+        version_history: history.History,
         rules: readlease.Rules,
     ):
         self.stage = Stage.IDLE
         self._me = me
-        self._known = known
+        self._history = version_history
         self._rules = rules
         self._queue: collections.deque[Proposal] = collections.deque()
         self._deadline = 0.0
@@ -135,12 +136,12 @@
         if request_id == INTERNAL_REQUEST and self.is_queued(change):
             return
         self._queue.append(
-            Proposal(request_id, change, based_on, self._known.version)
+            Proposal(request_id, change, based_on, self._history.version)
         )
 
     def is_queued(self, change: cluster.Change) -> bool:
         """Return whether that change is queued."""
-        return any(one.change == change for one in self._queue)
+        return any(proposal.change == change for proposal in self._queue)
 
     def start(self, now: float) -> bool:
         """Start the next proposal if the writer is idle.
@@ -167,17 +168,28 @@
         """
         if self.stage is Stage.WRITE:
             return self._resolve_write()
-        one = self._uncertain
-        if one is None or readlease.select_live([one], self._known.head):
+        uncertain = self._uncertain
+        if uncertain is None or readlease.select_live(
+            [uncertain], self._history.head
+        ):
             return []
         self._uncertain = None
-        row = self._known.row(one.row.version)
-        row_dropped = self._known.version >= one.row.version and row is None
-        written = 'untold' if row_dropped else str(row == one.row)
+        row = self._history.row(uncertain.row.version)
+        row_dropped = (
+            self._history.version >= uncertain.row.version and row is None
+        )
+        written = 'untold' if row_dropped else str(row == uncertain.row)
         note = core.note(
-            'change_settled', version=one.row.version, written=written
+            'change_settled', version=uncertain.row.version, written=written
         )
-        return [note, *(self._send_change(one.row) if row == one.row else [])]
+        return [
+            note,
+            *(
+                self._send_change(uncertain.row)
+                if row == uncertain.row
+                else []
+            ),
+        ]
 
     def handle_read_failure(self, reason: str) -> list[object]:
         """End the proposal if the head couldn't be read.
@@ -203,8 +215,10 @@
             return self._finish('conflict', reason=conflict)
         row = self._make_row(proposal, now)
         try:
-            if not cluster.alters(self._known.latest, proposal.change):
-                return self._finish('accepted', self._known.latest.in_force_at)
+            if not cluster.alters(self._history.latest, proposal.change):
+                return self._finish(
+                    'accepted', self._history.latest.in_force_at
+                )
         except exceptions.BadChange as exc:
             return self._finish('invalid', reason=exc.message)
         self._intent_at = now
@@ -223,14 +237,16 @@
         row = self._row
         if self.stage is not Stage.INTENT or row is None:
             return None
-        if any(self._relies_on_grant(one, peers, now) for one in peers.alive):
+        if any(
+            self._relies_on_grant(peer, peers, now) for peer in peers.alive
+        ):
             return None
         stale = now > self._intent_at + MAX_HEAD_AGE_SECONDS
-        if stale or self._known.version != row.version - 1:
+        if stale or self._history.version != row.version - 1:
             self.stage = Stage.READ
             return None
         self.stage = Stage.WRITE
-        after = cluster.apply(self._known.latest, row)
+        after = cluster.apply(self._history.latest, row)
         stamp = max(now, self._base_head.stamp)
         return headrows.write_change(self._base_head, row, stamp, after)
 
@@ -243,7 +259,7 @@
         if self.stage is not Stage.WRITE or row is None:
             return []
         if isinstance(answer, store.Committed):
-            self._known.add_row(row, now)
+            self._history.add_row(row, now)
             return self._accept()
         if isinstance(answer, exceptions.StoreConflict):
             self.stage = Stage.READ
@@ -268,10 +284,10 @@
         """Determine the transaction's outcome from the known versions."""
         uncertain = self._make_uncertain()
         if uncertain is None or readlease.select_live(
-            [uncertain], self._known.head
+            [uncertain], self._history.head
         ):
             return []
-        if self._known.row(uncertain.row.version) == uncertain.row:
+        if self._history.row(uncertain.row.version) == uncertain.row:
             return self._accept()
         self.stage = Stage.READ
         return []
@@ -283,23 +299,23 @@
         return effects + self._send_change(row)
 
     def _find_conflict(self, proposal: Proposal) -> str:
-        latest = self._known.version
+        latest = self._history.version
         if proposal.based_on is not None:
             if proposal.based_on == latest:
                 return ''
             return f'based on version {proposal.based_on}, now {latest}'
         about = cluster.subject(proposal.change)
-        for version in range(proposal.seen + 1, latest + 1):
-            row = self._known.row(version)
+        for version in range(proposal.known_version + 1, latest + 1):
+            row = self._history.row(version)
             if row is None or cluster.subject(row.change) == about:
                 return f'version {version} changed {about} first'
         return ''
 
     def _make_row(self, proposal: Proposal, now: float) -> cluster.ChangeRow:
         self._last_attempt += 1
-        self._base_head = self._known.head
+        self._base_head = self._history.head
         return cluster.ChangeRow(
-            version=self._known.version + 1,
+            version=self._history.version + 1,
             in_force_at=self._choose_in_force_at(now),
             change=proposal.change,
             writer=self._me.name,
@@ -312,7 +328,7 @@
             # No entry holds a lease for a head that was never written.
             return now
         at = max(now, self._base_head.stamp) + self._rules.fence
-        return max(at, self._known.latest.in_force_at)
+        return max(at, self._history.latest.in_force_at)
 
     def _send_intent(
         self, row: cluster.ChangeRow, peers: Peers
@@ -332,11 +348,11 @@
 
     def _send_change(self, row: cluster.ChangeRow) -> list[object]:
         changes = messages.Changes(row.version - 1, (cluster.encode(row),))
-        others = self._known.latest.listed()
+        entries = self._history.latest.listed()
         return [
-            core.Send(one.name, changes)
-            for one in others
-            if one.name != self._me.name
+            core.Send(entry.name, changes)
+            for entry in entries
+            if entry.name != self._me.name
         ]
 
     def _finish(
@@ -349,7 +365,7 @@
         proposal = self._queue.popleft()
         self.stage = Stage.IDLE
         self._row = None
-        version = version or self._known.version
+        version = version or self._history.version
         about = cluster.subject(proposal.change)
         effects: list[object] = [
             core.note(
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -79,7 +79,8 @@
 
     :param sent: when the peer sent the grant, by the peer's clock.
     :param uncertain: a change that the peer may have written.
-    :param intent: a change that the peer announced but may not have written.
+    :param intent: the last change that the peer announced by an
+        :class:`~agatepick.net.messages.Intent`, before it writes it.
     :param dead: whether the peer died while the grant was valid, so that it
         wrote no changes other than ``uncertain`` and ``intent``.
     """
@@ -103,12 +104,13 @@
     def uncertain_changes(self) -> tuple[cluster.Uncertain, ...]:
         """Return the changes of this peer that may still take effect.
 
-        The intent of a live peer doesn't count: the peer sends no newer grant
-        without the change, and the last grant ends before the change's
+        The intent of a live peer doesn't count.  Until the outcome is known,
+        each further grant of that peer contains the change as uncertain, and
+        a lease from an earlier grant ends before the change's
         ``in_force_at``.
         """
         intent = self.intent if self.dead else None
-        return tuple(one for one in (self.uncertain, intent) if one)
+        return tuple(change for change in (self.uncertain, intent) if change)
 
 
 def compute_end(stamp: float, rules: Rules) -> float:
@@ -124,9 +126,9 @@
     A newer version or a newer stamp makes their condition fail permanently.
     """
     return tuple(
-        one
-        for one in uncertain
-        if one.row.version > head.version and one.stamp >= head.stamp
+        change
+        for change in uncertain
+        if change.row.version > head.version and change.stamp >= head.stamp
     )
 
 
@@ -157,9 +159,9 @@
         if peer.version > version:
             return lease
         end = min(end, peer.until(rules))
-    for one in uncertain:
-        if zone_of(one.row.change) is None:
-            end = min(end, one.row.in_force_at - rules.margin)
+    for change in uncertain:
+        if zone_of(change.row.change) is None:
+            end = min(end, change.row.in_force_at - rules.margin)
     return max(lease, end)
 
 
@@ -172,9 +174,9 @@
     """
     return min(
         (
-            one.row.in_force_at
-            for one in uncertain
-            if one.row.change == cluster.ZoneOut(zone)
+            change.row.in_force_at
+            for change in uncertain
+            if change.row.change == cluster.ZoneOut(zone)
         ),
         default=math.inf,
     )
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -517,10 +517,13 @@
     async def _maintain(self, peer: types.PeerName, address: str) -> None:
         redial = backoff.Backoff(REDIAL_DELAYS, self._rng)
         while True:
-            began_at = self._clock.now()
+            started_at = self._clock.now()
             await self._wait_until_lost(peer)
             served = await self._dial_once(peer, address)
-            if served and self._clock.now() >= began_at + REDIAL_RESET_SECONDS:
+            if (
+                served
+                and self._clock.now() >= started_at + REDIAL_RESET_SECONDS
+            ):
                 redial.reset()
             await asyncio.sleep(redial.record_failure())
 
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -53,18 +53,22 @@
             ownership.get_timestamp(key) - self._skew - DEATH_MARGIN_SECONDS
         )
         return tuple(
-            [one for one in members if self._death_time(one) > latest_death]
+            [
+                member
+                for member in members
+                if self._death_time(member) > latest_death
+            ]
         )
 
     def prune(self, members: tuple[messages.Member, ...]) -> None:
         """Delete the records of entries that aren't among ``members``."""
-        member_ids = {(one.name, one.incarnation) for one in members}
+        member_ids = {(member.name, member.incarnation) for member in members}
         self._death_times = {
-            who: at
-            for who, at in self._death_times.items()
-            if who in member_ids
+            member_id: died_at
+            for member_id, died_at in self._death_times.items()
+            if member_id in member_ids
         }
 
     def _death_time(self, member: messages.Member) -> float:
-        who = (member.name, member.incarnation)
-        return self._death_times.get(who, float('inf'))
+        member_id = (member.name, member.incarnation)
+        return self._death_times.get(member_id, float('inf'))
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -166,7 +166,7 @@
     def _on_submitted(self, event: calls.JobSubmitted, now: float) -> _Effects:
         spec = event.job
         waiter = jobs.LocalWaiter(event.call)
-        name = self._owner_of(spec.key, now)
+        name = self._find_owner_name(spec.key, now)
         if name == self._me.name:
             return self._submit(spec, waiter, now)
         return self._forward(
@@ -175,14 +175,14 @@
 
     def _on_asked(self, event: calls.JobAsked, now: float) -> _Effects:
         waiter = jobs.LocalWaiter(event.call)
-        name = self._owner_of(event.key, now)
+        name = self._find_owner_name(event.key, now)
         if name == self._me.name:
             return self.owner.send_status(event.key, event.team, waiter)
         return self._forward(name, waiter, ASK, event.key, event.team)
 
     def _on_cancelled(self, event: calls.JobCancelled, now: float) -> _Effects:
         waiter = jobs.LocalWaiter(event.call)
-        name = self._owner_of(event.key, now)
+        name = self._find_owner_name(event.key, now)
         if name == self._me.name:
             return self.owner.cancel(event.key, event.team, waiter, now)
         return self._forward(name, waiter, CANCEL, event.key, event.team)
@@ -208,7 +208,10 @@
         waiter = jobs.RemoteWaiter(peer, message.request)
         key, team = message.key, message.team
         handed_over = message.action == HANDOVER
-        if not handed_over and self._owner_of(key, now) != self._me.name:
+        if (
+            not handed_over
+            and self._find_owner_name(key, now) != self._me.name
+        ):
             reason = 'this entry does not own the job'
             answer = forwarding.build_pending(key, reason, self._me.name)
             return answers.deliver((waiter,), answer)
@@ -227,8 +230,10 @@
         self, waiter_answers: list[forwarding.WaiterAnswer]
     ) -> _Effects:
         effects: _Effects = []
-        for one in waiter_answers:
-            effects += answers.deliver((one.waiter,), one.answer)
+        for waiter_answer in waiter_answers:
+            effects += answers.deliver(
+                (waiter_answer.waiter,), waiter_answer.answer
+            )
         return effects
 
     def _submit(
@@ -262,17 +267,17 @@
         move again.
         """
         others = [
-            one
-            for one in self._eligible_members(spec.key, now)
-            if one.name != self._me.name
+            member
+            for member in self._eligible_members(spec.key, now)
+            if member.name != self._me.name
         ]
         successor = ownership.find_owner(spec.key, others, self._skew)
         # A job is handed over to one successor only: a second one would have
         # no record of the tasks that the first one started, so its answer
         # "not run" could be false.
         if successor is not None and successor.name in self._entries_up:
-            first = self._handover_targets.setdefault(spec.key, successor)
-            if (first.name, first.incarnation) == (
+            target = self._handover_targets.setdefault(spec.key, successor)
+            if (target.name, target.incarnation) == (
                 successor.name,
                 successor.incarnation,
             ):
@@ -288,7 +293,9 @@
         answer = forwarding.build_pending(spec.key, reason, self._me.name)
         return answers.deliver((waiter,), answer)
 
-    def _owner_of(self, key: types.JobKey, now: float) -> types.PeerName:
+    def _find_owner_name(
+        self, key: types.JobKey, now: float
+    ) -> types.PeerName:
         """Return the owner's name; empty while the owner is unknown."""
         if not self.configuration.serving(now):
             return ''
--- a/src/agatepick/owning/forwarding.py
+++ b/src/agatepick/owning/forwarding.py
@@ -81,18 +81,21 @@
         return [WaiterAnswer(forwarded.waiter, answers.decode(message.answer))]
 
     def close_requests(self, owner: types.PeerName) -> list[WaiterAnswer]:
-        """Return pending answers for all requests of a lost owner."""
-        lost = [
+        """Remove all requests that were forwarded to a lost owner.
+
+        :returns: the answer "pending" to each of them.
+        """
+        unanswered = [
             (request, forwarded)
             for request, forwarded in self._requests.items()
             if forwarded.owner == owner
         ]
         reason = "the job's owner can't be reached"
-        for request, _ in lost:
+        for request, _ in unanswered:
             del self._requests[request]
         return [
             WaiterAnswer(
                 forwarded.waiter, build_pending(forwarded.key, reason, owner)
             )
-            for _, forwarded in lost
+            for _, forwarded in unanswered
         ]
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -80,7 +80,11 @@
     def agents(self) -> list[types.PeerName]:
         """Return the agents at which tasks may still run, each once."""
         return sorted(
-            {one.agent for one in self.tasks if one.agent and not one.answer}
+            {
+                record.agent
+                for record in self.tasks
+                if record.agent and not record.answer
+            }
         )
 
     def end_task(
@@ -204,12 +208,14 @@
 
 
 def _final_answer(job: Job) -> types.JobAnswer:
-    answers = tuple(one.answer for one in job.tasks if one.answer)
-    outcomes = {one.outcome for one in answers}
+    answers = tuple(record.answer for record in job.tasks if record.answer)
+    outcomes = {answer.outcome for answer in answers}
     if outcomes == {types.Outcome.FINISHED}:
         return types.JobAnswer(job.spec.key, types.JobStatus.COMPLETE, answers)
     first = next(
-        one for one in answers if one.outcome != types.Outcome.FINISHED
+        answer
+        for answer in answers
+        if answer.outcome != types.Outcome.FINISHED
     )
     if outcomes == {types.Outcome.NOT_RUN}:
         status, code = types.JobStatus.NOT_RUN, first.reason or CODE_NOT_RUN
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -248,7 +248,10 @@
         return []
 
     def on_agent_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Request the state of an agent's open tasks when it connects."""
+        """Request the state of an agent's open tasks when it connects.
+
+        Tasks that an earlier incarnation of it started end as unknown.
+        """
         name = hello.name
         self._agents.add(hello)
         effects: list[object] = []
@@ -448,9 +451,10 @@
                 return 0.0
             return zones.get_share(snapshot.zone(zone), now)
 
-        placed = self._dispatch.place(zone_share, now)
+        placements = self._dispatch.place(zone_share, now)
         effects: list[object] = [
-            self._start_placement(one, snapshot, now) for one in placed
+            self._start_placement(placement, snapshot, now)
+            for placement in placements
         ]
         for agent, want in self._dispatch.get_slot_requests(now):
             effects.append(core.Send(agent, messages.Ask(want)))
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -134,15 +134,17 @@
     if not listed:
         return None
     created_at = get_timestamp(key)
-    eligible = [one for one in listed if one.listed_at + skew <= created_at]
+    eligible = [
+        member for member in listed if member.listed_at + skew <= created_at
+    ]
     if not eligible:
         # The key was created in the first seconds of the cluster.  A choice
         # among all listed entries would move the key to an owner without a
         # record of it whenever another entry is listed; the set of entries
         # listed first stays the same.
-        first = min(one.listed_at for one in listed)
-        eligible = [one for one in listed if one.listed_at == first]
-    return max(eligible, key=lambda one: _hash_weight(key, one))
+        first = min(member.listed_at for member in listed)
+        eligible = [member for member in listed if member.listed_at == first]
+    return max(eligible, key=lambda member: _hash_weight(key, member))
 
 
 def _hash_weight(
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -30,10 +30,11 @@
     """Build the message for one placement and mark its tasks as started.
 
     :param start_before: time before which the tasks must start.
-    :param waiting: number of slots that the remaining queue needs.
+    :param waiting: number of queued tasks to request slots for.
     """
     tasks = [
-        _build_start_task(placement, one, all_jobs) for one in placement.tasks
+        _build_start_task(placement, pending, all_jobs)
+        for pending in placement.tasks
     ]
     return messages.Starts(
         owner=sender.name,
@@ -47,22 +48,24 @@
 
 
 def _build_start_task(
-    placement: dispatch.Placement, one: dispatch.Pending, all_jobs: jobs.Jobs
+    placement: dispatch.Placement,
+    pending: dispatch.Pending,
+    all_jobs: jobs.Jobs,
 ) -> messages.StartTask:
-    job = all_jobs.get(one.job.key)
+    job = all_jobs.get(pending.job.key)
     assert job is not None
-    record = job.tasks[one.index]
+    record = job.tasks[pending.index]
     record.agent = placement.agent
     record.incarnation = placement.incarnation
-    record.attempt = one.attempt
-    task = one.job.tasks[one.index]
+    record.attempt = pending.attempt
+    task = pending.job.tasks[pending.index]
     return messages.StartTask(
-        one.job.key,
-        one.index,
-        one.attempt,
+        pending.job.key,
+        pending.index,
+        pending.attempt,
         task.kind,
-        one.job.team,
+        pending.job.team,
         task.payload,
         task.needs,
-        one.job.deadline,
+        pending.job.deadline,
     )
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -40,9 +40,11 @@
         self._version = message.version
         self._members = message.entries
         self._removed_at = {
-            _owner(one): one.removed_at
-            for one in sorted(message.entries, key=lambda one: one.removed_at)
-            if one.removed_at
+            _owner(member): member.removed_at
+            for member in sorted(
+                message.entries, key=lambda member: member.removed_at
+            )
+            if member.removed_at
         }
         self._changed = True
         return True
@@ -62,7 +64,7 @@
 
     def listed(self) -> list[messages.Member]:
         """Return the members that are listed."""
-        return [one for one in self._members if not one.removed_at]
+        return [member for member in self._members if not member.removed_at]
 
     def is_removed(self, owner: ledger.Owner) -> bool:
         """Return whether an entry's removal is in force."""
@@ -85,7 +87,7 @@
         The messages are in the order of the removals: the last one about an
         entry arrives after all messages about its own predecessors.
         """
-        if successor not in {_owner(one) for one in self.listed()}:
+        if successor not in {_owner(member) for member in self.listed()}:
             return
         for removed in self._removed_at:
             if removed not in self._in_force:
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -86,8 +86,10 @@
             tasks = self._reported.setdefault(report.job, {})
             tasks[report.index] = ReportedTask(agent, incarnation, report)
         if message.last:
-            lost = ledger.Owner(message.owner, message.owner_incarnation)
-            self._agents_done.setdefault(lost, set()).add((agent, incarnation))
+            owner = ledger.Owner(message.owner, message.owner_incarnation)
+            self._agents_done.setdefault(owner, set()).add(
+                (agent, incarnation)
+            )
 
     def on_result(
         self, agent: types.PeerName, report: messages.TaskReport
@@ -127,10 +129,12 @@
             for one in members
             if created_at < ownership.suspect_until(one, self._skew)
         ]
-        since = [one.removed_at for one in removed]
+        wait_starts = [one.removed_at for one in removed]
         # Agents must first connect to an entry listed after the removal.
-        since += [one.listed_at for one in members if one.name == self._name]
-        if now >= max(since, default=0.0) + REPORT_WAIT_SECONDS:
+        wait_starts += [
+            one.listed_at for one in members if one.name == self._name
+        ]
+        if now >= max(wait_starts, default=0.0) + REPORT_WAIT_SECONDS:
             return True
         connected = {(one.name, one.incarnation) for one in agents.values()}
         return all(
