--- a/tests/agents.py
+++ b/tests/agents.py
@@ -58,8 +58,8 @@
         self.incarnations[name] = incarnation
         hello = messages.Hello(name, 'entry', incarnation, 'z', '', '', 0)
         effects = self.feed(core.PeerUp(hello))
-        there = self.now + ahead
-        pong = messages.Pong(self.now, there, there)
+        entry_now = self.now + ahead
+        pong = messages.Pong(self.now, entry_now, entry_now)
         return effects + self.receive(name, pong)
 
     def disconnect(self, name):
@@ -83,9 +83,15 @@
         )
         return self.receive(peer, messages.Settle(self.incarnation, refs))
 
-    def end(self, one, state=types.TaskState.FINISHED, body=b'1'):
+    def end(self, ended_task, state=types.TaskState.FINISHED, body=b'1'):
         return self.feed(
-            upstream.TaskEnded(one.job, one.index, one.attempt, state, body)
+            upstream.TaskEnded(
+                ended_task.job,
+                ended_task.index,
+                ended_task.attempt,
+                state,
+                body,
+            )
         )
 
     def tick(self, seconds=0.25):
--- a/tests/playing.py
+++ b/tests/playing.py
@@ -42,11 +42,13 @@
     tasks fail after a millisecond.  ``pace(agent)`` is a factor on run times.
     """
     results = Results()
-    events = [(one.at, i, one) for i, one in enumerate(arrivals)]
+    events = [(arrival.at, i, arrival) for i, arrival in enumerate(arrivals)]
     heapq.heapify(events)
     number = len(events)
-    seconds = {one.job.key: one.seconds for one in arrivals}
-    left = {one.job.key: len(one.job.tasks) for one in arrivals}
+    seconds = {arrival.job.key: arrival.seconds for arrival in arrivals}
+    open_tasks = {
+        arrival.job.key: len(arrival.job.tasks) for arrival in arrivals
+    }
     while events:
         now, _, event = heapq.heappop(events)
         if isinstance(event, Arrival):
@@ -56,28 +58,28 @@
             else:
                 dispatcher.enqueue(event.job, now)
         elif event is not None:
-            agent, task, ok, took = event
+            agent, task, ok, run_seconds = event
             key = task.job.key
             dispatcher.record_outcome(
-                agent, task.job, task.index, ok, took, now
+                agent, task.job, task.index, ok, run_seconds, now
             )
-            left[key] -= 1
+            open_tasks[key] -= 1
             if not ok:
                 results.failed.setdefault(agent, []).append(now)
-            if not left[key]:
+            if not open_tasks[key]:
                 results.ended[key] = now
         results.expired.update(task.job.key for task in dispatcher.expire(now))
-        for placed in dispatcher.place(lambda zone: 1.0, now):
-            for task in placed.tasks:
-                took = seconds[task.job.key][task.index]
-                took *= pace(placed.agent) if pace else 1.0
-                ok = works(placed.agent, now) if works else True
-                took = took if ok else 0.001
-                results.busy += took
-                results.starts.setdefault(placed.agent, []).append(now)
+        for placement in dispatcher.place(lambda zone: 1.0, now):
+            for task in placement.tasks:
+                run_seconds = seconds[task.job.key][task.index]
+                run_seconds *= pace(placement.agent) if pace else 1.0
+                ok = works(placement.agent, now) if works else True
+                run_seconds = run_seconds if ok else 0.001
+                results.busy += run_seconds
+                results.starts.setdefault(placement.agent, []).append(now)
                 number += 1
-                event = (placed.agent, task, ok, took)
-                heapq.heappush(events, (now + took, number, event))
+                event = (placement.agent, task, ok, run_seconds)
+                heapq.heappush(events, (now + run_seconds, number, event))
         wake = dispatcher.next_wake(now)
         if wake is not None and dispatcher.count_waiting() and not events:
             number += 1
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -100,7 +100,7 @@
     def submit(self, name, tasks, at='entry-1', timeout=10.0, kind='slot'):
         """Submit a job whose tasks run for these seconds."""
         job = types.JobSpec(
-            self._key(name),
+            self._create_key(name),
             'team',
             tuple(
                 types.TaskSpec(f't{index}', kind, json.dumps(one).encode())
@@ -123,7 +123,7 @@
             words = line.split()
             if words[4:5] == ['Starts'] and words[5] == name:
                 return words[1]
-        raise AssertionError(f'nobody owns {name}')
+        raise AssertionError(f'no entry has sent tasks of {name}')
 
     def propose(self, change, at='entry-1', based_on=None):
         """Propose a change of the configuration as an operator."""
@@ -152,7 +152,7 @@
             for one, two in itertools.permutations(sorted(pair)):
                 self._feed(one, core.PeerDown(two, 1))
 
-    def _key(self, name):
+    def _create_key(self, name):
         self._jobs[name] = len(self._jobs) + 1
         stamp = f'{int(self.now * 1000):012x}'
         number = self._jobs[name]
@@ -160,11 +160,11 @@
         self._jobs[key] = name
         return key
 
-    def _call(self, at, make, what):
+    def _call(self, at, make, description):
         number = next(self._calls)
-        self._log(f'caller > {at}: {what}')
-        self.replies[number] = what
-        self._at(0.0, lambda: self._feed(at, make(number)))
+        self._log(f'caller > {at}: {description}')
+        self.replies[number] = description
+        self._schedule(0.0, lambda: self._feed(at, make(number)))
 
     def _add_entry(self, name, zone, seed):
         me = messages.Member(name, 1, f'{name}:1', zone, 0.0)
@@ -173,21 +173,21 @@
             configuration.ConfigurationSettings(),
             dispatch.DispatchSettings(),
         )
-        made = entry.Entry.from_config(cfg, random.Random(seed))
-        self._add(Process(name, 'entry', zone, made))
+        reducer = entry.Entry.from_config(cfg, random.Random(seed))
+        self._add(Process(name, 'entry', zone, reducer))
 
     def _add_agent(self, name, zone):
         seeds = ('entry-1:1', 'entry-2:1')
-        made = agent.Agent.from_config(
+        reducer = agent.Agent.from_config(
             agent.AgentConfig(name, zone, seeds=seeds), 1
         )
-        self._add(Process(name, 'agent', zone, made))
+        self._add(Process(name, 'agent', zone, reducer))
         self._announce(name)
 
     def _announce(self, name):
         offer = upstream.Announced('s', ('slot',), 2, CAPACITY, 'url', 5.0)
         self._feed(name, offer)
-        self._at(1.0, lambda: self._announce(name))
+        self._schedule(1.0, lambda: self._announce(name))
 
     def _add(self, process):
         self.processes[process.name] = process
@@ -195,7 +195,7 @@
 
     def _tick(self, name):
         self._feed(name, core.Tick())
-        self._at(TICK, lambda: self._tick(name))
+        self._schedule(TICK, lambda: self._tick(name))
 
     def _wake(self, name, at):
         at = max(at, self.now + NETWORK)
@@ -208,9 +208,9 @@
                 del self._wakes[name]
                 self._feed(name, core.Tick())
 
-        self._at(at - self.now, tick)
+        self._schedule(at - self.now, tick)
 
-    def _at(self, seconds, step):
+    def _schedule(self, seconds, step):
         heapq.heappush(
             self._events, (self.now + seconds, next(self._order), step)
         )
@@ -220,9 +220,9 @@
         if not process.alive:
             return
         for effect in process.reducer.reduce(event, self.now):
-            self._carry_out(process, effect)
+            self._execute_effect(process, effect)
 
-    def _carry_out(self, process, effect):
+    def _execute_effect(self, process, effect):
         name = process.name
         match effect:
             case core.Send(peer, message):
@@ -232,7 +232,7 @@
                 address,
             ) not in self._dials:
                 self._dials.add((name, address))
-                self._at(0.0, lambda: self._dial(name, address))
+                self._schedule(0.0, lambda: self._dial(name, address))
             case core.Note(event, fields):
                 text = ' '.join(f'{key}={val}' for key, val in fields)
                 self._log(f'{name}: {event} {self._replace_keys(text)}')
@@ -241,7 +241,7 @@
             case calls.Reply(number, answer):
                 self._reply(name, number, answer)
             case store.CallStore():
-                self._store(name, effect)
+                self._call_store(name, effect)
             case upstream.RunTask():
                 self._start(name, effect)
             case upstream.StopTask():
@@ -257,7 +257,7 @@
             self._connect(pair)
         elif not self.processes[peer].alive:
             self._feed(name, core.PeerDown(peer, 0, True))
-        self._at(REDIAL, lambda: self._dial(name, address))
+        self._schedule(REDIAL, lambda: self._dial(name, address))
 
     def _connect(self, pair):
         self._connected.add(pair)
@@ -279,7 +279,7 @@
                 received = core.Received(name, messages.decode(data))
                 self._feed(peer, received)
 
-        self._at(NETWORK, arrive)
+        self._schedule(NETWORK, arrive)
 
     def _start(self, name, effect):
         seconds = json.loads(effect.payload)
@@ -298,9 +298,9 @@
             '',
             seconds,
         )
-        self._at(seconds, lambda: self._feed(name, ended))
+        self._schedule(seconds, lambda: self._feed(name, ended))
 
-    def _store(self, name, call):
+    def _call_store(self, name, call):
         def execute():
             try:
                 answer = self.table.execute(call.request)
@@ -308,30 +308,32 @@
                 answer = exc
             self._feed(name, store.StoreAnswered(call.id, answer))
 
-        self._at(WRITE, execute)
+        self._schedule(WRITE, execute)
 
     def _reply(self, name, number, answer):
-        what = self.replies[number]
+        description = self.replies[number]
         if isinstance(answer, types.JobAnswer):
             self.answers.append(answer)
         if isinstance(answer, cluster.Proposed):
-            self.verdicts.append((what, answer))
+            self.verdicts.append((description, answer))
             text = f'{answer.verdict}, version {answer.version}'
             if answer.verdict == 'accepted':
-                text += f', in force at {self._time(answer.in_force_at)}'
+                text += (
+                    f', in force at {self._format_time(answer.in_force_at)}'
+                )
         else:
             text = ' '.join(
                 [answer.status.value, answer.code]
                 + [f'{one.id}={one.outcome.value}' for one in answer.tasks]
             )
-        self._log(f'{name} > caller: {what}: {text}')
+        self._log(f'{name} > caller: {description}: {text}')
 
     def _describe(self, message):
         kind = type(message).__name__
         match message:
             case messages.Starts():
                 tasks = self._describe_tasks(message.tasks)
-                before = self._time(message.start_before)
+                before = self._format_time(message.start_before)
                 return f'{kind} {tasks} before {before}'
             case messages.Results():
                 tasks = ' '.join(
@@ -369,7 +371,7 @@
                 text = text.replace(key, name)
         return text
 
-    def _time(self, instant):
+    def _format_time(self, instant):
         return f'{instant - self._started_at:.3f}'
 
     def _log(self, text):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,9 +13,9 @@
 
 def test_a_task_runs_and_its_result_goes_to_its_owner():
     harness = agents.make_ready_agent()
-    one = agents.task(KEY)
-    assert agents.list_started_tasks(harness.start('e', one)) == [(KEY, 0)]
-    (results,) = agents.sent(harness.end(one, body=b'[2]'), messages.Results)
+    task = agents.task(KEY)
+    assert agents.list_started_tasks(harness.start('e', task)) == [(KEY, 0)]
+    (results,) = agents.sent(harness.end(task, body=b'[2]'), messages.Results)
     (report,) = results.reports
     assert (report.state, report.body) == ('finished', b'[2]')
     assert results.credits == 8
@@ -28,13 +28,13 @@
     twice.
     """
     harness = agents.make_ready_agent()
-    one = agents.task(KEY)
-    harness.start('e', one)
-    effects = harness.start('e', one)
+    task = agents.task(KEY)
+    harness.start('e', task)
+    effects = harness.start('e', task)
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('running', '')}
-    harness.end(one)
-    effects = harness.start('e', one)
+    harness.end(task)
+    effects = harness.start('e', task)
     assert agents.list_started_tasks(effects) == []
     assert agents.reports(effects) == {0: ('finished', '')}
 
@@ -66,16 +66,16 @@
     as the owner has placed it elsewhere meanwhile.
     """
     harness = agents.make_ready_agent()
-    there, lost = agents.task(KEY, 0), agents.task(KEY, 1)
-    harness.start('e', there)
+    started, not_arrived = agents.task(KEY, 0), agents.task(KEY, 1)
+    harness.start('e', started)
     harness.disconnect('e')
-    harness.end(there)
+    harness.end(started)
     harness.connect('e')
-    assert agents.reports(harness.settle('e', there, lost)) == {
+    assert agents.reports(harness.settle('e', started, not_arrived)) == {
         0: ('finished', ''),
         1: ('refused', 'settled'),
     }
-    assert agents.list_started_tasks(harness.start('e', lost)) == []
+    assert agents.list_started_tasks(harness.start('e', not_arrived)) == []
 
 
 @pytest.mark.parametrize(
@@ -99,8 +99,8 @@
     harness.feed(agents.announced())
     harness.connect('e', ahead=ahead)
     effects = harness.start('e', agents.task(KEY), before=before)
-    found = agents.reports(effects)
-    assert found == ({0: ('refused', reason)} if reason else {})
+    reports = agents.reports(effects)
+    assert reports == ({0: ('refused', reason)} if reason else {})
     assert len(agents.list_started_tasks(effects)) == (not reason)
 
 
@@ -145,9 +145,9 @@
     harness.start('e', *tasks)
     first = harness.end(tasks[0])
     assert agents.reports(first) == {0: ('finished', '')}
-    held = harness.end(tasks[1]) + harness.end(tasks[2])
-    assert agents.reports(held) == {}
-    assert core.WakeAt(harness.now + 0.002) in held
+    delayed = harness.end(tasks[1]) + harness.end(tasks[2])
+    assert agents.reports(delayed) == {}
+    assert core.WakeAt(harness.now + 0.002) in delayed
     harness.now += 0.002
     (results,) = agents.sent(harness.feed(core.Tick()), messages.Results)
     assert [one.index for one in results.reports] == [1, 2]
@@ -159,29 +159,29 @@
 def test_an_upstream_that_stops_renewing_loses_its_tasks_for_good():
     """A worker dies while it runs tasks, or is paused for long.
 
-    The caller is told that their outcome is unknown.  They aren't run again,
+    The caller receives the outcome "unknown".  The tasks aren't run again,
     and the slots of tasks that may still run aren't used for others.
     """
     harness = agents.AgentHarness()
     harness.feed(agents.announced(slots=2, term=5.0))
     harness.connect('e')
-    one = agents.task(KEY)
-    harness.start('e', one)
+    task = agents.task(KEY)
+    harness.start('e', task)
     effects = harness.tick(5.0)
     assert agents.reports(effects) == {0: ('lost', 'upstream_lapsed')}
     assert agents.sent(effects, messages.Offer)[-1].credits == 1
     harness.feed(agents.announced(slots=2, term=5.0))
     more = [agents.task(agents.key(1), index) for index in range(2)]
     assert len(agents.list_started_tasks(harness.start('e', *more))) == 1
-    assert agents.reports(harness.end(one)) == {}
-    assert agents.reports(harness.settle('e', one))[0][0] == 'lost'
+    assert agents.reports(harness.end(task)) == {}
+    assert agents.reports(harness.settle('e', task))[0][0] == 'lost'
 
 
 def test_an_agent_that_was_paused_gives_its_upstream_time_to_renew():
-    """The agent's machine is paused while the upstream renews its lease.
+    """The agent is paused while the upstream renews its announcement.
 
-    The renewals wait in a socket.  If the lease expired at once, all running
-    tasks would end as unknown although they run and finish.
+    The renewals wait in a socket.  If the announcement expired at once, all
+    running tasks would end as unknown although they run and finish.
     """
     harness = agents.AgentHarness()
     harness.feed(agents.announced(term=5.0))
@@ -198,17 +198,17 @@
 def test_a_new_session_of_the_upstream_loses_the_tasks_of_the_old_one():
     """A worker's process is restarted and announces itself at once.
 
-    The tasks of the earlier process will have no answer.  The caller is told
-    that they are lost.
+    The tasks of the earlier process will have no answer, so they are reported
+    as lost.
     """
     harness = agents.make_ready_agent(slots=1)
-    one = agents.task(KEY)
-    harness.start('e', one)
+    first = agents.task(KEY)
+    harness.start('e', first)
     effects = harness.feed(agents.announced('other', slots=1))
     assert agents.reports(effects) == {0: ('lost', 'upstream_restarted')}
     second = agents.task(KEY, 1)
     assert agents.list_started_tasks(harness.start('e', second)) == [(KEY, 1)]
-    assert agents.reports(harness.end(one)) == {}
+    assert agents.reports(harness.end(first)) == {}
 
 
 def test_a_leaving_upstream_gets_no_new_task_and_ends_its_running_ones():
@@ -218,13 +218,13 @@
     would never be idle.
     """
     harness = agents.make_ready_agent()
-    one = agents.task(KEY)
-    harness.start('e', one)
+    task = agents.task(KEY)
+    harness.start('e', task)
     effects = harness.feed(upstream.UpstreamLeft('s'))
     assert agents.sent(effects, messages.Offer)[-1].leaving
     effects = harness.start('e', agents.task(KEY, 1))
     assert agents.reports(effects) == {1: ('refused', 'leaving')}
-    assert agents.reports(harness.end(one)) == {0: ('finished', '')}
+    assert agents.reports(harness.end(task)) == {0: ('finished', '')}
 
 
 def test_a_stopping_agent_delivers_its_results_before_it_exits():
@@ -234,13 +234,13 @@
     lost and the task would end as unknown.
     """
     harness = agents.make_ready_agent()
-    one = agents.task(KEY)
-    harness.start('e', one)
+    task = agents.task(KEY)
+    harness.start('e', task)
     assert agents.sent(harness.feed(core.StopRequested()), messages.Offer)
     harness.disconnect('e')
-    assert core.Exit() not in harness.end(one) + harness.tick(1.0)
+    assert core.Exit() not in harness.end(task) + harness.tick(1.0)
     harness.connect('e')
-    effects = harness.settle('e', one)
+    effects = harness.settle('e', task)
     assert agents.reports(effects) == {0: ('finished', '')}
     assert effects[-1] == core.Exit()
     assert isinstance(effects[-2].message, messages.Goodbye)
@@ -272,19 +272,19 @@
     before the removal is in force could miss tasks that start later.
     """
     harness = agents.make_ready_agent('a', 'b')
-    done, runs = agents.task(KEY, 0), agents.task(KEY, 1)
-    harness.start('a', done, runs)
-    harness.end(done)
+    ended, running = agents.task(KEY, 0), agents.task(KEY, 1)
+    harness.start('a', ended, running)
+    harness.end(ended)
     harness.disconnect('a')
-    gone = agents.member('a', removed_at=agents.NOW + 3)
-    members = messages.Members(2, (gone, agents.member('b')))
+    removed = agents.member('a', removed_at=agents.NOW + 3)
+    members = messages.Members(2, (removed, agents.member('b')))
     effects = harness.receive('b', members) + harness.tick(2.0)
     assert agents.sent(effects, messages.Orphans) == []
     first, last = agents.sent(harness.tick(1.0), messages.Orphans, 'b')
     states = {one.index: one.state for one in first.reports}
     assert states == {0: 'finished', 1: 'running'}
     assert (first.owner, last.owner, last.last) == ('a', 'a', True)
-    assert agents.reports(harness.end(runs), 'b') == {1: ('finished', '')}
+    assert agents.reports(harness.end(running), 'b') == {1: ('finished', '')}
     effects = harness.connect('a')
     assert agents.sent(effects, messages.Offer) == []
     effects = harness.start('a', agents.task(KEY, 2))
@@ -301,8 +301,8 @@
         core.Dial('a', 'a:1'),
         core.Dial('b', 'b:1'),
     ]
-    gone = agents.member('b', removed_at=agents.NOW)
-    members = (agents.member('a'), gone)
+    removed = agents.member('b', removed_at=agents.NOW)
+    members = (agents.member('a'), removed)
     effects = harness.receive('a', messages.Members(2, members))
     assert core.Hangup('b') in effects
     assert harness.receive('a', messages.Members(1, members)) == []
@@ -314,10 +314,10 @@
     Each task sent to it until then would be lost, while it seems idle.
     """
     harness = agents.make_ready_agent()
-    one = agents.task(KEY)
-    harness.start('e', one)
+    task = agents.task(KEY)
+    harness.start('e', task)
     harness.feed(upstream.UpstreamGone('s'))
-    effects = harness.end(one, types.TaskState.LOST)
+    effects = harness.end(task, types.TaskState.LOST)
     assert agents.reports(effects)[0][0] == 'lost'
     effects = harness.start('e', agents.task(KEY, 1))
     assert agents.reports(effects) == {1: ('refused', 'no_upstream')}
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -37,15 +37,15 @@
         for method, body in calls:
             if not isinstance(body, bytes):
                 body = json.dumps(body).encode()
-            found = await client.fetch(
+            response = await client.fetch(
                 f'http://127.0.0.1:{port}/v1/upstream',
                 method=method,
                 body=body,
                 raise_error=False,
                 allow_nonstandard_methods=True,
             )
-            data = json.loads(found.body) if found.body else None
-            answers.append((found.code, data))
+            data = json.loads(response.body) if response.body else None
+            answers.append((response.code, data))
         client.close()
         server.stop()
         await server.close_all_connections()
@@ -121,10 +121,10 @@
         max_size=20,
     )
 )
-def test_any_body_gets_an_answer_and_the_next_good_one_is_taken(bodies):
-    """Something else talks to the agent's port, with bytes of any kind.
+def test_any_body_gets_an_answer_and_the_next_valid_one_is_accepted(bodies):
+    """Another program sends arbitrary bytes to the agent's port.
 
-    If one of them stopped the server, the upstream could not renew and all
+    If one request stopped the server, the upstream could not renew and all
     its tasks would be lost.
     """
     answers, events = call(*bodies, ('PUT', GOOD))
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class LastStart:
     """The agent and attempt of the owner's last start of a task."""
 
     name: str
@@ -103,7 +103,7 @@
         self.started = set()
         self.refused = set()
         self.finished = set()
-        self.sent = dict.fromkeys(range(TASKS))
+        self.last_starts = dict.fromkeys(range(TASKS))
         self.attempts = collections.Counter()
         self.answers = {}
         self.workers = [Worker(self, 'x'), Worker(self, 'y')]
@@ -129,46 +129,51 @@
 
     def handle_offer(self, worker, incarnation):
         """End the tasks of earlier incarnations of an agent as lost."""
-        for index, sent in self.sent.items():
-            if sent is None or sent.name != worker.name:
+        for index, last_start in self.last_starts.items():
+            if last_start is None or last_start.name != worker.name:
                 continue
-            if sent.incarnation < incarnation:
+            if last_start.incarnation < incarnation:
                 self.answers.setdefault(index, 'lost')
 
     def handle_report(self, worker, incarnation, report):
-        found = Sent(worker.name, incarnation, report.attempt)
+        reported = LastStart(worker.name, incarnation, report.attempt)
         if report.state == 'refused':
             self.refused.add((report.index, report.attempt))
-        if self.sent[report.index] != found or report.index in self.answers:
+        if (
+            self.last_starts[report.index] != reported
+            or report.index in self.answers
+        ):
             return
         if report.state == 'refused':
-            self.sent[report.index] = None
+            self.last_starts[report.index] = None
         elif report.state in ENDED:
             self.answers[report.index] = report.state
 
     def start(self, worker, index):
-        if self.sent[index] is not None or index in self.answers:
+        if self.last_starts[index] is not None or index in self.answers:
             return
         self.attempts[index] += 1
-        sent = Sent(worker.name, worker.incarnation, self.attempts[index])
-        self.sent[index] = sent
+        last_start = LastStart(
+            worker.name, worker.incarnation, self.attempts[index]
+        )
+        self.last_starts[index] = last_start
         starts = messages.Starts(
             OWNER,
             1,
-            sent.incarnation,
+            last_start.incarnation,
             1,
             self.now + 3,
             0,
-            (agents.task(JOB, index, sent.attempt),),
+            (agents.task(JOB, index, last_start.attempt),),
         )
         self.post('agent', worker, starts)
 
     def settle(self, worker):
         refs = tuple(
-            messages.TaskRef(JOB, index, sent.attempt)
-            for index, sent in self.sent.items()
-            if sent is not None
-            and (sent.name, sent.incarnation)
+            messages.TaskRef(JOB, index, last_start.attempt)
+            for index, last_start in self.last_starts.items()
+            if last_start is not None
+            and (last_start.name, last_start.incarnation)
             == (worker.name, worker.incarnation)
             and index not in self.answers
         )
@@ -217,7 +222,7 @@
 MOVES = 200
 
 
-def history(seed):
+def draw_moves(seed):
     """Return moves drawn one by one; drawn lists are short and uniform."""
     rng = random.Random(seed)
     kinds = [*COMMON * 4, *RARE]
@@ -227,12 +232,12 @@
     ]
 
 
-histories = st.integers(0, 2**32 - 1).map(history)
+histories = st.integers(0, 2**32 - 1).map(draw_moves)
 
 
-def play(drawn):
+def play(moves):
     world = World()
-    for move, which, number in drawn:
+    for move, which, number in moves:
         world.act(move, which, number)
         world.check()
     return world
@@ -240,13 +245,14 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(histories)
-def test_no_task_starts_twice_and_no_refusal_is_false(drawn):
+def test_no_task_starts_twice_and_no_refusal_is_false(moves):
     """Messages are lost, copied, late and out of order while parts fail.
 
     Agents and workers restart and pause at any point.  A caller must never
-    find a quote filed twice, nor be told "not run" of one that was filed.
+    find a quote filed twice, nor get the answer "not run" for a quote that
+    was filed.
     """
-    play(drawn)
+    play(moves)
 
 
 def forget_refusals(monkeypatch):
@@ -297,9 +303,9 @@
     """
     broken(monkeypatch)
 
-    def fails(drawn):
+    def fails(moves):
         try:
-            play(drawn)
+            play(moves)
         except AssertionError:
             return True
         return False
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -12,11 +12,11 @@
 
 def test_four_instants_give_the_offset_and_bound_its_error():
     """The ping takes 10 ms, the pong 30 ms; the peer is 2 s ahead."""
-    found = clocks.compute_offset(100.0, 102.01, 102.02, 100.05)
-    assert abs(found.seconds - 1.99) < 1e-9
-    assert abs(found.error - 0.02) < 1e-9
-    assert abs(found.seconds - 2.0) <= found.error
-    assert not found.within(1.0) and found.within(2.1)
+    offset = clocks.compute_offset(100.0, 102.01, 102.02, 100.05)
+    assert abs(offset.seconds - 1.99) < 1e-9
+    assert abs(offset.error - 0.02) < 1e-9
+    assert abs(offset.seconds - 2.0) <= offset.error
+    assert not offset.within(1.0) and offset.within(2.1)
 
 
 def test_an_offset_is_unknown_until_sampled_and_old_samples_expire():
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -98,13 +98,13 @@
     """Check that accepted changes are in the store and refused ones aren't."""
     rows = world.rows()
     for number, name, change in requests:
-        found = world.proposed.get(number)
-        if found is None or found.verdict == 'unknown':
+        outcome = world.proposed.get(number)
+        if outcome is None or outcome.verdict == 'unknown':
             continue
-        if found.verdict == 'accepted':
-            changed = [row.change for row in rows[: found.version]]
+        if outcome.verdict == 'accepted':
+            changed = [row.change for row in rows[: outcome.version]]
             assert change in changed or _is_in_effect(
-                change, rows, found.version
+                change, rows, outcome.version
             )
         elif isinstance(change, cluster.QuotaSet):
             assert change not in [row.change for row in rows]
@@ -127,20 +127,20 @@
 def test_one_configuration_is_in_force_whatever_happens(steps, offsets, seed):
     """Entries, network and store fail in any order and at once.
 
-    If a promise broke, a zone that operators took out would get tasks, or
-    one half of the entries would follow another preset than the other.
+    If an invariant failed, a zone that operators took out would get tasks, or
+    one half of the entries would use another preset than the other half.
     """
     world = virtual_cluster.Cluster(seed=seed, offsets=offsets)
     run(world, 8.0)
-    asked = []
+    requests = []
     for action, seconds in steps:
-        done = act(world, action)
-        if done is not None:
-            asked.append(done)
+        request = act(world, action)
+        if request is not None:
+            requests.append(request)
         run(world, seconds)
     recover(world)
     world.check_permits()
-    check_verdicts(world, asked)
+    check_verdicts(world, requests)
     versions = {node.conf.version for node in world.nodes.values()}
     assert versions == {len(world.rows())}
     assert world.leases() == list('xyz')
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -16,8 +16,8 @@
     return f'{text[:8]}-{text[8:]}-7{seed % 4096:03x}-8000-{seed:012x}'
 
 
-def owner(key, known):
-    members = known.exclude_dead(key, MEMBERS)
+def owner(key, dead_entries):
+    members = dead_entries.exclude_dead(key, MEMBERS)
     return ownership.find_owner(key, members, SKEW)
 
 
@@ -29,50 +29,52 @@
     st.sets(st.sampled_from(NAMES), max_size=2),
     st.data(),
 )
-def test_no_two_live_entries_take_a_key_whatever_deaths_each_knows(
-    seed, minted, died, dead, data
+def test_no_two_live_entries_own_a_key_whatever_deaths_each_detected(
+    seed, stamp_shift, death_shift, dead, data
 ):
-    """Entries are killed and the others notice at different moments.
+    """Entries are killed and the others detect it at different times.
 
-    If two of those left both took a key, its tasks would run twice.
+    If two of the survivors both accepted a key, its tasks would run twice.
     """
-    key = key_at(NOW + minted, seed)
-    takers = []
+    key = key_at(NOW + stamp_shift, seed)
+    owners = []
     for name in sorted(set(NAMES) - dead):
-        known = deaths.DeadEntries(SKEW)
-        noticed = sorted(dead)
-        if noticed:
-            noticed = data.draw(st.lists(st.sampled_from(noticed)))
-        for one in noticed:
-            member = MEMBERS[NAMES.index(one)]
-            known.record_death(member, NOW + died)
-        if owner(key, known).name == name:
-            takers.append(name)
-    assert len(takers) <= 1
-
-
-def test_a_key_minted_after_its_owner_died_has_another_owner_at_once():
+        dead_entries = deaths.DeadEntries(SKEW)
+        detected = sorted(dead)
+        if detected:
+            detected = data.draw(st.lists(st.sampled_from(detected)))
+        for dead_name in detected:
+            member = MEMBERS[NAMES.index(dead_name)]
+            dead_entries.record_death(member, NOW + death_shift)
+        if owner(key, dead_entries).name == name:
+            owners.append(name)
+    assert len(owners) <= 1
+
+
+def test_a_key_stamped_after_its_owner_died_has_another_owner_at_once():
     """An entry is killed while the store is down, so it stays listed.
 
     New jobs must not have to wait until the store is available again.
     """
-    known = deaths.DeadEntries(SKEW)
-    known.record_death(MEMBERS[0], NOW)
+    dead_entries = deaths.DeadEntries(SKEW)
+    dead_entries.record_death(MEMBERS[0], NOW)
     late = NOW + SKEW + deaths.DEATH_MARGIN_SECONDS + 0.1
-    owners = {owner(key_at(late, seed), known).name for seed in range(50)}
+    owners = {
+        owner(key_at(late, seed), dead_entries).name for seed in range(50)
+    }
     assert owners == {'b', 'c'}
-    early = {owner(key_at(NOW, seed), known).name for seed in range(50)}
+    early = {owner(key_at(NOW, seed), dead_entries).name for seed in range(50)}
     assert early == {'a', 'b', 'c'}
 
 
-def test_keys_minted_between_death_and_removal_need_no_takeover():
+def test_keys_stamped_between_death_and_removal_need_no_takeover():
     """An entry died and was removed ten seconds later.
 
     Jobs that others accepted in between must not fail as if the dead entry
     might have started them.
     """
-    known = deaths.DeadEntries(SKEW)
-    known.record_death(MEMBERS[0], NOW)
+    dead_entries = deaths.DeadEntries(SKEW)
+    dead_entries.record_death(MEMBERS[0], NOW)
     removed = messages.Member('a', 1, '', 'z', NOW - 100, NOW + 10)
     members = (removed, *MEMBERS[1:])
     seeds = [
@@ -85,10 +87,10 @@
     assert seeds
     for seed in seeds:
         key = key_at(NOW + 5, seed)
-        suspects = known.exclude_dead(key, members)
+        suspects = dead_entries.exclude_dead(key, members)
         assert not ownership.may_have_been_started(key, suspects, SKEW)
     early = key_at(NOW - 1, seeds[0])
-    assert known.exclude_dead(early, members) == members
+    assert dead_entries.exclude_dead(early, members) == members
 
 
 def test_a_lost_successor_of_a_dead_entry_is_taken_over_from():
@@ -97,17 +99,17 @@
     The second is removed while the first is still listed.  Unless the third
     entry takes the second's jobs over, it runs their tasks a second time.
     """
-    known = deaths.DeadEntries(SKEW)
-    known.record_death(MEMBERS[0], NOW)
+    dead_entries = deaths.DeadEntries(SKEW)
+    dead_entries.record_death(MEMBERS[0], NOW)
     removed = messages.Member('b', 1, '', 'z', NOW - 100, NOW + 20)
     members = (MEMBERS[0], removed, MEMBERS[2])
     served_by_b = [
         key
         for key in (key_at(NOW + 10, seed) for seed in range(50))
-        if owner(key, known).name == 'b'
+        if owner(key, dead_entries).name == 'b'
     ]
     assert served_by_b
     for key in served_by_b:
-        suspects = known.exclude_dead(key, members)
+        suspects = dead_entries.exclude_dead(key, members)
         assert ownership.find_owner(key, suspects, SKEW).name == 'c'
         assert ownership.may_have_been_started(key, suspects, SKEW)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -84,14 +84,14 @@
     )
 )
 def test_bytes_at_the_http_port_start_no_job(data):
-    """Something that isn't a caller talks to the port.
+    """A client that isn't a caller sends arbitrary bytes to the port.
 
-    No job is started and the next caller is served.
+    No job is started, and the next caller gets an answer.
     """
-    asyncio.run(_http_scenario(data))
+    asyncio.run(_check_http_port(data))
 
 
-async def _http_scenario(data):
+async def _check_http_port(data):
     site = conftest.start_site(conftest.fail_on_event)
     try:
         _, writer = await asyncio.open_connection('127.0.0.1', site.port)
@@ -111,27 +111,27 @@
 
 @FEW_EXAMPLES
 @hypothesis.given(FRAMES, strategies.booleans())
-def test_bytes_at_the_peers_port_are_no_messages(data, greets):
-    """Something that is no agatepick process connects to the peers' port.
+def test_bytes_at_the_peers_port_are_no_messages(data, sends_hello):
+    """A process other than agatepick's connects to the peers' port.
 
-    The reducer sees nothing of it but a peer that came and went, and a true
-    peer is served.
+    The reducer receives no message from it, at most the events of a peer that
+    connects and disconnects, and the messages of a real peer arrive.
     """
-    asyncio.run(_peers_scenario(data, greets))
+    asyncio.run(_check_peers_port(data, sends_hello))
 
 
-async def _peers_scenario(data, greets):
+async def _check_peers_port(data, sends_hello):
     events = []
     hello = messages.Hello('entry-1', 'entry', 1, 'z', 'r', '', 0)
-    served = links.Links(
+    server_links = links.Links(
         lambda: hello, events.append, conftest.FixedClock(), random.Random(1)
     )
     sockets = conftest.bind_free_port()
-    served.add_sockets(sockets)
+    server_links.add_sockets(sockets)
     port = sockets[0].getsockname()[1]
     try:
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
-        if greets:
+        if sends_hello:
             writer.write(
                 _frame(messages.Hello('x', 'agent', 1, '', '', '', 0))
             )
@@ -142,12 +142,12 @@
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(_frame(messages.Hello('good', 'agent', 2, '', '', '', 0)))
         writer.write(_frame(messages.Ask(3)))
-        wanted = core.Received('good', messages.Ask(3))
-        while wanted not in events:
+        expected = core.Received('good', messages.Ask(3))
+        while expected not in events:
             await asyncio.sleep(0.001)
         writer.close()
     finally:
-        served.end()
+        server_links.end()
     from_x = [
         event
         for event in events
--- a/tests/test_httpupstream.py
+++ b/tests/test_httpupstream.py
@@ -41,9 +41,9 @@
         kind = upstream.TaskEnded
         async with asyncio.timeout(10):
             while True:
-                found = [one for one in self.events if isinstance(one, kind)]
-                if len(found) >= count:
-                    return [(one.state.value, one.reason) for one in found]
+                ended = [one for one in self.events if isinstance(one, kind)]
+                if len(ended) >= count:
+                    return [(one.state.value, one.reason) for one in ended]
                 await self.events.until(len(self.events) + 1)
 
 
@@ -63,7 +63,7 @@
     asyncio.run(main())
 
 
-def test_it_announces_runs_and_leaves_over_http():
+def test_a_worker_announces_itself_runs_tasks_and_leaves_over_http():
     async def scenario(pair):
         assert pair.events[0].url == pair.worker.announced.url
         pair.upstream.run(pair.task())
@@ -92,7 +92,7 @@
     play(scenario)
 
 
-def test_a_worker_that_dies_in_the_middle_leaves_its_tasks_unknown():
+def test_a_worker_that_dies_during_tasks_leaves_its_tasks_unknown():
     """A worker's process is killed while it runs a task.
 
     The task may have taken effect.  If it were reported as failed or sent
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -23,21 +23,21 @@
 def test_only_a_job_whose_tasks_all_finished_is_complete():
     all_jobs = jobs.Jobs(WINDOW)
     outcomes = types.Outcome
-    for one, status in (
+    for outcome, status in (
         (outcomes.FINISHED, types.JobStatus.COMPLETE),
         (outcomes.FAILED, types.JobStatus.FAILED),
         (outcomes.UNKNOWN, types.JobStatus.FAILED),
         (outcomes.NOT_RUN, types.JobStatus.FAILED),
     ):
-        job = all_jobs.add(spec(one, 2), NOW)
+        job = all_jobs.add(spec(outcome, 2), NOW)
         job.end_task(0, outcomes.FINISHED)
         assert all_jobs.settle(job, NOW) is None
-        job.end_task(1, one)
+        job.end_task(1, outcome)
         settled = all_jobs.settle(job, NOW)
         assert settled.answer.status is status
         assert [answer.outcome for answer in settled.answer.tasks] == [
             outcomes.FINISHED,
-            one,
+            outcome,
         ]
 
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -82,7 +82,7 @@
         messages.decode(DECLARES_A_MILLION_ITEMS)
 
 
-def damaged(seed):
+def make_damaged(seed):
     rng = random.Random(seed)
     data = bytearray(messages.encode(rng.choice(SAMPLES)))
     for _ in range(rng.choice([1, 2, 5])):
@@ -90,24 +90,24 @@
     return bytes(data[: rng.choice([len(data), rng.randrange(len(data))])])
 
 
-def items(value):
+def count_values(value):
     """Return the number of values in a message, including its lists."""
     if isinstance(value, tuple):
-        return len(value) + sum(map(items, value))
+        return len(value) + sum(map(count_values, value))
     if dataclasses.is_dataclass(value):
         names = value.__dataclass_fields__
-        return sum(items(getattr(value, name)) for name in names)
+        return sum(count_values(getattr(value, name)) for name in names)
     return 1
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
 @hypothesis.given(st.integers(0, 2**32 - 1))
-def test_damaged_messages_are_refused_or_hold_no_more_than_they_are(seed):
+def test_damaged_messages_are_refused_or_decode_to_a_bounded_size(seed):
     """A peer of another version, or a broken one, sends any bytes."""
     for number in range(100):
-        data = damaged(seed + number)
+        data = make_damaged(seed + number)
         try:
-            found = messages.decode(data)
+            message = messages.decode(data)
         except exceptions.BadMessage:
             continue
-        assert items(found) < 10 * len(data) + 1000
+        assert count_values(message) < 10 * len(data) + 1000
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -114,8 +114,8 @@
     assert sent.tasks[0].attempt == 0
     effects = job_owner.on_results('a', report('refused'), NOW + 0.1)
     assert not replies(effects)
-    (again,) = starts(effects + job_owner.advance(NOW + 1.5))
-    assert again.tasks[0].attempt == 1
+    (retry,) = starts(effects + job_owner.advance(NOW + 1.5))
+    assert retry.tasks[0].attempt == 1
 
 
 def test_a_report_of_an_older_attempt_changes_nothing(job_owner):
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -65,10 +65,12 @@
     lost = member('a', NOW - 60, NOW)
     stopped = dataclasses.replace(lost, stopped_at=NOW - 3)
     keys = [key_at(NOW, seed) for seed in range(50)]
-    for gone, suspects in ((lost, True), (stopped, False)):
-        members = (gone, member('b', NOW - 60))
-        found = [ownership.may_have_been_started(key, members) for key in keys]
-        assert any(found) is suspects
+    for removed, suspects in ((lost, True), (stopped, False)):
+        members = (removed, member('b', NOW - 60))
+        results = [
+            ownership.may_have_been_started(key, members) for key in keys
+        ]
+        assert any(results) is suspects
     before = [key_at(NOW - 2, seed) for seed in range(50)]
     members = (stopped, member('b', NOW - 60))
     assert any(ownership.may_have_been_started(key, members) for key in before)
@@ -85,33 +87,33 @@
     members_drawn, times, st.floats(-2, 20), st.integers(0, 4095)
 )
 def test_a_key_changes_owner_only_by_removal_which_marks_it_maybe_started(
-    drawn, first, stamped_later, seed
+    times_of_members, first_submitted_at, stamp_delay, seed
 ):
     """Entries come and go while a caller submits a key again and again.
 
-    If the key had another owner that didn't know of the first one's starts,
+    If the key got another owner, without a record of the first one's starts,
     its tasks would run twice.
     """
     members = [
         member(str(index), listed, removed and max(removed, listed + 0.1))
-        for index, (listed, removed) in enumerate(drawn)
+        for index, (listed, removed) in enumerate(times_of_members)
     ]
-    key = key_at(first + stamped_later, seed)
-    before = None
+    key = key_at(first_submitted_at + stamp_delay, seed)
+    first_owner = None
     for step in range(0, 230, 3):
         now = NOW + step / 10
         if ownership.check(key, now):
             continue
-        seen = tuple(
-            one
-            if one.removed_at and one.removed_at <= now
-            else dataclasses.replace(one, removed_at=0.0)
-            for one in members
-            if one.listed_at <= now
+        current = tuple(
+            entry
+            if entry.removed_at and entry.removed_at <= now
+            else dataclasses.replace(entry, removed_at=0.0)
+            for entry in members
+            if entry.listed_at <= now
         )
-        found = ownership.find_owner(key, seen)
-        if found is None:
+        owner = ownership.find_owner(key, current)
+        if owner is None:
             continue
-        if before is not None and found.name != before:
-            assert ownership.may_have_been_started(key, seen)
-        before = before or found.name
+        if first_owner is not None and owner.name != first_owner:
+            assert ownership.may_have_been_started(key, current)
+        first_owner = first_owner or owner.name
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -47,7 +47,7 @@
     assert grant.mark_dead(92.76, RULES).until(RULES) == 92.75
 
 
-def test_the_intent_of_a_dead_peer_is_unsettled():
+def test_the_intent_of_a_dead_peer_is_uncertain():
     """A writer dies after its peers acknowledged its intent."""
     change = uncertain_change(cluster.PresetUse('peak'))
     grant = readlease.PeerGrant(5, 99.0, intent=change)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -174,13 +174,13 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=30)
 @hypothesis.given(STEPS)
-def test_promises_hold_whatever_happens_and_in_whatever_order(steps):
-    """Processes die, connections break, zones go and callers ask again.
+def test_invariants_hold_for_any_faults_in_any_order(steps):
+    """Processes die, connections break, zones go out and callers submit again.
 
-    No task starts twice or in a zone that is out, no "not run" is false,
-    and every job that is asked for again in the end has a final answer.  Its
-    answers agree, but for a job whose owner and agent both died since: what
-    only they knew is unknown then, and the job is marked failed.
+    No task starts twice or in a zone that is out, no "not run" is false, and
+    every job that is submitted again in the end gets a final answer.  Its
+    answers agree, unless an entry and an agent both died: outcomes that only
+    they had recorded are unknown then, and the job fails.
     """
     player = Player()
     for kind, what in steps:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -7,21 +7,21 @@
 A, B, C = (ledger.Owner(name, 1) for name in 'abc')
 
 
-def leased(*owners, total=8):
-    found = slots.Slots()
-    found.resize(total)
+def make_slots(*owners, total=8):
+    leases = slots.Slots()
+    leases.resize(total)
     for owner in owners:
-        found.join(owner)
-    found.rebalance()
-    return found
+        leases.join(owner)
+    leases.rebalance()
+    return leases
 
 
-def credits(found, *owners):
-    return [found.credits(owner) for owner in owners]
+def credits(leases, *owners):
+    return [leases.credits(owner) for owner in owners]
 
 
 def test_slots_without_demand_are_spread_evenly():
-    assert sorted(credits(leased(A, B, C), A, B, C)) == [2, 3, 3]
+    assert sorted(credits(make_slots(A, B, C), A, B, C)) == [2, 3, 3]
 
 
 def test_one_entry_with_all_the_demand_gets_all_slots():
@@ -29,11 +29,11 @@
 
     Slots leased to the others would stay unused and the job take longer.
     """
-    found = leased(A, B)
-    found.set_demand(A, 100)
-    assert set(found.rebalance()) == {A, B}
-    assert credits(found, A, B) == [8, 0]
-    assert found.rebalance() == []
+    leases = make_slots(A, B)
+    leases.set_demand(A, 100)
+    assert set(leases.rebalance()) == {A, B}
+    assert credits(leases, A, B) == [8, 0]
+    assert leases.rebalance() == []
 
 
 def test_a_burst_leaves_another_entry_an_equal_share_as_tasks_end():
@@ -42,21 +42,21 @@
     If it had to wait for the end of the burst, its callers would starve.  It
     must get the first slot that is released.
     """
-    found = leased(A, B)
-    found.set_demand(A, 100)
-    found.rebalance()
+    leases = make_slots(A, B)
+    leases.set_demand(A, 100)
+    leases.rebalance()
     for _ in range(8):
-        found.acquire(A)
-    found.set_demand(B, 100)
-    assert found.rebalance() == []
-    for given in range(1, 5):
-        found.release(A)
-        found.rebalance()
-        assert credits(found, A, B) == [8 - given, given]
-        found.acquire(B)
-    found.release(A)
-    found.rebalance()
-    assert credits(found, A, B) == [4, 4]
+        leases.acquire(A)
+    leases.set_demand(B, 100)
+    assert leases.rebalance() == []
+    for released in range(1, 5):
+        leases.release(A)
+        leases.rebalance()
+        assert credits(leases, A, B) == [8 - released, released]
+        leases.acquire(B)
+    leases.release(A)
+    leases.rebalance()
+    assert credits(leases, A, B) == [4, 4]
 
 
 moves = st.lists(
@@ -73,23 +73,23 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 @hypothesis.given(moves)
-def test_credits_never_exceed_the_slots_beyond_what_runs(drawn):
+def test_credits_never_exceed_the_slots_beyond_what_runs(drawn_moves):
     """Entries come, go and change their demand in any order.
 
     Credits beyond the slots would make owners send starts that are refused.
     """
-    found = leased()
-    for move, owner, number in drawn:
-        if move == 'take' and found.free > 0:
-            found.acquire(owner)
-        elif move == 'release' and found.has_running(owner):
-            found.release(owner)
+    leases = make_slots()
+    for move, owner, number in drawn_moves:
+        if move == 'take' and leases.free > 0:
+            leases.acquire(owner)
+        elif move == 'release' and leases.has_running(owner):
+            leases.release(owner)
         elif move == 'want':
-            found.set_demand(owner, number)
+            leases.set_demand(owner, number)
         elif move == 'resize':
-            found.resize(number)
+            leases.resize(number)
         elif move in ('join', 'leave'):
-            getattr(found, move)(owner)
-        found.rebalance()
-        given = sum(credits(found, A, B, C))
-        assert given <= max(found.total, found.running)
+            getattr(leases, move)(owner)
+        leases.rebalance()
+        total_credits = sum(credits(leases, A, B, C))
+        assert total_credits <= max(leases.total, leases.running)
--- a/tests/test_tablestore.py
+++ b/tests/test_tablestore.py
@@ -41,11 +41,11 @@
         assert await execute(READ) == store.Rows(())
         assert await execute(PUT) == store.Committed()
         assert isinstance(await execute(PUT), exceptions.StoreConflict)
-        found = store.Rows((store.Row('t', 'k', b'\xff'),))
-        assert await execute(READ) == found
-        assert await execute(store.ReadAfter('t', 'a', 9)) == found
-        gone = store.Transact((), (), (store.RowName('t', 'k'),))
-        assert await execute(gone) == store.Committed()
+        rows = store.Rows((store.Row('t', 'k', b'\xff'),))
+        assert await execute(READ) == rows
+        assert await execute(store.ReadAfter('t', 'a', 9)) == rows
+        deletion = store.Transact((), (), (store.RowName('t', 'k'),))
+        assert await execute(deletion) == store.Committed()
         assert await execute(READ) == store.Rows(())
 
     run(scenario)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -157,7 +157,7 @@
     async def main():
         async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
-            key = {'Idempotency-Key': await _key_of(first)}
+            key = {'Idempotency-Key': await _create_key_owned_by(first)}
             body = local_cluster.job(4, 0.3)
             lost = asyncio.create_task(
                 cluster.call(first, 'POST', '/v1/jobs', body, **key)
@@ -216,7 +216,7 @@
     asyncio.run(main())
 
 
-async def _key_of(entry):
+async def _create_key_owned_by(entry):
     """Return a new key that an entry owns."""
     now = entry.outside.clock.now()
     members = entry.entry.configuration.in_force(now).entries
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -93,11 +93,11 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, ssl=client
         )
-        shown = writer.get_extra_info('ssl_object').getpeercert()
+        certificate = writer.get_extra_info('ssl_object').getpeercert()
         writer.write(b'x')
         assert await reader.read(1) == b'x'
         writer.close()
-        return shown['subject'][0][0][1]
+        return certificate['subject'][0][0][1]
     finally:
         listener.close()
 
@@ -144,8 +144,10 @@
         file.truncate(40)
     with pytest.raises(exceptions.BadSettings, match='peer.pem'):
         contexts.reload()
-    shown = fetch_presented_name(contexts.peer_server, contexts.peer_client)
-    assert asyncio.run(shown) == 'first'
+    presented_name = fetch_presented_name(
+        contexts.peer_server, contexts.peer_client
+    )
+    assert asyncio.run(presented_name) == 'first'
 
 
 @pytest.fixture
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -79,8 +79,8 @@
         self._last_arrivals = {}
         offsets = itertools.chain(offsets, itertools.repeat(0.0))
         self.nodes = {
-            name: Node(name, ZONES[place % 2], offset)
-            for place, (name, offset) in enumerate(zip(names, offsets))
+            name: Node(name, ZONES[index % 2], offset)
+            for index, (name, offset) in enumerate(zip(names, offsets))
         }
         for name in self.nodes:
             self.start(name)
@@ -112,8 +112,8 @@
 
     def verdict(self, number):
         """Return the verdict of a request, or ``None`` if it has none yet."""
-        found = self.proposed.get(number)
-        return found.verdict if found else None
+        outcome = self.proposed.get(number)
+        return outcome.verdict if outcome else None
 
     def start(self, name):
         """Start a node's process, as a new incarnation."""
@@ -197,9 +197,9 @@
         return self._rows
 
     def _read_rows(self):
-        found = self.table.execute(store.ReadAfter('change', '', 10**6))
+        answer = self.table.execute(store.ReadAfter('change', '', 10**6))
         return [
-            cluster.decode(one.value, cluster.ChangeRow) for one in found.rows
+            cluster.decode(row.value, cluster.ChangeRow) for row in answer.rows
         ]
 
     def leases(self):
@@ -243,9 +243,13 @@
         """Check that no permit overlaps an outage of its zone."""
         for zone in ZONES:
             for begin, end in self._find_outages(zone):
-                for place, now, until, name in self.permits:
-                    late = place == zone and now < end and until > begin
-                    assert not late, f'{name} starts in {zone} until {until}'
+                for permit_zone, now, until, name in self.permits:
+                    overlaps = (
+                        permit_zone == zone and now < end and until > begin
+                    )
+                    assert not overlaps, (
+                        f'{name} starts in {zone} until {until}'
+                    )
 
     def _find_outages(self, zone):
         begin = None
