--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -92,7 +92,7 @@
             cfg.max_body_bytes,
         )
         self._slots = slots.Slots()
-        self._running = running.Running(cfg.lease_seconds)
+        self._upstream_state = running.UpstreamState(cfg.lease_seconds)
         self._entries = entries.Entries(cfg.seeds)
         self._successors = successors.Successors(cfg.skew_seconds)
         self._reporting = reporting.Reporting(
@@ -118,7 +118,9 @@
     def reduce(self, event: object, now: float) -> list[object]:
         """Handle one event and return its effects in order of execution."""
         effects = self._handle_event(event, now)
-        effects += self._reporting.flush(self._running, self._draining, now)
+        effects += self._reporting.flush(
+            self._upstream_state, self._draining, now
+        )
         effects += self._exit_when_done(now)
         wake_at = self._reporting.next_at()
         if wake_at is not None:
@@ -141,11 +143,11 @@
                 return self._on_announced(event, now)
             case upstream.UpstreamLeft():
                 return self._resize_if_changed(
-                    self._running.mark_leaving(event.session)
+                    self._upstream_state.mark_leaving(event.session)
                 )
             case upstream.UpstreamGone():
                 return self._resize_if_changed(
-                    self._running.mark_unreachable(event.session)
+                    self._upstream_state.mark_unreachable(event.session)
                 )
             case core.StopRequested():
                 return self._on_stop(now)
@@ -194,7 +196,7 @@
         return []
 
     def _on_pong(
-        self, entry: entries.Entry, message: messages.Pong, now: float
+        self, entry: entries.ConnectedEntry, message: messages.Pong, now: float
     ) -> list[object]:
         sample = clocks.compute_offset(
             message.sent, message.received, message.replied, now
@@ -229,7 +231,10 @@
     # Tasks: starts, ends, ``Settle`` requests.
 
     def _on_starts(
-        self, entry: entries.Entry, message: messages.Starts, now: float
+        self,
+        entry: entries.ConnectedEntry,
+        message: messages.Starts,
+        now: float,
     ) -> list[object]:
         owner = ledger.Owner(message.owner, message.owner_incarnation)
         if owner != entry.owner:
@@ -244,7 +249,7 @@
                 if not reason:
                     self._ledger.start(task, owner, now)
                     self._slots.acquire(owner)
-                    effects.append(self._running.start(task, owner))
+                    effects.append(self._upstream_state.start(task, owner))
                     continue
                 report = self._ledger.refuse(task, owner, reason, now)
             self._reporting.report_now(owner, report)
@@ -271,7 +276,7 @@
 
     def _find_refusal(
         self,
-        entry: entries.Entry,
+        entry: entries.ConnectedEntry,
         message: messages.Starts,
         task: messages.StartTask,
         now: float,
@@ -288,12 +293,14 @@
         permit = startcheck.Permit(message.start_before, entry.clock.best)
         return permit.find_fault(
             self._cfg.clock_margin, now
-        ) or startcheck.find_capacity_fault(task, self._running, self._slots)
+        ) or startcheck.find_capacity_fault(
+            task, self._upstream_state, self._slots
+        )
 
     def _on_task_ended(
         self, event: upstream.TaskEnded, now: float
     ) -> list[object]:
-        task = self._running.end(event.job, event.index, event.attempt)
+        task = self._upstream_state.end(event.job, event.index, event.attempt)
         if task is None:
             return []
         self._slots.release(task.entry)
@@ -310,7 +317,10 @@
         return []
 
     def _on_settle(
-        self, entry: entries.Entry, message: messages.Settle, now: float
+        self,
+        entry: entries.ConnectedEntry,
+        message: messages.Settle,
+        now: float,
     ) -> list[object]:
         self._reporting.clear_undelivered(entry.owner)
         for ref in message.tasks:
@@ -323,7 +333,10 @@
         return []
 
     def _on_stop_job(
-        self, entry: entries.Entry, message: messages.StopJob, now: float
+        self,
+        entry: entries.ConnectedEntry,
+        message: messages.StopJob,
+        now: float,
     ) -> list[object]:
         try:
             action = upstream.Action(message.action)
@@ -333,23 +346,25 @@
             indexes = self._ledger.stop(message.job, entry.owner, now)
         else:
             indexes = self._ledger.list_running(message.job)
-        return [*self._running.request_action(message.job, indexes, action)]
+        return [
+            *self._upstream_state.request_action(message.job, indexes, action)
+        ]
 
     # The upstream: announcement, expiry, draining.
 
     @property
     def _draining(self) -> bool:
-        return self._running.leaving or self._stopping_at is not None
+        return self._upstream_state.leaving or self._stopping_at is not None
 
     def _on_announced(
         self, event: upstream.Announced, now: float
     ) -> list[object]:
-        before = (self._running.announced, self._draining)
-        lost_tasks = self._running.set_announcement(event, now)
+        old_state = (self._upstream_state.announced, self._draining)
+        lost_tasks = self._upstream_state.set_announcement(event, now)
         for task in lost_tasks:
             self._slots.release(task.entry)
         self._reporting.report_lost(lost_tasks, REASON_RESTARTED, now)
-        return self._resize_if_changed(before != (event, self._draining))
+        return self._resize_if_changed(old_state != (event, self._draining))
 
     def _resize_if_changed(self, changed: bool) -> list[object]:
         if changed:
@@ -357,7 +372,7 @@
         return []
 
     def _resize(self) -> None:
-        announced = self._running.announced
+        announced = self._upstream_state.announced
         serving = announced is not None and not self._draining
         self._slots.resize(announced.slots if announced and serving else 0)
         self._reporting.offer_all()
@@ -371,8 +386,8 @@
             # Renewals that arrived during the pause are still in the sockets.
             # Unless the term is extended, the announcement would expire
             # before they are read, and all running tasks would end as lost.
-            self._running.extend_term(now)
-        lost_tasks = self._running.expire(now)
+            self._upstream_state.extend_term(now)
+        lost_tasks = self._upstream_state.expire(now)
         if lost_tasks is not None:
             self._reporting.report_lost(lost_tasks, REASON_LAPSED, now)
             self._resize()
@@ -387,7 +402,11 @@
 
     def _exit_when_done(self, now: float) -> list[object]:
         """Exit once no task runs and all results have been sent."""
-        if self._stopping_at is None or self._exited or len(self._running):
+        if (
+            self._stopping_at is None
+            or self._exited
+            or len(self._upstream_state)
+        ):
             return []
         wait_over = now - self._stopping_at >= RESULT_WAIT_SECONDS
         if self._reporting.next_at() is not None:
--- a/src/agatepick/agentside/entries.py
+++ b/src/agatepick/agentside/entries.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
+class ConnectedEntry:
     """A connected entry.
 
     :param joined: whether the entry may get credits.
@@ -37,12 +37,12 @@
     def __init__(self, seeds: tuple[str, ...]):
         self._seeds = seeds
         self._dialled: dict[str, types.PeerName] = {}
-        self._connected: dict[types.PeerName, Entry] = {}
+        self._connected: dict[types.PeerName, ConnectedEntry] = {}
 
-    def __iter__(self) -> collections.abc.Iterator[Entry]:
+    def __iter__(self) -> collections.abc.Iterator[ConnectedEntry]:
         return iter(tuple(self._connected.values()))
 
-    def get(self, name: types.PeerName) -> Entry | None:
+    def get(self, name: types.PeerName) -> ConnectedEntry | None:
         """Return the entry that is connected under a name, or ``None``."""
         return self._connected.get(name)
 
@@ -51,13 +51,15 @@
         entry = self._connected.get(owner.name)
         return entry is not None and entry.owner == owner
 
-    def add(self, hello: messages.Hello) -> Entry:
+    def add(self, hello: messages.Hello) -> ConnectedEntry:
         """Add an entry that has connected, and return it."""
         owner = ledger.Owner(hello.name, hello.incarnation)
-        self._connected[hello.name] = Entry(owner)
+        self._connected[hello.name] = ConnectedEntry(owner)
         return self._connected[hello.name]
 
-    def remove(self, name: types.PeerName, incarnation: int) -> Entry | None:
+    def remove(
+        self, name: types.PeerName, incarnation: int
+    ) -> ConnectedEntry | None:
         """Remove and return a disconnected entry.
 
         :returns: ``None`` if this incarnation wasn't connected.
@@ -77,7 +79,7 @@
         A seed's address isn't dialled a second time under the entry's name:
         two connections to one process would end each other.
         """
-        wanted = {one.address: one.name for one in listed}
+        wanted = {member.address: member.name for member in listed}
         effects: list[object] = []
         for address, name in list(self._dialled.items()):
             if address not in self._seeds and wanted.get(address) != name:
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -40,13 +40,13 @@
         self._undelivered: set[ledger.Owner] = set()
         self._offer_to: set[ledger.Owner] = set()
 
-    def join(self, entry: entries.Entry) -> None:
+    def join(self, entry: entries.ConnectedEntry) -> None:
         """Start to give an entry credits."""
         entry.joined = True
         self._slots.join(entry.owner)
         self._offer_to.add(entry.owner)
 
-    def leave(self, entry: entries.Entry) -> None:
+    def leave(self, entry: entries.ConnectedEntry) -> None:
         """Stop giving credits to an entry that disconnected or was removed."""
         entry.joined = False
         self._slots.leave(entry.owner)
@@ -105,7 +105,7 @@
                 self._ledger.end(task.job, task.index, lost, now, b'', reason)
             )
 
-    def build_orphans(self, entry: entries.Entry) -> list[object]:
+    def build_orphans(self, entry: entries.ConnectedEntry) -> list[object]:
         """Return the messages to an entry on tasks of removed entries."""
         return [
             core.Send(entry.owner.name, message)
@@ -115,7 +115,7 @@
         ]
 
     def flush(
-        self, upstream_state: running.Running, draining: bool, now: float
+        self, upstream_state: running.UpstreamState, draining: bool, now: float
     ) -> list[object]:
         """Return the messages with due reports and changed leases.
 
@@ -149,7 +149,7 @@
     def _build_offer(
         self,
         owner: ledger.Owner,
-        upstream_state: running.Running,
+        upstream_state: running.UpstreamState,
         draining: bool,
     ) -> messages.Offer:
         announced = upstream_state.announced
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -31,7 +31,7 @@
     lost: bool = False
 
 
-class Running:
+class UpstreamState:
     """The upstream's announcement and its running tasks.
 
     :param max_term: longest term of an announcement, in seconds.
--- a/src/agatepick/agentside/startcheck.py
+++ b/src/agatepick/agentside/startcheck.py
@@ -48,7 +48,7 @@
 
 def find_capacity_fault(
     task: messages.StartTask,
-    upstream_state: running.Running,
+    upstream_state: running.UpstreamState,
     leases: slots.Slots,
 ) -> str:
     """Return why the upstream can't run a task now; empty if it can.
--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -70,7 +70,7 @@
 
     def _update_trust(self) -> None:
         differing = sum(
-            self._exceeds_margin(one) for one in self._peers.values()
+            self._exceeds_margin(estimate) for estimate in self._peers.values()
         )
         self._trusted = 2 * differing <= len(self._peers)
 
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -177,8 +177,10 @@
             quotas=doc.quotas,
             leaving=doc.leaving,
             entries=doc.entries,
-            uncertain=tuple(one.row for one in self._permits.uncertain()),
-            lost=tuple(one.name for one in self._members.lost(now)),
+            uncertain=tuple(
+                change.row for change in self._permits.uncertain()
+            ),
+            lost=tuple(member.name for member in self._members.lost(now)),
             in_force=doc,
             accepted=self._history.latest,
         )
@@ -405,7 +407,9 @@
     def _on_changes_wanted(
         self, peer: str, message: messages.ChangesWanted
     ) -> list[object]:
-        rows = self._history.since(message.since)[:MAX_ROWS_PER_MESSAGE]
+        rows = self._history.get_rows_since(message.since)[
+            :MAX_ROWS_PER_MESSAGE
+        ]
         if not rows:
             return []
         data = tuple(cluster.encode(row) for row in rows)
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -28,7 +28,7 @@
     reason: str
 
 
-Outcome = HeadRead | ReadFailed | store.Request
+StepOutcome = HeadRead | ReadFailed | store.Request
 """Outcome of a step; a request must be sent next."""
 
 
@@ -50,7 +50,7 @@
         self._head = None
         return self._set_request(headrows.read_head)
 
-    def handle_answer(self, answer: store.Answer, now: float) -> Outcome:
+    def handle_answer(self, answer: store.Answer, now: float) -> StepOutcome:
         """Handle the store's answer to the last request."""
         request, self._request = self._request, None
         if not isinstance(answer, store.Rows):
@@ -66,7 +66,7 @@
 
     def _handle_rows(
         self, request: store.Request | None, rows: store.Rows, now: float
-    ) -> Outcome:
+    ) -> StepOutcome:
         if request == headrows.read_head:
             self._head = headrows.parse_head(rows)
         elif request == headrows.read_snapshot:
@@ -89,7 +89,7 @@
         head = typing.cast(cluster.Head, self._head)
         return head.version > self._history.version
 
-    def _continue(self) -> Outcome:
+    def _continue(self) -> StepOutcome:
         head = typing.cast(cluster.Head, self._head)
         if self._is_behind():
             return self._set_request(
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -54,13 +54,13 @@
         """Return the versions that are not in force yet, in order."""
         return tuple(doc for doc in self._docs if doc.in_force_at > now)
 
-    def departure(self, zone: str, now: float) -> float:
+    def find_departure_time(self, zone: str, now: float) -> float:
         """Return when a pending version has ``zone`` out; infinity if none."""
         return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if doc.zone_out(zone)
         )
 
-    def removal(self, me: messages.Member, now: float) -> float:
+    def find_removal_time(self, me: messages.Member, now: float) -> float:
         """Return when a pending version lacks ``me``; infinity if none."""
         return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if not doc.lists(me)
@@ -103,7 +103,7 @@
         if head.version == self.version and head.stamp > self.head.stamp:
             self.head = head
 
-    def since(self, version: int) -> tuple[cluster.ChangeRow, ...]:
+    def get_rows_since(self, version: int) -> tuple[cluster.ChangeRow, ...]:
         """Return the rows after ``version``; empty unless all are kept."""
         rows = tuple(row for row in self._rows if row.version > version)
         if not rows or rows[0].version != version + 1:
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -16,18 +16,18 @@
     message.  Without this cache the lookups took a quarter of its reducer's
     time.
 
-    :param lease: end of the read lease; 0 if there is none.
+    :param lease_end: end of the read lease; 0 if there is none.
     """
 
     def __init__(
         self,
         now: float,
-        lease: float,
+        lease_end: float,
         document: cluster.ClusterConfig,
         pending: tuple[cluster.ClusterConfig, ...],
         uncertain: tuple[cluster.Uncertain, ...],
     ):
-        self.lease = lease
+        self.lease_end = lease_end
         self._now = now
         self._document = document
         self._pending = pending
@@ -53,7 +53,7 @@
         start in a zone that is out.
         """
         bound = self.zone_bound(zone)
-        return min(self.lease, bound) if bound > self._now else 0.0
+        return min(self.lease_end, bound) if bound > self._now else 0.0
 
     def _compute_zone_bound(self, zone: str) -> float:
         if self._document.zone_out(zone):
@@ -83,16 +83,16 @@
         self._members = members
         self._writer = writer
         self._clocks = clocks
-        self._lease = 0.0
-        self._store_lease = 0.0
+        self._lease_end = 0.0
+        self._store_lease_end = 0.0
         self.has_read = False
         """Whether the head was read since the start of the process."""
 
     def extend_from_store(self, stamp: float) -> None:
         """Extend the lease after a read of the head."""
         end = readlease.compute_end(stamp, self._rules)
-        self._store_lease = max(self._store_lease, end)
-        self._lease = max(self._lease, end)
+        self._store_lease_end = max(self._store_lease_end, end)
+        self._lease_end = max(self._lease_end, end)
 
     def extend_from_peers(self, now: float) -> None:
         """Extend the lease by the peers' grants.
@@ -101,8 +101,8 @@
         """
         if not self._history.latest.lists(self._me):
             return
-        self._lease = readlease.extend(
-            self._lease,
+        self._lease_end = readlease.extend(
+            self._lease_end,
             now,
             self._history.version,
             self._members.grants(),
@@ -128,13 +128,15 @@
 
     def lease_until(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease."""
-        end = min(self._lease, self._history.removal(self._me, now))
+        end = min(
+            self._lease_end, self._history.find_removal_time(self._me, now)
+        )
         valid = now < end and self.serving(now) and self._clocks.trusted
         return end if valid else 0.0
 
     def has_store_lease(self, now: float) -> bool:
         """Return whether the lease is from the store, not only from peers."""
-        return now < self._store_lease
+        return now < self._store_lease_end
 
     def snapshot(self, now: float) -> Snapshot:
         """Return all permits at ``now``."""
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -68,7 +68,7 @@
     margin: float = 0.25
 
     @property
-    def lease(self) -> float:
+    def lease_duration(self) -> float:
         """Return the duration of a lease, from its stamp or grant on."""
         return self.fence - self.margin
 
@@ -91,13 +91,13 @@
     intent: cluster.Uncertain | None = None
     dead: bool = False
 
-    def until(self, rules: Rules) -> float:
+    def compute_end(self, rules: Rules) -> float:
         """Return the end of the lease that this grant allows."""
-        return math.inf if self.dead else self.sent + rules.lease
+        return math.inf if self.dead else self.sent + rules.lease_duration
 
     def mark_dead(self, now: float, rules: Rules) -> 'PeerGrant':
         """Return this grant after its sender was observed dead at ``now``."""
-        if now > self.sent + rules.lease:
+        if now > self.sent + rules.lease_duration:
             return self
         return dataclasses.replace(self, dead=True)
 
@@ -115,7 +115,7 @@
 
 def compute_end(stamp: float, rules: Rules) -> float:
     """Return the end of the lease that a head with ``stamp`` provides."""
-    return stamp + rules.lease
+    return stamp + rules.lease_duration
 
 
 def select_live(
@@ -133,7 +133,7 @@
 
 
 def extend(
-    lease: float,
+    lease_end: float,
     now: float,
     version: int,
     peers: collections.abc.Iterable[PeerGrant],
@@ -142,7 +142,7 @@
 ) -> float:
     """Return the end of the lease after it is extended by the peers' grants.
 
-    :param lease: end of the lease so far.
+    :param lease_end: end of the lease so far.
     :param version: version that the lease is for.
     :param peers: the last grant of every other listed entry.
     :param uncertain: the changes that may still take effect, including our
@@ -152,17 +152,17 @@
     one fence less the margin from now, because this entry may start to write
     a change itself.
     """
-    if now >= lease:
-        return lease
-    end = now + rules.lease
+    if now >= lease_end:
+        return lease_end
+    end = now + rules.lease_duration
     for peer in peers:
         if peer.version > version:
-            return lease
-        end = min(end, peer.until(rules))
+            return lease_end
+        end = min(end, peer.compute_end(rules))
     for change in uncertain:
         if zone_of(change.row.change) is None:
             end = min(end, change.row.in_force_at - rules.margin)
-    return max(lease, end)
+    return max(lease_end, end)
 
 
 def zone_bound(
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -95,4 +95,6 @@
         self._samples.append(sample)
         del self._samples[:-SAMPLES_KEPT]
         # The minimum is stored, as each start of a task reads it.
-        self.best = min(self._samples, key=lambda one: one.error)
+        self.best = min(
+            self._samples, key=lambda kept_sample: kept_sample.error
+        )
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -218,7 +218,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forwarded:
-    """Answer to :class:`Forward`; holds a ``JobAnswer`` as JSON."""
+    """Answer to :class:`Forward`; holds a ``JobAnswer`` as MessagePack."""
 
     request: int
     answer: bytes
@@ -676,7 +676,7 @@
 def _make_value_reader(field: _Field) -> _Read:
     if field.item is not None and dataclasses.is_dataclass(field.item):
         read = _make_reader(typing.cast(type, field.item))
-        return lambda value: tuple([read(one) for one in value])
+        return lambda value: tuple([read(item) for item in value])
     if field.item is not None:
         return tuple
     if dataclasses.is_dataclass(field.hint):
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -124,7 +124,7 @@
             forwarded=len(self.forwarding),
             agents=tuple(sorted(self.owner.agents)),
             zones=tuple(
-                sorted({one.zone for one in self.owner.agents.values()})
+                sorted({hello.zone for hello in self.owner.agents.values()})
             ),
             zone_work=self.owner.zone_work.list_zones(),
             configuration=self.configuration.status(now),
@@ -398,8 +398,8 @@
         if in_force.version == self._members_version:
             return []
         self._members_version = in_force.version
-        names = tuple([one.name for one in in_force.listed()])
-        limits = {one.team: one.slots for one in in_force.quotas}
+        names = tuple([member.name for member in in_force.listed()])
+        limits = {quota.team: quota.slots for quota in in_force.quotas}
         self.dispatch.quotas.configure(limits, names, now)
         self.owner.set_leaving(frozenset(in_force.leaving), now)
         self._dead_entries.prune(in_force.entries)
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -378,7 +378,7 @@
     def advance(self, now: float) -> list[object]:
         """End jobs at their deadlines and place queued tasks."""
         snapshot = self._config.permits(now)
-        if snapshot.lease > now:
+        if snapshot.lease_end > now:
             self._lease_expired_at = math.inf
         else:
             self._lease_expired_at = min(self._lease_expired_at, now)
@@ -443,7 +443,7 @@
         ]
 
     def _place(self, snapshot: permits.Snapshot, now: float) -> list[object]:
-        if not self._dispatch.count_waiting() or snapshot.lease <= now:
+        if not self._dispatch.count_waiting() or snapshot.lease_end <= now:
             return []
 
         def zone_share(zone: str) -> float:
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -125,24 +125,26 @@
         """
         created_at = ownership.get_timestamp(key)
         removed = [
-            one
-            for one in members
-            if created_at < ownership.suspect_until(one, self._skew)
+            member
+            for member in members
+            if created_at < ownership.suspect_until(member, self._skew)
         ]
-        wait_starts = [one.removed_at for one in removed]
+        wait_starts = [member.removed_at for member in removed]
         # Agents must first connect to an entry listed after the removal.
         wait_starts += [
-            one.listed_at for one in members if one.name == self._name
+            member.listed_at for member in members if member.name == self._name
         ]
         if now >= max(wait_starts, default=0.0) + REPORT_WAIT_SECONDS:
             return True
-        connected = {(one.name, one.incarnation) for one in agents.values()}
+        connected = {
+            (hello.name, hello.incarnation) for hello in agents.values()
+        }
         return all(
             connected
             <= self._agents_done.get(
-                ledger.Owner(one.name, one.incarnation), set()
+                ledger.Owner(member.name, member.incarnation), set()
             )
-            for one in removed
+            for member in removed
         )
 
     def matches(self, spec: types.JobSpec) -> bool:
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -43,8 +43,8 @@
     had expired before.
     """
     grant = readlease.PeerGrant(5, 90.0)
-    assert grant.mark_dead(92.75, RULES).until(RULES) == math.inf
-    assert grant.mark_dead(92.76, RULES).until(RULES) == 92.75
+    assert grant.mark_dead(92.75, RULES).compute_end(RULES) == math.inf
+    assert grant.mark_dead(92.76, RULES).compute_end(RULES) == 92.75
 
 
 def test_the_intent_of_a_dead_peer_is_uncertain():
