--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -37,10 +37,10 @@
         self._sampled_at[peer] = now
         for name, sampled_at in list(self._sampled_at.items()):
             if sampled_at < now - SAMPLE_EXPIRY_SECONDS:
-                self.forget(name)
+                self.discard(name)
         self._update_trust()
 
-    def forget(self, peer: str) -> None:
+    def discard(self, peer: str) -> None:
         """Discard the samples of a peer.
 
         The next process with the same name may have another clock.
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -68,7 +68,7 @@
 
 
 class EntryListed(_Change, frozen=True, tag='entry_listed'):
-    """Addition of an entry, which removes an older incarnation of it."""
+    """List an entry and remove an older incarnation of it."""
 
     name: str
     incarnation: int
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -254,7 +254,7 @@
             event.peer, event.incarnation, event.dead, now
         )
         if event.peer not in self._members.connected:
-            self._clocks.forget(event.peer)
+            self._clocks.discard(event.peer)
         connected = self._members.connected
         effects = self._dials.hang_up(
             event.peer, self._collect_addresses(), connected
--- a/tests/test_clockwatch.py
+++ b/tests/test_clockwatch.py
@@ -35,8 +35,8 @@
     watch.add('a1', pong(NOW), NOW)
     watch.add('a2', pong(NOW), NOW)
     assert watch.trusted and not watch.agrees('e1')
-    watch.forget('a1')
-    watch.forget('a2')
+    watch.discard('a1')
+    watch.discard('a2')
     assert not watch.trusted
     late = NOW + clockwatch.SAMPLE_EXPIRY_SECONDS + 1
     watch.add('a1', pong(late), late)
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -322,11 +322,11 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 @hypothesis.given(seeds)
 def test_jobs_survive_the_loss_of_their_entries_without_a_second_start(seed):
-    """Entries are killed, paused past their removal, and come back.
+    """Entries are killed, or paused and resumed after their removal.
 
     Messages are lost, copied and out of order, and callers submit again to
-    any entry.  No task may start twice, no "not run" be false, and no job
-    be called complete that isn't.
+    any entry.  No task may start twice, no "not run" may be false, and no
+    incomplete job may be reported as complete.
     """
     play(seed)
 
