--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -28,15 +28,15 @@
     reason: str
 
 
-Outcome = HeadRead | ReadFailed | store.Request
+StepOutcome = HeadRead | ReadFailed | store.Request
 """Outcome of a step; a request must be sent next."""
 
 
 class HeadReader:
     """State of the read in progress."""
 
-    def __init__(self, known: history.History):
-        self._known = known
+    def __init__(self, version_history: history.History):
+        self._history = version_history
         self._head: cluster.Head | None = None
         self._request: store.Request | None = None
 
@@ -50,7 +50,7 @@
         self._head = None
         return self._set_request(headrows.read_head)
 
-    def handle_answer(self, answer: store.Answer, now: float) -> Outcome:
+    def handle_answer(self, answer: store.Answer, now: float) -> StepOutcome:
         """Handle the store's answer to the last request."""
         request, self._request = self._request, None
         if not isinstance(answer, store.Rows):
@@ -66,11 +66,11 @@
 
     def _handle_rows(
         self, request: store.Request | None, rows: store.Rows, now: float
-    ) -> Outcome:
+    ) -> StepOutcome:
         if request == headrows.read_head:
             self._head = headrows.parse_head(rows)
         elif request == headrows.read_snapshot:
-            if not self._known.add_snapshot(
+            if not self._history.add_snapshot(
                 headrows.parse_snapshot(rows), now
             ):
                 raise exceptions.BadMessage(
@@ -78,7 +78,7 @@
                 )
         else:
             added = [
-                self._known.add_row(row, now)
+                self._history.add_row(row, now)
                 for row in headrows.parse_changes(rows)
             ]
             if not any(added) and self._is_behind():
@@ -87,13 +87,13 @@
 
     def _is_behind(self) -> bool:
         head = typing.cast(cluster.Head, self._head)
-        return head.version > self._known.version
+        return head.version > self._history.version
 
-    def _continue(self) -> Outcome:
+    def _continue(self) -> StepOutcome:
         head = typing.cast(cluster.Head, self._head)
         if self._is_behind():
             return self._set_request(
-                headrows.read_changes(self._known.version)
+                headrows.read_changes(self._history.version)
             )
-        self._known.record_head(head)
+        self._history.record_head(head)
         return HeadRead(head)
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -68,7 +68,7 @@
     margin: float = 0.25
 
     @property
-    def lease(self) -> float:
+    def lease_duration(self) -> float:
         """Return the duration of a lease, from its stamp or grant on."""
         return self.fence - self.margin
 
@@ -79,7 +79,8 @@
 
     :param sent: when the peer sent the grant, by the peer's clock.
     :param uncertain: a change that the peer may have written.
-    :param intent: a change that the peer announced but may not have written.
+    :param intent: the last change that the peer announced by an
+        :class:`~agatepick.net.messages.Intent`, before it writes it.
     :param dead: whether the peer died while the grant was valid, so that it
         wrote no changes other than ``uncertain`` and ``intent``.
     """
@@ -90,30 +91,31 @@
     intent: cluster.Uncertain | None = None
     dead: bool = False
 
-    def until(self, rules: Rules) -> float:
+    def compute_end(self, rules: Rules) -> float:
         """Return the end of the lease that this grant allows."""
-        return math.inf if self.dead else self.sent + rules.lease
+        return math.inf if self.dead else self.sent + rules.lease_duration
 
     def mark_dead(self, now: float, rules: Rules) -> 'PeerGrant':
         """Return this grant after its sender was observed dead at ``now``."""
-        if now > self.sent + rules.lease:
+        if now > self.sent + rules.lease_duration:
             return self
         return dataclasses.replace(self, dead=True)
 
     def uncertain_changes(self) -> tuple[cluster.Uncertain, ...]:
         """Return the changes of this peer that may still take effect.
 
-        The intent of a live peer doesn't count: the peer sends no newer grant
-        without the change, and the last grant ends before the change's
+        The intent of a live peer doesn't count.  Until the outcome is known,
+        each further grant of that peer contains the change as uncertain, and
+        a lease from an earlier grant ends before the change's
         ``in_force_at``.
         """
         intent = self.intent if self.dead else None
-        return tuple(one for one in (self.uncertain, intent) if one)
+        return tuple(change for change in (self.uncertain, intent) if change)
 
 
 def compute_end(stamp: float, rules: Rules) -> float:
     """Return the end of the lease that a head with ``stamp`` provides."""
-    return stamp + rules.lease
+    return stamp + rules.lease_duration
 
 
 def select_live(
@@ -124,14 +126,14 @@
     A newer version or a newer stamp makes their condition fail permanently.
     """
     return tuple(
-        one
-        for one in uncertain
-        if one.row.version > head.version and one.stamp >= head.stamp
+        change
+        for change in uncertain
+        if change.row.version > head.version and change.stamp >= head.stamp
     )
 
 
 def extend(
-    lease: float,
+    lease_end: float,
     now: float,
     version: int,
     peers: collections.abc.Iterable[PeerGrant],
@@ -140,7 +142,7 @@
 ) -> float:
     """Return the end of the lease after it is extended by the peers' grants.
 
-    :param lease: end of the lease so far.
+    :param lease_end: end of the lease so far.
     :param version: version that the lease is for.
     :param peers: the last grant of every other listed entry.
     :param uncertain: the changes that may still take effect, including our
@@ -150,17 +152,17 @@
     one fence less the margin from now, because this entry may start to write
     a change itself.
     """
-    if now >= lease:
-        return lease
-    end = now + rules.lease
+    if now >= lease_end:
+        return lease_end
+    end = now + rules.lease_duration
     for peer in peers:
         if peer.version > version:
-            return lease
-        end = min(end, peer.until(rules))
-    for one in uncertain:
-        if zone_of(one.row.change) is None:
-            end = min(end, one.row.in_force_at - rules.margin)
-    return max(lease, end)
+            return lease_end
+        end = min(end, peer.compute_end(rules))
+    for change in uncertain:
+        if zone_of(change.row.change) is None:
+            end = min(end, change.row.in_force_at - rules.margin)
+    return max(lease_end, end)
 
 
 def zone_bound(
@@ -172,9 +174,9 @@
     """
     return min(
         (
-            one.row.in_force_at
-            for one in uncertain
-            if one.row.change == cluster.ZoneOut(zone)
+            change.row.in_force_at
+            for change in uncertain
+            if change.row.change == cluster.ZoneOut(zone)
         ),
         default=math.inf,
     )
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -248,7 +248,10 @@
         return []
 
     def on_agent_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Request the state of an agent's open tasks when it connects."""
+        """Request the state of an agent's open tasks when it connects.
+
+        Tasks that an earlier incarnation of it started end as unknown.
+        """
         name = hello.name
         self._agents.add(hello)
         effects: list[object] = []
@@ -375,7 +378,7 @@
     def advance(self, now: float) -> list[object]:
         """End jobs at their deadlines and place queued tasks."""
         snapshot = self._config.permits(now)
-        if snapshot.lease > now:
+        if snapshot.lease_end > now:
             self._lease_expired_at = math.inf
         else:
             self._lease_expired_at = min(self._lease_expired_at, now)
@@ -440,7 +443,7 @@
         ]
 
     def _place(self, snapshot: permits.Snapshot, now: float) -> list[object]:
-        if not self._dispatch.count_waiting() or snapshot.lease <= now:
+        if not self._dispatch.count_waiting() or snapshot.lease_end <= now:
             return []
 
         def zone_share(zone: str) -> float:
@@ -448,9 +451,10 @@
                 return 0.0
             return zones.get_share(snapshot.zone(zone), now)
 
-        placed = self._dispatch.place(zone_share, now)
+        placements = self._dispatch.place(zone_share, now)
         effects: list[object] = [
-            self._start_placement(one, snapshot, now) for one in placed
+            self._start_placement(placement, snapshot, now)
+            for placement in placements
         ]
         for agent, want in self._dispatch.get_slot_requests(now):
             effects.append(core.Send(agent, messages.Ask(want)))
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -86,8 +86,10 @@
             tasks = self._reported.setdefault(report.job, {})
             tasks[report.index] = ReportedTask(agent, incarnation, report)
         if message.last:
-            lost = ledger.Owner(message.owner, message.owner_incarnation)
-            self._agents_done.setdefault(lost, set()).add((agent, incarnation))
+            owner = ledger.Owner(message.owner, message.owner_incarnation)
+            self._agents_done.setdefault(owner, set()).add(
+                (agent, incarnation)
+            )
 
     def on_result(
         self, agent: types.PeerName, report: messages.TaskReport
@@ -123,22 +125,26 @@
         """
         created_at = ownership.get_timestamp(key)
         removed = [
-            one
-            for one in members
-            if created_at < ownership.suspect_until(one, self._skew)
+            member
+            for member in members
+            if created_at < ownership.suspect_until(member, self._skew)
         ]
-        since = [one.removed_at for one in removed]
+        wait_starts = [member.removed_at for member in removed]
         # Agents must first connect to an entry listed after the removal.
-        since += [one.listed_at for one in members if one.name == self._name]
-        if now >= max(since, default=0.0) + REPORT_WAIT_SECONDS:
+        wait_starts += [
+            member.listed_at for member in members if member.name == self._name
+        ]
+        if now >= max(wait_starts, default=0.0) + REPORT_WAIT_SECONDS:
             return True
-        connected = {(one.name, one.incarnation) for one in agents.values()}
+        connected = {
+            (hello.name, hello.incarnation) for hello in agents.values()
+        }
         return all(
             connected
             <= self._agents_done.get(
-                ledger.Owner(one.name, one.incarnation), set()
+                ledger.Owner(member.name, member.incarnation), set()
             )
-            for one in removed
+            for member in removed
         )
 
     def matches(self, spec: types.JobSpec) -> bool:
