--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -37,10 +37,10 @@
         self._sampled_at[peer] = now
         for name, sampled_at in list(self._sampled_at.items()):
             if sampled_at < now - SAMPLE_EXPIRY_SECONDS:
-                self.forget(name)
+                self.discard(name)
         self._update_trust()
 
-    def forget(self, peer: str) -> None:
+    def discard(self, peer: str) -> None:
         """Discard the samples of a peer.
 
         The next process with the same name may have another clock.
@@ -70,7 +70,7 @@
 
     def _update_trust(self) -> None:
         differing = sum(
-            self._exceeds_margin(one) for one in self._peers.values()
+            self._exceeds_margin(estimate) for estimate in self._peers.values()
         )
         self._trusted = 2 * differing <= len(self._peers)
 
