--- a/examples/configuration_cost.py
+++ b/examples/configuration_cost.py
@@ -50,12 +50,12 @@
 
 def count_listed(process):
     """Return the number of listed entries in one entry's configuration."""
-    now = process.outside.clock.now()
+    now = process.dependencies.clock.now()
     return len(process.entry.configuration.in_force(now).listed())
 
 
 async def change(entries, change_number):
-    """Return the seconds until a change is accepted and everywhere known."""
+    """Return the seconds until a change is accepted, and known everywhere."""
     started_at = time.monotonic()
 
     def propose(number):
@@ -65,12 +65,13 @@
 
     reply = await entries[change_number % len(entries)].calls.call(propose)
     accepted = time.monotonic() - started_at
-    known = await wait_until(
+    until_known = await wait_until(
         lambda: all(
-            one.entry.configuration.version >= reply.version for one in entries
+            process.entry.configuration.version >= reply.version
+            for process in entries
         )
     )
-    return accepted, accepted + known
+    return accepted, accepted + until_known
 
 
 async def measure(size):
@@ -79,23 +80,24 @@
         table = await standin_table.TableServer.start()
         stack.push_async_callback(table.stop)
         entries = [make_entry(table, number) for number in range(size)]
-        for one in entries:
-            await one.start()
-            stack.push_async_callback(one.stop)
+        for process in entries:
+            await process.start()
+            stack.push_async_callback(process.stop)
         await wait_until(
-            lambda: all(count_listed(one) == size for one in entries)
+            lambda: all(count_listed(process) == size for process in entries)
         )
-        before = sum(one.links.traffic.bytes_out for one in entries)
+        before = sum(process.links.traffic.bytes_out for process in entries)
         reads, writes = table.counts.reads, table.counts.writes
         await asyncio.sleep(IDLE_SECONDS)
         bytes_out = (
-            sum(one.links.traffic.bytes_out for one in entries) - before
+            sum(process.links.traffic.bytes_out for process in entries)
+            - before
         )
         reads = table.counts.reads - reads
         writes = table.counts.writes - writes
-        times = [await change(entries, one + 1) for one in range(CHANGES)]
-        accepted = [one[0] * 1000 for one in times]
-        known = [one[1] * 1000 for one in times]
+        times = [await change(entries, index + 1) for index in range(CHANGES)]
+        accepted = [pair[0] * 1000 for pair in times]
+        known = [pair[1] * 1000 for pair in times]
         return (
             f'entries={size} '
             f'bytes_out_per_node_s={bytes_out / size / IDLE_SECONDS:.0f} '
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -62,13 +62,13 @@
         agatepick.Task('large', 'add', [10, 20, 30]),
     )
     try:
-        found = await client.submit(agatepick.Job(tasks, team='embed'))
+        job_result = await client.submit(agatepick.Job(tasks, team='embed'))
     finally:
         client.close()
         server.stop()
     for event in timeline.events():
         print(event.show())
-    return [task.body for task in found.tasks]
+    return [task.body for task in job_result.tasks]
 
 
 if __name__ == '__main__':
--- a/examples/platform_path.py
+++ b/examples/platform_path.py
@@ -21,14 +21,16 @@
 def main() -> int:
     """Run the demo without faults; return 0 if no guarantee was violated."""
     with tempfile.TemporaryDirectory() as folder:
-        broken, answered = soak.run_seed(1, SECONDS, folder, faults=())
+        violations, answer_counts = soak.run_seed(
+            1, SECONDS, folder, faults=()
+        )
         logs = sorted(str(path) for path in pathlib.Path(folder).glob('*.log'))
         print(explain.explain(JOB, tuple(logs)).text)
-    print(f'answers by status: {answered}')
-    for one in broken:
-        print(f'broken: {one.guarantee}: {one.detail}')
-    print(f'promises broken: {len(broken)}')
-    return 1 if broken else 0
+    print(f'answers by status: {answer_counts}')
+    for violation in violations:
+        print(f'broken: {violation.guarantee}: {violation.detail}')
+    print(f'promises broken: {len(violations)}')
+    return 1 if violations else 0
 
 
 if __name__ == '__main__':
--- a/src/agatepick/api/callers.py
+++ b/src/agatepick/api/callers.py
@@ -112,8 +112,8 @@
         # All tokens are compared, so that timing reveals no match.
         teams_of_token = [
             team
-            for team, known in teams.items()
-            if web.tokens_equal(token, known)
+            for team, team_token in teams.items()
+            if web.tokens_equal(token, team_token)
         ]
         if not teams_of_token:
             raise web.Refused(
--- a/src/agatepick/api/openapi.py
+++ b/src/agatepick/api/openapi.py
@@ -100,11 +100,11 @@
     parameters = [
         {
             'name': name,
-            'in': where,
-            'required': where == 'path',
+            'in': location,
+            'required': location == 'path',
             'schema': {'type': 'string'},
         }
-        for where, names in (
+        for location, names in (
             ('header', headers),
             ('path', path),
             ('query', query),
@@ -115,8 +115,11 @@
         'summary': summary,
         'parameters': parameters,
         'responses': {
-            str(status): {'description': words, 'content': _make_content(kind)}
-            for status, (words, kind) in answers.items()
+            str(status): {
+                'description': description,
+                'content': _make_content(kind),
+            }
+            for status, (description, kind) in answers.items()
         },
     }
     operation['responses']['default'] = {
@@ -175,7 +178,7 @@
     verdict: dict[int, tuple[str, type | None]] = {
         200: ('accepted', operators.VerdictReply)
     }
-    match = ('If-Match',)
+    if_match = ('If-Match',)
     return {
         '/v1/config': {
             'get': _build_operation(
@@ -183,7 +186,7 @@
                 {200: ('the configuration', operators.ConfigReply)},
             ),
             'post': {
-                **_build_operation('Any change', verdict, headers=match),
+                **_build_operation('Any change', verdict, headers=if_match),
                 'requestBody': _build_change_body(),
             },
         },
@@ -194,7 +197,7 @@
         },
         '/v1/presets/{name}': {
             'put': _build_operation(
-                'Switch to a preset', verdict, headers=match, path=('name',)
+                'Switch to a preset', verdict, headers=if_match, path=('name',)
             )
         },
         '/v1/zones': {
@@ -208,7 +211,7 @@
                 'Take a zone out of service, or return it',
                 verdict,
                 body=operators.ZoneBody,
-                headers=match,
+                headers=if_match,
                 path=('name',),
             )
         },
--- a/src/agatepick/api/operators.py
+++ b/src/agatepick/api/operators.py
@@ -274,10 +274,10 @@
         """Return the zones of agents and of the configuration."""
         status = await self.fetch_entry_status()
         view = status.configuration
-        named = {zone.name for zone in view.accepted.zones}
+        configured_names = {zone.name for zone in view.accepted.zones}
         zones = tuple(
             _make_zone_reply(name, view)
-            for name in sorted(named.union(status.zones))
+            for name in sorted(configured_names.union(status.zones))
         )
         reply = ZonesReply(view.accepted.version, zones)
         self.send_with_etag(reply, reply.version)
@@ -315,8 +315,8 @@
     async def get(self) -> None:
         """Return the events of this process as JSON lines."""
         names = ('job', 'task', 'zone')
-        wanted = {name: self.get_query_argument(name, '') for name in names}
-        lines = self.front.timeline.lines(**wanted)
+        filters = {name: self.get_query_argument(name, '') for name in names}
+        lines = self.front.timeline.lines(**filters)
         data = b''.join(line + b'\n' for line in lines)
         self.send_json(200, data, JSON_LINES)
 
--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -206,20 +206,24 @@
         """Return a rejection with this handler's value of ``run``."""
         return Refused(status, code, detail, run=self.run_if_rejected)
 
-    def send_json(self, status: int, data: bytes, kind: str = JSON) -> None:
+    def send_json(
+        self, status: int, data: bytes, content_type: str = JSON
+    ) -> None:
         """Send a JSON response."""
         self.set_status(status)
-        self.set_header('Content-Type', kind)
+        self.set_header('Content-Type', content_type)
         self.finish(data)
 
     def send_problem(self, problem: Problem) -> None:
         """Send a problem document, with ``Retry-After`` if it applies."""
         if problem.retry_after > 0:
             self.set_header('Retry-After', str(math.ceil(problem.retry_after)))
-        shown = msgspec.structs.replace(
+        problem_with_peer = msgspec.structs.replace(
             problem, peer=problem.peer or self.front.name
         )
-        self.send_json(problem.status, msgspec.json.encode(shown), PROBLEM)
+        self.send_json(
+            problem.status, msgspec.json.encode(problem_with_peer), PROBLEM
+        )
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
         exc = kwargs.get('exc_info', (None, None, None))[1]
@@ -373,8 +377,10 @@
     if isinstance(handler, Handler):
         recorder = handler.front.measured
         recorder.count('http_requests', f'{handler.get_status() // 100}xx')
-        recorder.seconds('http_seconds', handler.request.request_time())
-        recorder.gauge('http_open', len(handler.front.calls))
+        recorder.observe_seconds(
+            'http_seconds', handler.request.request_time()
+        )
+        recorder.set_gauge('http_open', len(handler.front.calls))
     logs.event(
         _log,
         logging.DEBUG,
--- a/src/agatepick/bench/bench.py
+++ b/src/agatepick/bench/bench.py
@@ -27,17 +27,19 @@
     """Add the figures of each baseline policy on the same load."""
     name = 'response_over_ideal_mean'
     figures: bench_run.Figures = {}
-    own = played.report.figures.get(name)
+    own_mean = played.report.figures.get(name)
     for policy in BASELINES:
-        other = bench_run.run(
+        baseline_report = bench_run.run(
             dataclasses.replace(options, policy=policy)
         ).report
-        mean = other.figures.get(name)
+        mean = baseline_report.figures.get(name)
         figures[f'{policy}_{name}'] = mean
         for compared in COMPARED_FIGURES:
-            figures[f'{policy}_{compared}'] = other.figures.get(compared)
-        if isinstance(own, float) and isinstance(mean, float):
-            figures[f'{policy}_over_ours'] = mean / own
+            figures[f'{policy}_{compared}'] = baseline_report.figures.get(
+                compared
+            )
+        if isinstance(own_mean, float) and isinstance(mean, float):
+            figures[f'{policy}_over_ours'] = mean / own_mean
     return bench_run.add_figures(played, figures)
 
 
@@ -76,13 +78,13 @@
     """
     if pattern == SLOPES:
         return slopes_command.run(json=json, **options)
-    chosen = bench_run.Options(
+    run_options = bench_run.Options(
         bench_plan.Pattern(pattern), seed, seconds, load, deployment, policy
     )
-    played = bench_run.run(chosen)
+    played = bench_run.run(run_options)
     if baselines:
-        played = add_baseline_figures(chosen, played)
+        played = add_baseline_figures(run_options, played)
     report = played.report
     if plot:
-        draw_plot(chosen, played, pathlib.Path(plot))
+        draw_plot(run_options, played, pathlib.Path(plot))
     return commands.Output(report.as_json() if json else report.as_table())
--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -189,7 +189,8 @@
         try:
             return await self._http.fetch(req, raise_error=False)
         except ConnectionRefusedError as exc:
-            # The balancer's state was stale; no request was in progress.
+            # The balancer chose an entry that no longer listens; no request
+            # was in progress.
             self.request_errors.add(f'refused {type(exc).__name__}')
             return None
         except (OSError, tornado.httpclient.HTTPError) as exc:
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -122,7 +122,7 @@
 
     def is_ready(self) -> bool:
         """Return whether the balancer's health check passes."""
-        now = self.process.outside.clock.now()
+        now = self.process.dependencies.clock.now()
         return self.alive and self.process.entry.ready(now)
 
 
@@ -254,7 +254,9 @@
         self._name_count += 1
         return f'{prefix}-{number}-{self._name_count}'
 
-    def _make_outside(self, name: str, zone: str) -> processes.Dependencies:
+    def _make_dependencies(
+        self, name: str, zone: str
+    ) -> processes.Dependencies:
         self._zones[name] = zone
         seconds = self._deployment.zone_latency
         return processes.Dependencies(
@@ -274,9 +276,11 @@
             tokens=settings.Tokens(operator=OPERATOR_TOKEN),
             tls=settings.Tls(enabled=False),
         )
-        outside = self._make_outside(name, zone)
+        dependencies = self._make_dependencies(name, zone)
         policy = self._policy or placement.DEFAULT_POLICY
-        process = processes.EntryProcess.from_settings(cfg, outside, policy)
+        process = processes.EntryProcess.from_settings(
+            cfg, dependencies, policy
+        )
         await process.start()
         self._count_messages(process)
         return EntrySite(process)
@@ -302,10 +306,10 @@
             created.append(self._make_upstream(name, number, zone, feed))
             return created[0]
 
-        outside = dataclasses.replace(
-            self._make_outside(name, zone), make_upstream=make_upstream
+        dependencies = dataclasses.replace(
+            self._make_dependencies(name, zone), make_upstream=make_upstream
         )
-        process = processes.AgentProcess.from_settings(cfg, outside)
+        process = processes.AgentProcess.from_settings(cfg, dependencies)
         await process.start()
         self._count_messages(process)
         created[0].begin()
--- a/src/agatepick/bench/bench_evidence.py
+++ b/src/agatepick/bench/bench_evidence.py
@@ -81,13 +81,13 @@
 
         :param ignored: kinds of messages to leave out.
         """
-        kept = {
+        counts_by_kind = {
             kind: count
             for kind, count in self.counts.items()
             if kind not in ignored
         }
-        total = sum(kept.values())
-        useful = sum(kept.get(kind, 0) for kind in USEFUL_MESSAGES)
+        total = sum(counts_by_kind.values())
+        useful = sum(counts_by_kind.get(kind, 0) for kind in USEFUL_MESSAGES)
         if not total:
             return 0.0
         return 1.0 - useful * (1.0 - self.refused_starts) / total
--- a/src/agatepick/bench/bench_ideal.py
+++ b/src/agatepick/bench/bench_ideal.py
@@ -48,7 +48,7 @@
     heapq.heapify(free)
     responses: dict[int, float] = {}
     runs: list[tuple[float, float]] = []
-    for job in sorted(jobs, key=lambda one: one.at):
+    for job in sorted(jobs, key=lambda job_plan: job_plan.at):
         end = job.at
         for task in job.tasks:
             start, worker, slot = take_slot(free, job.at, deployment, closures)
@@ -75,7 +75,7 @@
         since, worker, slot = heapq.heappop(free)
         start = max(since, at)
         zone = deployment.zone_of(worker)
-        opens = max(
+        reopens_at = max(
             (
                 closure.until
                 for closure in closures
@@ -84,9 +84,9 @@
             ),
             default=start,
         )
-        if opens == start:
+        if reopens_at == start:
             return start, worker, slot
-        heapq.heappush(free, (opens, worker, slot))
+        heapq.heappush(free, (reopens_at, worker, slot))
 
 
 def work_between(
--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -21,7 +21,7 @@
 
     def start(self) -> None:
         """Start measuring."""
-        self._task = asyncio.get_running_loop().create_task(self._watch())
+        self._task = asyncio.get_running_loop().create_task(self._measure())
 
     def stop(self) -> None:
         """Stop measuring."""
@@ -36,7 +36,7 @@
             / 1e3,
         }
 
-    async def _watch(self) -> None:
+    async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + PERIOD_SECONDS
--- a/src/agatepick/bench/bench_ledger.py
+++ b/src/agatepick/bench/bench_ledger.py
@@ -103,25 +103,25 @@
 
 def _measure_agent_seconds() -> float:
     """Measure the whole reducer: starts in batches of four, ends, results."""
-    node = agent.Agent.from_config(agent.AgentConfig('agent'), 1)
+    reducer = agent.Agent.from_config(agent.AgentConfig('agent'), 1)
     needs = types.Needs(64.0, 1 << 16, 0)
-    node.reduce(
+    reducer.reduce(
         upstream.Announced('s', ('k',), SLOTS, needs, 'x', 1e6), START_TIME
     )
     hello = messages.Hello(OWNER.name, 'entry', 1, '', '', '', 0)
-    node.reduce(core.PeerUp(hello), START_TIME)
+    reducer.reduce(core.PeerUp(hello), START_TIME)
     pong = messages.Pong(START_TIME, START_TIME, START_TIME)
-    node.reduce(core.Received(OWNER.name, pong), START_TIME)
+    reducer.reduce(core.Received(OWNER.name, pong), START_TIME)
     tasks = [_make_task(number) for number in range(TASKS)]
     now = START_TIME
     started_at = time.process_time()
     for first in range(0, TASKS, TASKS_PER_MESSAGE):
         batch = tuple(tasks[first : first + TASKS_PER_MESSAGE])
         starts = messages.Starts(OWNER.name, 1, 1, 1, now + 3, 0, batch)
-        node.reduce(core.Received(OWNER.name, starts), now)
+        reducer.reduce(core.Received(OWNER.name, starts), now)
         now += 0.001
         for task in batch:
-            node.reduce(_make_task_ended(task), now)
+            reducer.reduce(_make_task_ended(task), now)
     return time.process_time() - started_at
 
 
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -194,8 +194,8 @@
         if run.key in on_time_keys
     ]
     seconds = evidence.load.seconds
-    done = bench_ideal.work_between(spans, 0.0, seconds)
-    return done / (seconds * evidence.deployment.total_slots)
+    on_time_work = bench_ideal.work_between(spans, 0.0, seconds)
+    return on_time_work / (seconds * evidence.deployment.total_slots)
 
 
 def work_ratio(
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -85,12 +85,12 @@
 ) -> dict[str, Figure]:
     """Return the figures of the completed jobs' response times."""
     times = bench_measures.response_times(evidence)
-    found = bench_measures.compare_to_ideal(times, ideal.responses)
+    responses = bench_measures.compare_to_ideal(times, ideal.responses)
     figures: dict[str, Figure] = {
         'fairness': bench_measures.fairness(evidence, ideal.responses)
     }
-    if found is not None:
-        figures = {**dataclasses.asdict(found), **figures}
+    if responses is not None:
+        figures = {**dataclasses.asdict(responses), **figures}
         figures['completed_jobs'] = figures.pop('jobs')
     return figures
 
@@ -120,15 +120,15 @@
 
 def outcome_figures(evidence: bench_evidence.Evidence) -> dict[str, Figure]:
     """Return the outcomes of the jobs as their callers received them."""
-    firsts = list(bench_measures.first_replies(evidence).values())
-    refused = sum(map(bench_measures.is_refused, firsts))
-    done = len(bench_measures.completed_replies(evidence))
+    replies = list(bench_measures.first_replies(evidence).values())
+    refused = sum(map(bench_measures.is_refused, replies))
+    completed = len(bench_measures.completed_replies(evidence))
     missed = bench_measures.missed_deadlines(evidence)
-    accepted = len(firsts) - refused
+    accepted = len(replies) - refused
     return {
         'refused_jobs': refused,
-        'failed_jobs': accepted - done,
-        'failed_share': (accepted - done) / accepted if accepted else 0.0,
+        'failed_jobs': accepted - completed,
+        'failed_share': (accepted - completed) / accepted if accepted else 0.0,
         'missed_deadlines': missed,
         'met_deadline_share': 1 - missed / accepted if accepted else None,
         'goodput_share': bench_measures.goodput(evidence),
@@ -221,8 +221,8 @@
 def new_plot() -> tuple[typing.Any, typing.Any]:
     """Return an empty plot.
 
-    The import is here because matplotlib needs much memory, which only plots
-    are to cost.
+    matplotlib is imported here because it needs much memory, which only the
+    commands that draw a plot should use.
     """
     import matplotlib
 
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -71,11 +71,15 @@
     played = asyncio.run(play(load, deployment, options.policy))
     if options.pattern is not bench_plan.Pattern.HOT:
         return played
-    light = tuple(
+    light_jobs = tuple(
         job for job in load.jobs if job.team.startswith(LIGHT_TEAM_PREFIX)
     )
     alone = asyncio.run(
-        play(dataclasses.replace(load, jobs=light), deployment, options.policy)
+        play(
+            dataclasses.replace(load, jobs=light_jobs),
+            deployment,
+            options.policy,
+        )
     )
     return add_figures(played, light_figures(played, alone))
 
@@ -105,16 +109,16 @@
         await installation.start()
         for change in first_changes:
             await installation.change(change)
-        before, sent = installation.traffic(), installation.bytes_sent()
+        before, bytes_sent = installation.traffic(), installation.bytes_sent()
         recorder.start_run()
         lag = bench_lag.LoopLag()
         lag.start()
-        cpu = time.process_time()
+        cpu_seconds = time.process_time()
         await player.play()
-        cpu = time.process_time() - cpu
+        cpu_seconds = time.process_time() - cpu_seconds
         lag.stop()
         traffic = installation.traffic_since(before)
-        sent = installation.bytes_sent() - sent
+        bytes_sent = installation.bytes_sent() - bytes_sent
     finally:
         callers.close()
         await installation.stop()
@@ -129,10 +133,10 @@
     extra: Figures = {
         'policy': policy or 'default',
         **run_figures(evidence, callers, player, installation),
-        'bytes': sent,
+        'bytes': bytes_sent,
         **lag.figures(),
-        'cpu_seconds_all_processes_and_bench': cpu,
-        'starts_per_cpu_second_of_all': len(recorder.runs) / cpu,
+        'cpu_seconds_all_processes_and_bench': cpu_seconds,
+        'starts_per_cpu_second_of_all': len(recorder.runs) / cpu_seconds,
     }
     report = bench_report.summarize(evidence, simulate_ideal(evidence), extra)
     return PlayResult(report, evidence)
@@ -152,8 +156,10 @@
     excluded |= {reply.job for reply in evidence.replies if reply.cancelled}
     jobs = [job for job in evidence.load.jobs if job.number not in excluded]
     closures = [
-        bench_ideal.Closure(one.zone, one.in_force_at, one.returned_at)
-        for one in evidence.departures
+        bench_ideal.Closure(
+            departure.zone, departure.in_force_at, departure.returned_at
+        )
+        for departure in evidence.departures
     ]
     return bench_ideal.simulate(jobs, evidence.deployment, closures)
 
@@ -235,19 +241,19 @@
     """Return the light teams' mean response with and without heavy teams."""
     plans = {job.number: job for job in with_heavy.evidence.load.jobs}
     times = bench_measures.response_times(with_heavy.evidence)
-    beside = [
+    times_with_heavy = [
         value
         for number, value in times.items()
         if plans[number].team.startswith(LIGHT_TEAM_PREFIX)
     ]
-    free = list(bench_measures.response_times(alone.evidence).values())
-    if not beside or not free:
+    times_alone = list(bench_measures.response_times(alone.evidence).values())
+    if not times_with_heavy or not times_alone:
         return {'light_over_alone_mean': None}
     return {
-        'light_mean_seconds': statistics.fmean(beside),
-        'light_alone_mean_seconds': statistics.fmean(free),
-        'light_over_alone_mean': statistics.fmean(beside)
-        / statistics.fmean(free),
+        'light_mean_seconds': statistics.fmean(times_with_heavy),
+        'light_alone_mean_seconds': statistics.fmean(times_alone),
+        'light_over_alone_mean': statistics.fmean(times_with_heavy)
+        / statistics.fmean(times_alone),
     }
 
 
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -21,11 +21,11 @@
     def __init__(self, clock: types.Clock):
         self.runs: list[bench_evidence.Run] = []
         self._clock = clock
-        self._begin = clock.now()
+        self._run_started_at = clock.now()
 
     def start_run(self) -> None:
         """Set the start of the run to the present instant."""
-        self._begin = self._clock.now()
+        self._run_started_at = self._clock.now()
 
     def now(self) -> float:
         """Return the seconds since the start of the run."""
@@ -33,14 +33,14 @@
 
     def to_run_seconds(self, instant: float) -> float:
         """Convert an instant to seconds since the start of the run."""
-        return instant - self._begin
+        return instant - self._run_started_at
 
-    def started(self, run: bench_evidence.Run) -> int:
-        """Record a start; return its position for :meth:`ended`."""
+    def record_start(self, run: bench_evidence.Run) -> int:
+        """Record a start; return its position for :meth:`record_end`."""
         self.runs.append(run)
         return len(self.runs) - 1
 
-    def ended(self, position: int, failed: bool) -> None:
+    def record_end(self, position: int, failed: bool) -> None:
         """Record the end of a run."""
         self.runs[position] = dataclasses.replace(
             self.runs[position], end=self.now(), failed=failed
@@ -74,7 +74,7 @@
         key, index = task
         now = self._recorder.now()
         # The run counts as unfinished until its end is recorded.
-        position = self._recorder.started(
+        position = self._recorder.record_start(
             bench_evidence.Run(
                 key,
                 bench_violations.task_id(index),
@@ -85,8 +85,12 @@
             )
         )
 
-        def ended(state: types.TaskState, body: bytes, reason: str) -> None:
-            self._recorder.ended(position, state is types.TaskState.FAILED)
+        def record_end(
+            state: types.TaskState, body: bytes, reason: str
+        ) -> None:
+            self._recorder.record_end(
+                position, state is types.TaskState.FAILED
+            )
             done(state, body, reason)
 
-        super().start(task, payload, ended)
+        super().start(task, payload, record_end)
--- a/src/agatepick/bench/bench_violations.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -75,7 +75,7 @@
 
 def describe_second_starts(evidence: bench_evidence.Evidence) -> str:
     """List the first few tasks with several starts, with their runs."""
-    doubled = [
+    repeated_tasks = [
         pair
         for pair, count in count_starts(evidence.runs).items()
         if count > 1
@@ -87,7 +87,7 @@
             for run in evidence.runs
             if (run.key, run.task) == (key, task)
         )
-        for key, task in doubled[:MAX_LISTED_TASKS]
+        for key, task in repeated_tasks[:MAX_LISTED_TASKS]
     )
 
 
@@ -128,14 +128,16 @@
     if answer is None:
         return 0
     if answer.status is types.JobStatus.NOT_RUN:
-        claimed = {task_id(position) for position in range(len(plan.tasks))}
+        not_run_ids = {
+            task_id(position) for position in range(len(plan.tasks))
+        }
     else:
-        claimed = {
+        not_run_ids = {
             task.id
             for task in answer.tasks
             if task.outcome is types.Outcome.NOT_RUN
         }
-    return sum(starts.get((reply.key, task), 0) > 0 for task in claimed)
+    return sum(starts.get((reply.key, task), 0) > 0 for task in not_run_ids)
 
 
 def task_id(position: int) -> str:
@@ -153,8 +155,8 @@
         types.JobStatus.NOT_RUN,
     ):
         return False
-    wanted = [task_id(position) for position in range(len(plan.tasks))]
-    if sorted(task.id for task in answer.tasks) != sorted(wanted):
+    expected_ids = [task_id(position) for position in range(len(plan.tasks))]
+    if sorted(task.id for task in answer.tasks) != sorted(expected_ids):
         return True
     finished = all(
         task.outcome is types.Outcome.FINISHED for task in answer.tasks
--- a/src/agatepick/capacity/slopes_command.py
+++ b/src/agatepick/capacity/slopes_command.py
@@ -30,23 +30,27 @@
         slopes_programs.write_settings(pathlib.Path(write), entries, agents)
         return commands.Output('')
     if read:
-        found = slopes_programs.measure_points(pathlib.Path(read), mode)
-        lines = [msgspec.json.encode(one).decode() for one in found]
+        measured_points = slopes_programs.measure_points(
+            pathlib.Path(read), mode
+        )
+        lines = [
+            msgspec.json.encode(point).decode() for point in measured_points
+        ]
         return commands.Output('\n'.join(lines))
-    measured = slopes_wire.measure()
+    fitted_lines = slopes_wire.measure()
     if points:
-        measured += slopes.fit_all(
+        fitted_lines += slopes.fit_all(
             slopes_programs.LINE_SPECS,
             slopes_programs.load_points(pathlib.Path(points)),
         )
-    result = slopes.Slopes(measured)
+    result = slopes.Slopes(fitted_lines)
     return commands.Output(result.as_json() if json else as_table(result))
 
 
-def as_table(found: slopes.Slopes) -> str:
+def as_table(measurement: slopes.Slopes) -> str:
     """Return one line of text for each fitted line."""
     return '\n'.join(
         f'{line.name:<32} {line.slope:12.4g} {line.unit} per {line.over}, '
         f'{line.intercept:.4g} at 0, residual {line.residual:.1%}'
-        for line in found.lines
+        for line in measurement.lines
     )
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -33,7 +33,8 @@
 TASKS_PER_JOB = (1, 8, 32, 130)
 MEMORY_STEPS = 5
 MAX_OPEN_TASKS = 260
-"""Further tasks would only wait in the entry's queue."""
+"""Limit of tasks in submitted jobs without an answer.  Further tasks would
+only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
 IDLE_BY_AGENTS = 'idle-by-agents'
@@ -284,8 +285,8 @@
         sent += await _submit_jobs(callers, tasks)
         resident = slopes_process.mean_usage(
             [
-                slopes_process.compute_usage(one, one, 1.0)
-                for one in _take_samples(pids['entry'])
+                slopes_process.compute_usage(sample, sample, 1.0)
+                for sample in _take_samples(pids['entry'])
             ]
         ).resident_bytes
         points.append(Point(line, sent * tasks, resident))
@@ -327,14 +328,14 @@
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
     semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
 
-    async def one(number: int) -> None:
+    async def submit_one(number: int) -> None:
         job = bench_arrivals.JobPlan(
             number, 0.0, f'team-{number % 4}', plan * tasks
         )
         async with semaphore:
             await callers.submit(job)
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(submit_one(number) for number in range(count)))
     return count
 
 
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -26,7 +26,7 @@
 LOADED_SHARE = 0.5
 TASK_SECONDS = 0.1
 SETTLE_SECONDS = 2.0
-"""Handshakes and the listing of entries are complete by then."""
+"""Time until handshakes and the listing of entries are complete."""
 AGENT_COUNTS = (4, 8, 16, 32)
 ENTRY_COUNTS = (2, 3, 4, 6)
 FEW_AGENTS = 4
@@ -168,12 +168,12 @@
     counts = installation.table.counts
     return Reading(
         tuple(
-            total_traffic(one.process.links.traffic)
-            for one in installation.entries
+            total_traffic(site.process.links.traffic)
+            for site in installation.entries
         ),
         tuple(
-            total_traffic(one.process.links.traffic)
-            for one in installation.agents
+            total_traffic(site.process.links.traffic)
+            for site in installation.agents
         ),
         counts.reads,
         counts.writes,
@@ -202,7 +202,7 @@
     )
 
 
-def make_installation(
+def make_setup(
     entries: int, agents: int, jobs: tuple[bench_arrivals.JobPlan, ...] = ()
 ) -> tuple[
     bench_arrivals.Load, bench_plan.Deployment, bench_upstream.StartRecorder
@@ -221,7 +221,7 @@
     points: Points, entries: int, agents: int, by_agents: bool
 ) -> None:
     """Measure an installation without jobs."""
-    load, deployment, recorder = make_installation(entries, agents)
+    load, deployment, recorder = make_setup(entries, agents)
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
@@ -248,7 +248,7 @@
 
 async def measure_changes(points: Points, rate: float) -> None:
     """Measure an installation whose configuration changes at a rate."""
-    load, deployment, recorder = make_installation(FEW_ENTRIES, FEW_AGENTS)
+    load, deployment, recorder = make_setup(FEW_ENTRIES, FEW_AGENTS)
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
@@ -297,9 +297,7 @@
     """Measure an installation under load with jobs of one size."""
     deployment = bench_plan.DEPLOYMENTS['lectores']
     jobs = make_even_jobs(deployment, tasks)
-    load, _, _ = make_installation(
-        deployment.entries, deployment.workers, jobs
-    )
+    load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
     played = await bench_run.play(load, deployment)
     figures = played.report.figures
     counts = played.evidence.traffic.counts
@@ -314,9 +312,7 @@
     """Measure the quota messages with a number of active teams."""
     deployment = bench_plan.DEPLOYMENTS['lectores']
     jobs = make_even_jobs(deployment, 4, teams)
-    load, _, _ = make_installation(
-        deployment.entries, deployment.workers, jobs
-    )
+    load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
     quotas = tuple(
         cluster.QuotaSet(f'team-{number}', deployment.total_slots)
         for number in range(teams)
--- a/src/agatepick/cli.py
+++ b/src/agatepick/cli.py
@@ -61,11 +61,11 @@
 
 def _parse(argv: list[str]) -> command_tree.Run | None:
     """Return the action of a command line; ``None`` if help was shown."""
-    chosen = command_tree.Commands()
+    commands = command_tree.Commands()
     out, err = io.StringIO(), io.StringIO()
     try:
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            fire.Fire(chosen.tree(), command=argv, name='agatepick')
+            fire.Fire(commands.tree(), command=argv, name='agatepick')
     except fire.core.FireExit as exc:
         if exc.code == 0:
             _print((out.getvalue() + err.getvalue()).strip())
@@ -73,9 +73,9 @@
         raise exceptions.BadUsage(
             _describe_usage_error(err.getvalue())
         ) from None
-    if chosen.run is None:
+    if commands.run is None:
         _print(out.getvalue().strip())
-    return chosen.run
+    return commands.run
 
 
 def _describe_usage_error(text: str) -> str:
--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -160,16 +160,18 @@
         """
         body = encode(job)
         key = key or new_key()
-        until = time.monotonic() + job.timeout_seconds
+        deadline = time.monotonic() + job.timeout_seconds
         for tries in itertools.count(1):
-            left = max(until - time.monotonic(), MIN_TIMEOUT_SECONDS)
-            fetched = await self._post(body, key, left)
-            pause = self._compute_pause(tries, _get_retry_after(fetched))
-            late = time.monotonic() + pause >= until
-            if late or not _is_retryable(fetched):
-                return dataclasses.replace(_unwrap(fetched), tries=tries)
-            await asyncio.sleep(pause)
-            if _is_rejection(fetched):
+            remaining_seconds = max(
+                deadline - time.monotonic(), MIN_TIMEOUT_SECONDS
+            )
+            fetch_result = await self._post(body, key, remaining_seconds)
+            delay = self._compute_delay(tries, _get_retry_after(fetch_result))
+            late = time.monotonic() + delay >= deadline
+            if late or not _is_retryable(fetch_result):
+                return dataclasses.replace(_unwrap(fetch_result), tries=tries)
+            await asyncio.sleep(delay)
+            if _is_rejection(fetch_result):
                 key = new_key()
         raise AssertionError('unreachable')
 
@@ -181,15 +183,21 @@
         """Cancel a job and return its status."""
         return _unwrap(await self._fetch('DELETE', f'/v1/jobs/{key}'))
 
-    async def _post(self, body: bytes, key: str, left: float) -> FetchResult:
+    async def _post(
+        self, body: bytes, key: str, remaining_seconds: float
+    ) -> FetchResult:
         headers = {
             'Content-Type': 'application/json',
             'Idempotency-Key': key,
         }
-        fetched = await self._fetch(
-            'POST', '/v1/jobs', body, headers, left + ANSWER_GRACE_SECONDS
+        fetch_result = await self._fetch(
+            'POST',
+            '/v1/jobs',
+            body,
+            headers,
+            remaining_seconds + ANSWER_GRACE_SECONDS,
         )
-        return fetched.map(
+        return fetch_result.map(
             lambda job_result: dataclasses.replace(job_result, job=key)
         )
 
@@ -228,7 +236,7 @@
             self._next_entry += 1
         return result.Success(_parse_response(response, entry))
 
-    def _compute_pause(self, tries: int, min_seconds: float) -> float:
+    def _compute_delay(self, tries: int, min_seconds: float) -> float:
         """Return the seconds until the next attempt.
 
         Callers that were rejected together would otherwise retry together
@@ -283,8 +291,9 @@
 ) -> JobResult:
     """Return the job result in a response.
 
-    A response from something other than agatepick, such as a balancer, leaves
-    the outcome pending; after "not run" the job might run twice.
+    The job result of a response that isn't from agatepick, such as one from a
+    balancer, is pending.  The job may be running, and after "not run" the
+    caller would submit it again, so that it could run twice.
     """
     try:
         reply = msgspec.json.decode(response.body, type=_Reply)
@@ -295,7 +304,7 @@
             types.JobStatus.PENDING,
             http_status=response.code,
             code='no_agatepick',
-            detail=f'HTTP {response.code}: the response is not from agatepick',
+            detail=f'HTTP {response.code} without an answer of agatepick',
             step='request',
             peer=entry,
         )
@@ -322,13 +331,13 @@
     return float(header) if header.isdigit() else 0.0
 
 
-def _is_rejection(fetched: FetchResult) -> bool:
-    job_result = fetched.value_or(None)
+def _is_rejection(fetch_result: FetchResult) -> bool:
+    job_result = fetch_result.value_or(None)
     return job_result is not None and job_result.run == types.JobStatus.NOT_RUN
 
 
-def _is_retryable(fetched: FetchResult) -> bool:
-    job_result = fetched.value_or(None)
+def _is_retryable(fetch_result: FetchResult) -> bool:
+    job_result = fetch_result.value_or(None)
     if job_result is None:
         return True
     if job_result.run == types.JobStatus.NOT_RUN:
@@ -339,13 +348,13 @@
     )
 
 
-def _get_retry_after(fetched: FetchResult) -> float:
-    job_result = fetched.value_or(None)
+def _get_retry_after(fetch_result: FetchResult) -> float:
+    job_result = fetch_result.value_or(None)
     return 0.0 if job_result is None else job_result.retry_after
 
 
-def _unwrap(fetched: FetchResult) -> JobResult:
-    match fetched:
+def _unwrap(fetch_result: FetchResult) -> JobResult:
+    match fetch_result:
         case result.Success(job_result):
             return typing.cast(JobResult, job_result)
         case result.Failure(exc):
--- a/src/agatepick/cmd/command_tree.py
+++ b/src/agatepick/cmd/command_tree.py
@@ -398,7 +398,9 @@
         faults = exc.message.splitlines()
         return commands.Output(json.dumps({'faults': faults}), exc.exit_status)
     kind = next(
-        name for name, one in settings.KINDS.items() if type(cfg) is one
+        name
+        for name, settings_class in settings.KINDS.items()
+        if type(cfg) is settings_class
     )
     if as_json:
         return commands.Output(json.dumps({'program': kind, 'faults': []}))
@@ -408,7 +410,7 @@
 def _run_bench(
     pattern: str, options: dict[str, typing.Any]
 ) -> commands.Output:
-    patterns = [one.value for one in bench_plan.Pattern]
+    patterns = [member.value for member in bench_plan.Pattern]
     if pattern not in (*patterns, SLOPES):
         raise exceptions.BadUsage(
             f'bench: found {pattern!r}; allowed: {", ".join(patterns)}, '
@@ -424,7 +426,7 @@
         if name not in BENCH_OPTIONS:
             raise exceptions.BadUsage(
                 f'bench: found --{name}; allowed: '
-                f'{", ".join(f"--{one}" for one in BENCH_OPTIONS)}'
+                f'{", ".join(f"--{option}" for option in BENCH_OPTIONS)}'
             )
     for name in ('seed', 'seconds', 'load'):
         if name in options:
@@ -438,8 +440,8 @@
 
 
 def _check_number(name: str, value: object) -> None:
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not 0 < float(typing.cast(float, value)) <= 86400:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 < float(typing.cast(float, value)) <= 86400:
         raise exceptions.BadUsage(
             f'{name}: found {value!r}; allowed: a number over 0, up to 86400'
         )
--- a/src/agatepick/cmd/commands.py
+++ b/src/agatepick/cmd/commands.py
@@ -31,7 +31,7 @@
     types.JobStatus.FAILED: 4,
     types.JobStatus.PENDING: 5,
 }
-"""Exit status by job status."""
+"""Exit status of a command that shows a job, by the job's status."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,17 +81,19 @@
     def caller(self) -> client.Client:
         """Return a client of the callers' API."""
         return client.Client(
-            self.entries, token=self.token, tls=self._context(self.entries[0])
+            self.entries,
+            token=self.token,
+            tls=self._make_tls_context(self.entries[0]),
         )
 
     def operator(self, url: str = '') -> operator_client.OperatorClient:
         """Return a client of the operators' API of one entry."""
         url = url or self.entries[0]
         return operator_client.OperatorClient(
-            url, self.token, self._context(url)
+            url, self.token, self._make_tls_context(url)
         )
 
-    def _context(self, url: str) -> typing.Any:
+    def _make_tls_context(self, url: str) -> typing.Any:
         if not url.startswith('https://'):
             return None
         return tls.make_caller_context(self.authority)
@@ -187,7 +189,7 @@
         data = await _propose(
             clients[0], 'PUT', path, body, based_on, wait=True
         )
-        drained = await draining.wait_until_empty(
+        drain_result = await draining.wait_until_empty(
             clients,
             zone,
             int(data['version']),
@@ -198,8 +200,8 @@
         for operator in clients:
             operator.close()
     if site.as_json:
-        return Output(json.dumps(dataclasses.asdict(drained)))
-    return Output(drained.show())
+        return Output(json.dumps(dataclasses.asdict(drain_result)))
+    return Output(drain_result.show())
 
 
 async def _wait_until_in_force(
@@ -252,18 +254,19 @@
     lines = [f'job {job_result.job or "-"}: {job_result.run.value}']
     if job_result.code or job_result.detail:
         lines[0] += (
-            f': {job_result.detail or job_result.code} ({_where(job_result)})'
+            f': {job_result.detail or job_result.code} '
+            f'({_format_details(job_result)})'
         )
     if job_result.retry_after:
         lines[0] += f'; try again in {job_result.retry_after:g} s'
     for task in job_result.tasks:
         body = '' if task.body is None else f' {json.dumps(task.body)}'
-        why = f': {task.reason}' if task.reason else ''
-        lines.append(f'  {task.id}: {task.outcome.value}{why}{body}')
+        reason_text = f': {task.reason}' if task.reason else ''
+        lines.append(f'  {task.id}: {task.outcome.value}{reason_text}{body}')
     return Output('\n'.join(lines), status)
 
 
-def _where(job_result: client.JobResult) -> str:
+def _format_details(job_result: client.JobResult) -> str:
     parts = [
         f'{name}={value}'
         for name, value in (
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -151,10 +151,14 @@
         ]
         progress = asyncio.create_task(self._report_progress())
         operations = asyncio.create_task(self._run_operations())
-        left = self._seconds + DRAIN_SECONDS - self._recorder.now()
-        _, late = await asyncio.wait([*jobs, operations], timeout=left)
+        remaining_seconds = (
+            self._seconds + DRAIN_SECONDS - self._recorder.now()
+        )
+        _, unfinished = await asyncio.wait(
+            [*jobs, operations], timeout=remaining_seconds
+        )
         progress.cancel()
-        for task in late:
+        for task in unfinished:
             task.cancel()
         await asyncio.gather(
             *jobs, operations, progress, return_exceptions=True
@@ -192,8 +196,8 @@
         await self._change(cluster.PresetUse('ordinary'))
 
     async def _change(self, change: cluster.Change) -> cluster.Proposed:
-        what = _describe_change(change)
-        self._print_event(f'operator: {what}')
+        description = _describe_change(change)
+        self._print_event(f'operator: {description}')
         verdict = await self._cluster.change(change)
         in_force = self._recorder.to_run_seconds(verdict.in_force_at)
         self._print_event(
@@ -203,7 +207,7 @@
         await asyncio.sleep(
             in_force - self._recorder.now() + CHECK_DELAY_SECONDS
         )
-        self._print_event(f'in force: {what}')
+        self._print_event(f'in force: {description}')
         return verdict
 
     def _cut_connections(self, entry: bench_cluster.EntrySite) -> None:
@@ -275,17 +279,17 @@
 
 def compute_measures(evidence: bench_evidence.Evidence) -> Measures:
     """Return the measurements of a run."""
-    by_run = collections.Counter(
-        'none' if one.answer is None else one.answer.status.value
-        for one in evidence.replies
+    count_by_status = collections.Counter(
+        'none' if reply.answer is None else reply.answer.status.value
+        for reply in evidence.replies
     )
     times = [
-        one.received_at - one.sent_at
-        for one in evidence.replies
-        if one.answer is not None
-        and one.answer.status is types.JobStatus.COMPLETE
+        reply.received_at - reply.sent_at
+        for reply in evidence.replies
+        if reply.answer is not None
+        and reply.answer.status is types.JobStatus.COMPLETE
     ]
-    counted = {
+    message_counts = {
         kind: count
         for kind, count in evidence.traffic.counts.items()
         if kind not in bench_evidence.HEARTBEATS
@@ -293,37 +297,38 @@
     starts = collections.Counter(run.zone for run in evidence.runs)
     return Measures(
         jobs=len(evidence.load.jobs),
-        complete=by_run['complete'],
-        refused=by_run['not_run'],
-        failed=by_run['failed'],
-        unanswered=by_run['none'] + by_run['pending'],
+        complete=count_by_status['complete'],
+        refused=count_by_status['not_run'],
+        failed=count_by_status['failed'],
+        unanswered=count_by_status['none'] + count_by_status['pending'],
         tasks_started=len(evidence.runs),
         mean_seconds=statistics.fmean(times) if times else 0.0,
         longest_seconds=max(times, default=0.0),
-        messages_per_task=sum(counted.values()) / max(1, len(evidence.runs)),
+        messages_per_task=sum(message_counts.values())
+        / max(1, len(evidence.runs)),
         starts_by_zone=dict(starts),
     )
 
 
-def format_report(measured: Measures, promises: dict[str, int]) -> list[str]:
+def format_report(measures: Measures, violations: dict[str, int]) -> list[str]:
     """Return the lines of the final report."""
     zones = ', '.join(
-        f'{zone} {count}' for zone, count in measured.starts_by_zone.items()
+        f'{zone} {count}' for zone, count in measures.starts_by_zone.items()
     )
     return [
         '',
-        f'jobs: {measured.jobs}, of which complete {measured.complete}, '
-        f'not run {measured.refused}, failed {measured.failed}, '
-        f'without an answer {measured.unanswered}',
-        f'tasks started, counted by the workers: {measured.tasks_started} '
+        f'jobs: {measures.jobs}, of which complete {measures.complete}, '
+        f'not run {measures.refused}, failed {measures.failed}, '
+        f'without an answer {measures.unanswered}',
+        f'tasks started, counted by the workers: {measures.tasks_started} '
         f'({zones})',
-        f'response of complete jobs: mean {measured.mean_seconds * 1000:.0f} '
-        f'ms, longest {measured.longest_seconds * 1000:.0f} ms',
+        f'response of complete jobs: mean {measures.mean_seconds * 1000:.0f} '
+        f'ms, longest {measures.longest_seconds * 1000:.0f} ms',
         f'messages between processes for each task: '
-        f'{measured.messages_per_task:.2f}',
+        f'{measures.messages_per_task:.2f}',
         '',
-        *[f'{name}: {count}' for name, count in promises.items()],
-        f'promises broken: {sum(promises.values())}',
+        *[f'{name}: {count}' for name, count in violations.items()],
+        f'promises broken: {sum(violations.values())}',
     ]
 
 
@@ -339,12 +344,12 @@
             f'an operation of the demo failed: {watch.operation_failure}',
             step='demo',
         )
-    promises = count_violations(evidence, watch)
-    measured = compute_measures(evidence)
-    status = 1 if sum(promises.values()) else 0
+    violations = count_violations(evidence, watch)
+    measures = compute_measures(evidence)
+    status = 1 if sum(violations.values()) else 0
     if as_json:
-        data = {**dataclasses.asdict(measured), 'promises': promises}
+        data = {**dataclasses.asdict(measures), 'promises': violations}
         return commands.Output(json.dumps(data), status)
     return commands.Output(
-        '\n'.join(format_report(measured, promises)), status
+        '\n'.join(format_report(measures, violations)), status
     )
--- a/src/agatepick/cmd/draining.py
+++ b/src/agatepick/cmd/draining.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drained:
+class DrainResult:
     """Result of draining a zone.
 
     :param last_start_after_acceptance: seconds from the acceptance of the
@@ -53,7 +53,7 @@
     version: int,
     accepted_at: float,
     timeout_seconds: float,
-) -> Drained:
+) -> DrainResult:
     """Wait until no entry has a running task in a zone.
 
     :param accepted_at: acceptance time of the change, by the entries' clock.
@@ -64,14 +64,14 @@
         answers = [await client.get('/v1/status') for client in clients]
         zone_work = [_get_zone_work(answer.data, zone) for answer in answers]
         if not sum(work['running'] for work in zone_work):
-            last = (
+            last_start_delay = (
                 max(work['last_start_at'] for work in zone_work) - accepted_at
             )
             listed = answers[0].data['configuration']['entries']
-            return Drained(
+            return DrainResult(
                 zone,
                 version,
-                round(last, 3) if last > 0 else None,
+                round(last_start_delay, 3) if last_start_delay > 0 else None,
                 len(clients),
                 len([entry for entry in listed if not entry['removed_at']]),
             )
--- a/src/agatepick/cmd/explain.py
+++ b/src/agatepick/cmd/explain.py
@@ -39,7 +39,7 @@
     'run_over': 'a run ended through no fault of its own and was repeated',
     'run_unrenewed': 'its entry renewed the lease too late; runs were ended',
 }
-"""Events that delay a job which still completes."""
+"""Explanations of the events that delay a job which still completes."""
 
 _RUNS_ENDED_BY_AGENT = ('run_unrenewed', 'run_abandoned')
 
@@ -76,8 +76,8 @@
 
 def collect_lines(lines: typing.Iterable[str], job: str) -> list[Line]:
     """Return the events of a request, sorted by time."""
-    needle = f'job={job}'
-    parsed = [parse(text) for text in lines if needle in text]
+    job_field = f'job={job}'
+    parsed = [parse(text) for text in lines if job_field in text]
     matching = [
         line for line in parsed if line and line.fields.get('job') == job
     ]
@@ -86,26 +86,31 @@
 
 def find_cause(lines: list[Line]) -> str:
     """Return the cause of a request's outcome, or of its delay."""
-    ends = [line for line in lines if line.event in END_EVENTS]
-    if not ends:
+    end_lines = [line for line in lines if line.event in END_EVENTS]
+    if not end_lines:
         return _describe_lost(lines)
-    end = ends[-1].fields
-    reason = end.get('reason', '')
+    end_fields = end_lines[-1].fields
+    reason = end_fields.get('reason', '')
     if (
-        end.get('verdict') == 'complete'
-        and parse_number(ends[-1], 'late') > 0.0
+        end_fields.get('verdict') == 'complete'
+        and parse_number(end_lines[-1], 'late') > 0.0
     ):
-        return f'late by {end["late"]} s: {find_delay(lines, ends[-1]).text}'
-    known = REASON_TEXTS.get(reason, 'unknown reason')
-    return f'{reason}: {known}'
+        return (
+            f'late by {end_fields["late"]} s: '
+            f'{find_delay(lines, end_lines[-1]).text}'
+        )
+    explanation = REASON_TEXTS.get(reason, 'unknown reason')
+    return f'{reason}: {explanation}'
 
 
 def _describe_lost(lines: list[Line]) -> str:
     text = 'no end was logged: its entry was lost, or the log is cut off'
-    ended = [line for line in lines if line.event in _RUNS_ENDED_BY_AGENT]
-    if not ended:
+    agent_lines = [
+        line for line in lines if line.event in _RUNS_ENDED_BY_AGENT
+    ]
+    if not agent_lines:
         return text
-    agents = ', '.join(sorted({line.process for line in ended}))
+    agents = ', '.join(sorted({line.process for line in agent_lines}))
     return f'{text}; its runs were ended by {agents}'
 
 
@@ -126,19 +131,19 @@
     for line in lines:
         if line.event in DELAY_TEXTS:
             # The entry logs run_stuck; agents log the other events.
-            stuck = line.event == 'run_stuck'
-            where = line.fields.get('peer', '') if stuck else line.process
-            text = f'{line.event} ({where}): {DELAY_TEXTS[line.event]}'
+            is_stuck = line.event == 'run_stuck'
+            process = line.fields.get('peer', '') if is_stuck else line.process
+            text = f'{line.event} ({process}): {DELAY_TEXTS[line.event]}'
             return Delay(line.event, text)
     admissions = [line for line in lines if line.event == 'job_admitted']
     slack = parse_number(admissions[-1], 'slack') if admissions else 0.0
-    for field, code, what in (
+    for field, code, subject in (
         ('began', 'waited', 'it'),
         ('all_began', 'waited_for_last', 'its last task'),
     ):
         if parse_number(end, field) > slack:
-            waited = end.fields[field]
-            text = f'{what} waited {waited} s for room, its slack was'
+            wait_text = end.fields[field]
+            text = f'{subject} waited {wait_text} s for room, its slack was'
             return Delay(code, f'{text} {slack} s')
     return Delay('slow', 'its tasks took longer than expected')
 
--- a/src/agatepick/cmd/summary.py
+++ b/src/agatepick/cmd/summary.py
@@ -67,10 +67,12 @@
     second = int(job_lines[0].at - start)
     queues = [line.fields.get('queue', '') for line in job_lines]
     queue = next((queue_name for queue_name in queues if queue_name), '')
-    ends = [line for line in job_lines if line.event in explain.END_EVENTS]
-    if not ends:
+    end_lines = [
+        line for line in job_lines if line.event in explain.END_EVENTS
+    ]
+    if not end_lines:
         return FailureGroup(second, queue, 'lost', 'no_end_logged')
-    end = ends[-1]
+    end = end_lines[-1]
     outcome = 'refused'
     if end.event == 'job_ended':
         outcome = _OUTCOME_BY_VERDICT.get(
@@ -87,11 +89,13 @@
 
 def show(files: tuple[str, ...]) -> commands.Output:
     """Return the table of groups, preceded by the total of each cause."""
-    counts, number = count_failures(explain.read_lines(files))
+    counts, request_count = count_failures(explain.read_lines(files))
     causes: collections.Counter[tuple[str, str]] = collections.Counter()
     for group, count in counts.items():
         causes[group.outcome, group.cause] += count
-    text = [f'{number} requests, {sum(counts.values())} of them went wrong']
+    text = [
+        f'{request_count} requests, {sum(counts.values())} of them went wrong'
+    ]
     text += [
         f'{count:6} {outcome} {cause}'
         for (outcome, cause), count in causes.most_common()
--- a/src/agatepick/conf/settings_files.py
+++ b/src/agatepick/conf/settings_files.py
@@ -48,7 +48,7 @@
     )
     if name == 'upstream' and 'worker' not in data:
         sections = ', '.join(
-            f'[{one}]' for one in (*_PROGRAM_BY_SECTION, 'worker')
+            f'[{section}]' for section in (*_PROGRAM_BY_SECTION, 'worker')
         )
         raise exceptions.BadSettings(
             f'{path}: no section identifies the program; '
@@ -192,37 +192,38 @@
             f'timing.margin_seconds: found {margin} with fence_seconds = '
             f'{fence}; allowed: at most a quarter of the fence'
         )
-    beat = timing.heartbeat_seconds
-    if fence is not None and beat is not None and beat * 2 > fence:
+    heartbeat = timing.heartbeat_seconds
+    if fence is not None and heartbeat is not None and heartbeat * 2 > fence:
         faults.append(
-            f'timing.heartbeat_seconds: found {beat} with fence_seconds = '
-            f'{fence}; allowed: at most half of the fence'
+            f'timing.heartbeat_seconds: found {heartbeat} with '
+            f'fence_seconds = {fence}; allowed: at most half of the fence'
         )
-    keep, skew = timing.retention_seconds, timing.skew_seconds
-    if keep is not None and skew is not None and skew * 2 > keep:
+    retention, skew = timing.retention_seconds, timing.skew_seconds
+    if retention is not None and skew is not None and skew * 2 > retention:
         faults.append(
             f'timing.skew_seconds: found {skew} with retention_seconds = '
-            f'{keep}; allowed: at most half of the retention'
+            f'{retention}; allowed: at most half of the retention'
         )
     return faults
 
 
 def _find_token_faults(tokens: settings.Tokens) -> list[str]:
-    owners: dict[str, str] = {}
+    name_by_token: dict[str, str] = {}
     faults = []
     pairs = [('operator', tokens.operator)]
     pairs += [
-        (f'teams.{one}', val) for one, val in (tokens.teams or {}).items()
+        (f'teams.{team}', team_token)
+        for team, team_token in (tokens.teams or {}).items()
     ]
     for name, token in pairs:
         if token is None:
             continue
-        if token in owners:
+        if token in name_by_token:
             faults.append(
-                f'tokens.{name}: found the token of tokens.{owners[token]}; '
-                f'allowed: a token of its own'
+                f'tokens.{name}: found the token of '
+                f'tokens.{name_by_token[token]}; allowed: a token of its own'
             )
-        owners.setdefault(token, name)
+        name_by_token.setdefault(token, name)
     return faults
 
 
--- a/src/agatepick/conf/typed_toml.py
+++ b/src/agatepick/conf/typed_toml.py
@@ -53,46 +53,49 @@
         )
     values = {}
     for name, field in fields.items():
-        where = _join_path(path, name)
+        field_path = _join_path(path, name)
         if name in data:
-            values[name] = _build_value(data[name], hints[name], where, faults)
+            values[name] = _build_value(
+                data[name], hints[name], field_path, faults
+            )
         elif _is_required(field):
             faults.append(
-                f'{where}: found nothing; {_describe_allowed(hints[name])}'
+                f'{field_path}: found nothing; '
+                f'{_describe_allowed(hints[name])}'
             )
             values[name] = None
     return kind(**values)
 
 
 def _build_value(
-    found: typing.Any, hint: typing.Any, path: str, faults: list[str]
+    value: typing.Any, hint: typing.Any, path: str, faults: list[str]
 ) -> typing.Any:
     if dataclasses.is_dataclass(hint):
-        if isinstance(found, dict):
-            return _build_section(found, typing.cast(type, hint), path, faults)
+        if isinstance(value, dict):
+            return _build_section(value, typing.cast(type, hint), path, faults)
         faults.append(
-            f'{path}: found {_format_value(found, hint)}; allowed: a table'
+            f'{path}: found {_format_value(value, hint)}; allowed: a table'
         )
         return None
-    if typing.get_origin(hint) is tuple and isinstance(found, list):
-        item = typing.get_args(hint)[0]
+    if typing.get_origin(hint) is tuple and isinstance(value, list):
+        element_hint = typing.get_args(hint)[0]
         return tuple(
-            _build_value(one, item, f'{path}[{index}]', faults)
-            for index, one in enumerate(found)
+            _build_value(element, element_hint, f'{path}[{index}]', faults)
+            for index, element in enumerate(value)
         )
-    if typing.get_origin(hint) is dict and isinstance(found, dict):
-        key_hint, item = typing.get_args(hint)
+    if typing.get_origin(hint) is dict and isinstance(value, dict):
+        key_hint, element_hint = typing.get_args(hint)
         return {
             _build_value(key, key_hint, path, faults): _build_value(
-                one, item, _join_path(path, key), faults
+                element, element_hint, _join_path(path, key), faults
             )
-            for key, one in found.items()
+            for key, element in value.items()
         }
     try:
-        return msgspec.convert(found, hint)
+        return msgspec.convert(value, hint)
     except msgspec.ValidationError:
         faults.append(
-            f'{path}: found {_format_value(found, hint)}; '
+            f'{path}: found {_format_value(value, hint)}; '
             f'{_describe_allowed(hint)}'
         )
         return None
@@ -109,10 +112,10 @@
     return f'{path}.{key}' if path else key
 
 
-def _describe_unknown_key(where: str, key: str, names: list[str]) -> str:
-    close = difflib.get_close_matches(key, names, n=1)
-    hint = f' (did you mean {close[0]!r}?)' if close else ''
-    return f'{where}: found an unknown key{hint}; allowed: {", ".join(names)}'
+def _describe_unknown_key(path: str, key: str, names: list[str]) -> str:
+    similar = difflib.get_close_matches(key, names, n=1)
+    hint = f' (did you mean {similar[0]!r}?)' if similar else ''
+    return f'{path}: found an unknown key{hint}; allowed: {", ".join(names)}'
 
 
 def _find_metas(hint: typing.Any) -> list[msgspec.Meta]:
@@ -147,8 +150,8 @@
     return f'allowed: {_TYPE_DESCRIPTIONS.get(hint, hint)}'
 
 
-def _format_value(found: object, hint: typing.Any) -> str:
+def _format_value(value: object, hint: typing.Any) -> str:
     if any((meta.extra or {}).get('secret') for meta in _find_metas(hint)):
-        return f'a secret that is a {type(found).__name__}'
-    text = repr(found)
+        return f'a secret that is a {type(value).__name__}'
+    text = repr(value)
     return text if len(text) <= 60 else f'{text[:57]}...'
--- a/src/agatepick/runtime/daemons.py
+++ b/src/agatepick/runtime/daemons.py
@@ -133,15 +133,15 @@
 ) -> None:
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
-    for number in _SIGNALS:
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in _SIGNALS:
+        loop.add_signal_handler(signal_number, stop_requested.set)
     reload_task = None
     if contexts is not None and contexts.cfg.enabled:
         reload_task = loop.create_task(_reload_certificates(contexts))
     await stop_requested.wait()
-    for number in _SIGNALS:
+    for signal_number in _SIGNALS:
         # Without a handler a second signal terminates the process.
-        loop.remove_signal_handler(number)
+        loop.remove_signal_handler(signal_number)
     await program.stop()
     if reload_task is not None:
         reload_task.cancel()
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -94,13 +94,13 @@
         stop_seconds: float,
         timeline_events: int,
         metrics_cfg: settings.Metrics,
-        outside: Dependencies,
+        dependencies: Dependencies,
     ):
         self.name = cfg.name
         self.incarnation = new_incarnation()
-        self.outside = outside
+        self.dependencies = dependencies
         self.timeline = timeline.Timeline(
-            cfg.name, timeline_events, outside.clock
+            cfg.name, timeline_events, dependencies.clock
         )
         self.metrics = metrics.Metrics()
         self.metrics_address = ''
@@ -148,17 +148,17 @@
     def _start_shell(
         self, contexts: tls.Contexts, reducer: core.Reducer
     ) -> None:
-        outside = self.outside
-        self.shell = shell.Shell(reducer, outside.clock)
+        dependencies = self.dependencies
+        self.shell = shell.Shell(reducer, dependencies.clock)
         self.links = links.Links(
             self._make_hello,
             self._receive,
-            outside.clock,
-            outside.rng,
+            dependencies.clock,
+            dependencies.rng,
             contexts.peer_server,
             contexts.peer_client,
-            outside.latency,
-            self.timeline.hybrid,
+            dependencies.latency,
+            self.timeline.hybrid_clock,
         )
         self.shell.use_links(self.links)
         self.shell.handle(core.Send, self._send)
@@ -196,10 +196,10 @@
 
     def _render_metrics(self) -> bytes:
         traffic = self.links.traffic
-        self.metrics.gauge('links_messages_out', traffic.messages_out)
-        self.metrics.gauge('links_messages_in', traffic.messages_in)
-        self.metrics.gauge('links_bytes_out', traffic.bytes_out)
-        self.metrics.gauge('links_bytes_in', traffic.bytes_in)
+        self.metrics.set_gauge('links_messages_out', traffic.messages_out)
+        self.metrics.set_gauge('links_messages_in', traffic.messages_in)
+        self.metrics.set_gauge('links_bytes_out', traffic.bytes_out)
+        self.metrics.set_gauge('links_bytes_in', traffic.bytes_in)
         return self.metrics.text()
 
 
@@ -209,7 +209,7 @@
     def __init__(
         self,
         cfg: settings.EntrySettings,
-        outside: Dependencies,
+        dependencies: Dependencies,
         policy: str = placement.DEFAULT_POLICY,
     ):
         super().__init__(
@@ -217,7 +217,7 @@
             cfg.timing.stop_seconds,
             cfg.log.timeline_events,
             cfg.metrics,
-            outside,
+            dependencies,
         )
         self.cfg = cfg
         self._policy = policy
@@ -231,7 +231,7 @@
     def from_settings(
         cls,
         cfg: settings.EntrySettings,
-        outside: Dependencies | None = None,
+        dependencies: Dependencies | None = None,
         policy: str = placement.DEFAULT_POLICY,
     ) -> 'EntryProcess':
         """Return an entry that isn't listening yet.
@@ -239,7 +239,7 @@
         :param policy: placement policy; policies other than the default are
             baselines of the bench.
         """
-        return cls(cfg, outside or Dependencies.real(), policy)
+        return cls(cfg, dependencies or Dependencies.real(), policy)
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
         """Listen and start to follow the configuration."""
@@ -254,7 +254,7 @@
             0.0,
         )
         self.entry = entry.Entry.from_config(
-            self._make_entry_config(), self.outside.rng
+            self._make_entry_config(), self.dependencies.rng
         )
         self._start_shell(contexts or _PLAINTEXT, self.entry)
         self.calls = calls.Calls(self.shell.feed, self.cfg.http.max_open)
@@ -266,11 +266,11 @@
         self.shell.begin()
 
     def _register_table(self) -> None:
-        table = self.outside.table
+        table = self.dependencies.table
         if table is None:
             table = tablestore.TableStore.from_config(
                 tablestore.TableSettings(_strip_scheme(self.cfg.store.url)),
-                self.outside.rng,
+                self.dependencies.rng,
             )
         client = table
         loop = asyncio.get_running_loop()
@@ -290,11 +290,11 @@
         front = web.Front(
             self.name,
             self.calls,
-            self.outside.clock,
+            self.dependencies.clock,
             self.cfg.http,
             self.cfg.tokens,
             self.timeline,
-            lambda: self.entry.ready(self.outside.clock.now()),
+            lambda: self.entry.ready(self.dependencies.clock.now()),
             self.metrics,
         )
         routes = [*callers.routes(front), *operators.routes(front)]
@@ -336,27 +336,31 @@
 class AgentProcess(Process):
     """Process of one agent, which runs beside its upstream."""
 
-    def __init__(self, cfg: settings.AgentSettings, outside: Dependencies):
+    def __init__(
+        self, cfg: settings.AgentSettings, dependencies: Dependencies
+    ):
         super().__init__(
             cfg.process,
             cfg.timing.stop_seconds,
             cfg.log.timeline_events,
             cfg.metrics,
-            outside,
+            dependencies,
         )
         self.cfg = cfg
         self.agent: agent.Agent
         self.upstream_address = ''
         self.operators_address = ''
-        self._runner: upstream.Upstream
-        self._operators: httpserver.HTTPServer | None = None
+        self._upstream: upstream.Upstream
+        self._operators_http: httpserver.HTTPServer | None = None
 
     @classmethod
     def from_settings(
-        cls, cfg: settings.AgentSettings, outside: Dependencies | None = None
+        cls,
+        cfg: settings.AgentSettings,
+        dependencies: Dependencies | None = None,
     ) -> 'AgentProcess':
         """Return an agent that has no connections yet."""
-        return cls(cfg, outside or Dependencies.real())
+        return cls(cfg, dependencies or Dependencies.real())
 
     async def start(self, contexts: tls.Contexts | None = None) -> None:
         """Listen for announcements and connect to the entries."""
@@ -373,15 +377,17 @@
         self.shell.begin()
 
     def _register_upstream(self) -> None:
-        make = self.outside.make_upstream or httpupstream.HttpUpstream
-        runner = make(self._receive_upstream_event)
-        self._runner = runner
+        make_upstream = (
+            self.dependencies.make_upstream or httpupstream.HttpUpstream
+        )
+        task_upstream = make_upstream(self._receive_upstream_event)
+        self._upstream = task_upstream
         self.shell.handle(upstream.RunTask, self._run_task)
-        self.shell.handle(upstream.StopTask, runner.stop)
+        self.shell.handle(upstream.StopTask, task_upstream.stop)
 
     def _run_task(self, effect: upstream.RunTask) -> None:
         self._record_task('task_started', effect, '')
-        self._runner.run(effect)
+        self._upstream.run(effect)
 
     def _receive_upstream_event(self, event: object) -> None:
         if isinstance(event, upstream.TaskEnded):
@@ -410,23 +416,23 @@
         front = web.Front(
             self.name,
             calls.Calls(self.shell.feed),
-            self.outside.clock,
+            self.dependencies.clock,
             settings.Http(cfg.listen),
             settings.Tokens(cfg.token),
             self.timeline,
             measured=self.metrics,
         )
         routes = operators.process_routes(front)
-        self._operators = web.server(front, routes, contexts.http)
+        self._operators_http = web.server(front, routes, contexts.http)
         sockets = _bind_sockets(cfg.listen)
         self.operators_address = _format_address(sockets)
-        self._operators.add_sockets(sockets)
+        self._operators_http.add_sockets(sockets)
 
     def kill(self) -> None:
         """Terminate immediately, as in a crash."""
         super().kill()
-        if self._operators is not None:
-            self._operators.stop()
+        if self._operators_http is not None:
+            self._operators_http.stop()
 
     def _make_hello(self) -> messages.Hello:
         process = self.cfg.process
--- a/src/agatepick/telemetry/metrics.py
+++ b/src/agatepick/telemetry/metrics.py
@@ -116,16 +116,16 @@
         for metric in METRICS.values():
             self._register(metric)
 
-    def count(self, name: str, by: str) -> None:
+    def count(self, name: str, label_value: str) -> None:
         """Increment a counter for one value of its label."""
-        self._counters[name].labels(by).inc()
+        self._counters[name].labels(label_value).inc()
 
-    def gauge(self, name: str, value: float) -> None:
+    def set_gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
         self._gauges[name].set(value)
 
-    def seconds(self, name: str, seconds: float) -> None:
-        """Record a duration."""
+    def observe_seconds(self, name: str, seconds: float) -> None:
+        """Record a duration in a histogram."""
         self._histograms[name].observe(seconds)
 
     def count_note(self, note: core.Note) -> None:
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -138,7 +138,7 @@
     """
 
     def __init__(self, process: str, capacity: int, clock: types.Clock):
-        self.hybrid = HybridClock(clock)
+        self.hybrid_clock = HybridClock(clock)
         self._process = process
         self._clock = clock
         self._records: collections.deque[_Record] = collections.deque(
@@ -164,7 +164,7 @@
 
     def _append(self, note: core.Note | TaskNote) -> None:
         self._records.append(
-            _Record(self.hybrid.stamp(), self._clock.now(), note)
+            _Record(self.hybrid_clock.stamp(), self._clock.now(), note)
         )
 
     def events(
@@ -219,8 +219,8 @@
 def _get_zones(fields: dict[str, str]) -> tuple[str, str]:
     """Return the zones named by an event's ``zone`` and ``about`` fields."""
     subject = fields.get('about', '')
-    named = subject.removeprefix('zone:') if ':' in subject else ''
-    return fields.get('zone', ''), named
+    subject_zone = subject.removeprefix('zone:') if ':' in subject else ''
+    return fields.get('zone', ''), subject_zone
 
 
 def merge(parts: typing.Iterable[list[Event]]) -> list[Event]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -90,7 +90,7 @@
     pytest.fail(f'unexpected event: {event}')
 
 
-def front_of(feed, clock, teams=None, **limits):
+def make_front(feed, clock, teams=None, **limits):
     """Return the handlers' dependencies, with a function as the reducer."""
     http = settings.Http(listen='127.0.0.1:0')
     return web.Front(
@@ -105,8 +105,8 @@
 
 def start_site(feed):
     """Return a running HTTP server with a function as the reducer."""
-    built = front_of(feed, FixedClock())
-    return Site(built, callers.routes(built))
+    site_front = make_front(feed, FixedClock())
+    return Site(site_front, callers.routes(site_front))
 
 
 @pytest.fixture
@@ -119,7 +119,7 @@
     """Builds the handlers' dependencies, with a function as the reducer."""
 
     def build(feed, teams=None, **limits):
-        return front_of(feed, clock, teams, **limits)
+        return make_front(feed, clock, teams, **limits)
 
     return build
 
@@ -136,10 +136,10 @@
             def feed(event):
                 value = answer(event)
                 if value is not None:
-                    built.calls.reply(calls.Reply(event.call, value))
+                    site_front.calls.reply(calls.Reply(event.call, value))
 
-            built = front(feed, **options)
-            site = Site(built, routes(built))
+            site_front = front(feed, **options)
+            site = Site(site_front, routes(site_front))
             try:
                 return await scenario(site)
             finally:
@@ -164,8 +164,8 @@
 def make_finished_task():
     """Builds the answer of a task that the upstream has run."""
 
-    def build(place):
-        task = bench_violations.task_id(place)
+    def build(index):
+        task = bench_violations.task_id(index)
         body = bench_violations.expected_body('key', task)
         return types.TaskAnswer(task, types.Outcome.FINISHED, body)
 
@@ -184,8 +184,8 @@
     def build(answer, starts=(0, 1), departures=()):
         reply = bench_evidence.Reply(0, 'key', 0.0, 2.0, answer)
         runs = tuple(
-            bench_evidence.Run('key', f't{place}', 0, 'talca', 0.5, 1.5)
-            for place in starts
+            bench_evidence.Run('key', f't{index}', 0, 'talca', 0.5, 1.5)
+            for index in starts
         )
         return bench_evidence.Evidence(
             load,
@@ -219,13 +219,13 @@
 def make_dispatch():
     def make(agents=10, slots=8, kinds=('k',), **settings):
         cfg = dispatch.DispatchSettings(**settings)
-        made = dispatch.Dispatch.from_config(cfg, random.Random(1))
+        dispatcher = dispatch.Dispatch.from_config(cfg, random.Random(1))
         for i in range(agents):
             info = dispatch.AgentInfo(f'a{i}', 1, f'z{i % 4}', f'r{i // 3}')
             offer = messages.Offer(
                 1, slots, slots, kinds, types.Needs(64, 256000, 1), False
             )
-            made.apply_offer(info, offer, 0.0)
-        return made
+            dispatcher.apply_offer(info, offer, 0.0)
+        return dispatcher
 
     return make
--- a/tests/local_cluster.py
+++ b/tests/local_cluster.py
@@ -53,16 +53,16 @@
 
     async def add_agent(self, name: str, zone: str = 'z1', slots: int = 4):
         worker = standin_upstream.StandIn()
-        made = []
+        created = []
 
-        def make(feed):
+        def make_upstream(feed):
             announced = upstream.Announced(
                 f's-{name}', ('k',), slots, types.Needs(8, 999), 'x', 5.0
             )
-            made.append(
+            created.append(
                 standin_upstream.LocalUpstream(worker, feed, announced)
             )
-            return made[0]
+            return created[0]
 
         cfg = settings.AgentSettings(
             process=settings.Process(name, zone, f'rack-{name}'),
@@ -71,14 +71,14 @@
             tls=PLAIN,
             timing=TIMING,
         )
-        outside = processes.Dependencies(
+        dependencies = processes.Dependencies(
             clocks.ProcessClock.start(),
             random.Random(name),
-            make_upstream=make,
+            make_upstream=make_upstream,
         )
-        process = processes.AgentProcess.from_settings(cfg, outside)
+        process = processes.AgentProcess.from_settings(cfg, dependencies)
         await process.start()
-        made[0].begin()
+        created[0].begin()
         self.agents.append(process)
         self.workers.append(worker)
         return process
@@ -86,11 +86,11 @@
     async def settle(self) -> None:
         """Wait until every entry is ready and has the slots of all agents."""
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            while not all(map(self._settled, self.entries)):
+            while not all(map(self._is_settled, self.entries)):
                 await asyncio.sleep(0.02)
 
-    def _settled(self, process) -> bool:
-        now = process.outside.clock.now()
+    def _is_settled(self, process) -> bool:
+        now = process.dependencies.clock.now()
         status = process.entry.status(now)
         listed = len(status.configuration.entries) == len(self.entries)
         all_agents = len(status.agents) == len(self.agents)
@@ -100,7 +100,7 @@
 
     def listed(self, process):
         """Return the entries listed in the configuration in force."""
-        now = process.outside.clock.now()
+        now = process.dependencies.clock.now()
         return process.entry.configuration.in_force(now).listed()
 
     async def call(self, process, method, path, body=None, **headers):
@@ -117,7 +117,7 @@
 
     def starts(self) -> int:
         """Return the number of starts counted by the workers."""
-        return sum(sum(one.starts.values()) for one in self.workers)
+        return sum(sum(worker.starts.values()) for worker in self.workers)
 
     def kill(self) -> None:
         for process in [*self.entries, *self.agents]:
@@ -142,7 +142,12 @@
 def job(tasks: int, seconds: float = 0.01, **fields):
     """Return the body of a job with identical tasks."""
     payload = {'seconds': seconds}
-    many = [
+    task_bodies = [
         {'id': f't{i}', 'kind': 'k', 'payload': payload} for i in range(tasks)
     ]
-    return {'team': 'team', 'tasks': many, 'timeout_seconds': 20, **fields}
+    return {
+        'team': 'team',
+        'tasks': task_bodies,
+        'timeout_seconds': 20,
+        **fields,
+    }
--- a/tests/test_bench_violations.py
+++ b/tests/test_bench_violations.py
@@ -56,8 +56,8 @@
     """
     counts, status, task_letters, starts = FAULTS[name]
     tasks = [
-        make_finished_task(place) if letter == 'f' else NOT_RUN
-        for place, letter in enumerate(task_letters)
+        make_finished_task(index) if letter == 'f' else NOT_RUN
+        for index, letter in enumerate(task_letters)
     ]
     violations = bench_violations.find_violations(
         make_bench_evidence(make_bench_answer(status, *tasks), starts)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -27,7 +27,7 @@
     The server runs in a thread, because commands start their own event loop.
     """
     started = []
-    done = []
+    threads = []
 
     def start(answer):
         ready = threading.Event()
@@ -35,11 +35,14 @@
         async def main():
             def feed(event):
                 reply = calls.Reply(event.call, answer(event))
-                built.calls.reply(reply)
-
-            built = front(feed)
-            routes = [*callers.routes(built), *operators.routes(built)]
-            site = conftest.Site(built, routes)
+                entry_front.calls.reply(reply)
+
+            entry_front = front(feed)
+            routes = [
+                *callers.routes(entry_front),
+                *operators.routes(entry_front),
+            ]
+            site = conftest.Site(entry_front, routes)
             stop = asyncio.Event()
             started.append((asyncio.get_running_loop(), stop, site.url))
             ready.set()
@@ -48,7 +51,7 @@
 
         thread = threading.Thread(target=lambda: asyncio.run(main()))
         thread.start()
-        done.append(thread)
+        threads.append(thread)
         ready.wait()
         monkeypatch.setenv('AGATEPICK_ENTRY', started[-1][2])
         monkeypatch.setenv('AGATEPICK_TOKEN', conftest.OPERATOR)
@@ -56,7 +59,7 @@
     yield start
     for loop, stop, _ in started:
         loop.call_soon_threadsafe(stop.set)
-    for thread in done:
+    for thread in threads:
         thread.join()
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -17,7 +17,7 @@
     """Return the evidence of one complete job, with its starts."""
     job = LOAD.jobs[0]
     names = [
-        bench_violations.task_id(place) for place in range(len(job.tasks))
+        bench_violations.task_id(index) for index in range(len(job.tasks))
     ]
     tasks = tuple(
         types.TaskAnswer(
@@ -28,14 +28,14 @@
         for name in names
     )
     answer = types.JobAnswer(KEY, types.JobStatus.COMPLETE, tasks)
-    needed = [
+    required_runs = [
         bench_evidence.Run(KEY, name, 0, 'talca', 1.0, 1.1) for name in names
     ]
     return bench_evidence.Evidence(
         dataclasses.replace(LOAD, jobs=(job,)),
         demo.DEPLOYMENT,
         (bench_evidence.Reply(job.number, KEY, 0.5, 1.5, answer),),
-        (*needed, *runs),
+        (*required_runs, *runs),
         bench_evidence.Traffic({'Starts': 2, 'Results': 2, 'Ping': 90}),
         tuple(departures),
     )
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -20,13 +20,13 @@
 
 
 def test_a_request_s_lines_come_in_order_of_all_processes():
-    found = explain.collect_lines([*ENTRY, *AGENT], 'a1')
-    assert [line.event for line in found] == [
+    lines = explain.collect_lines([*ENTRY, *AGENT], 'a1')
+    assert [line.event for line in lines] == [
         'job_admitted',
         'run_failed',
         'job_ended',
     ]
-    assert found[1].fields['reason'] == 'went "wrong"'
+    assert lines[1].fields['reason'] == 'went "wrong"'
 
 
 @pytest.mark.parametrize(
@@ -39,8 +39,8 @@
 )
 def test_the_cause_of_three_kinds_of_failure_is_named(job, text):
     """Jobs are rejected, fail on faulty workers or are lost with an entry."""
-    found = explain.collect_lines([*ENTRY, *AGENT], job)
-    assert explain.find_cause(found).startswith(text)
+    lines = explain.collect_lines([*ENTRY, *AGENT], job)
+    assert explain.find_cause(lines).startswith(text)
 
 
 def late(began, *more):
@@ -68,9 +68,9 @@
 )
 def test_the_cause_of_a_late_answer_is_named(lines, text):
     """All tasks complete, but the answer misses the deadline."""
-    found = explain.find_cause(explain.collect_lines(lines, 'd4'))
-    assert found.startswith('late by 0.3 s: ')
-    assert text in found
+    cause = explain.find_cause(explain.collect_lines(lines, 'd4'))
+    assert cause.startswith('late by 0.3 s: ')
+    assert text in cause
 
 
 def test_the_agents_that_ended_a_lost_entry_s_runs_are_named():
@@ -78,8 +78,8 @@
         *ENTRY,
         'time=11.0 level=info process=w event=run_abandoned job=c3 index=0\n',
     ]
-    found = explain.find_cause(explain.collect_lines(lines, 'c3'))
-    assert found.endswith('its runs were ended by w')
+    cause = explain.find_cause(explain.collect_lines(lines, 'c3'))
+    assert cause.endswith('its runs were ended by w')
 
 
 def test_the_command_reads_logs_of_all_processes(tmp_path, capsys):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -25,8 +25,8 @@
 def test_each_kind_of_metric_is_exported_with_its_name_and_unit():
     recorder = metrics.Metrics()
     recorder.count_note(core.note('job.refused', code='overload'))
-    recorder.seconds('http_seconds', 0.25)
-    recorder.gauge('http_open', 3)
+    recorder.observe_seconds('http_seconds', 0.25)
+    recorder.set_gauge('http_open', 3)
     samples = values(recorder.text().decode())
     assert samples['agatepick_events_total', 'job.refused'] == 1.0
     assert samples['agatepick_http_seconds_sum',] == 0.25
@@ -34,7 +34,7 @@
     assert samples['agatepick_http_seconds_bucket', '0.3'] == 1.0
     assert samples['agatepick_http_open',] == 3.0
     with pytest.raises(KeyError):
-        recorder.gauge('events', 1)
+        recorder.set_gauge('events', 1)
 
 
 def test_gauges_are_current_at_each_request():
@@ -45,7 +45,7 @@
         readings = iter((5, 7))
 
         def text():
-            recorder.gauge('links_bytes_in', next(readings))
+            recorder.set_gauge('links_bytes_in', next(readings))
             return recorder.text()
 
         server = httpserver.HTTPServer(metrics.make_application(text))
@@ -60,7 +60,7 @@
         loop = asyncio.get_running_loop()
         samples = [await loop.run_in_executor(None, scrape) for _ in range(2)]
         server.stop()
-        return [one['agatepick_links_bytes_in',] for one in samples]
+        return [reading['agatepick_links_bytes_in',] for reading in samples]
 
     assert asyncio.run(main()) == [5.0, 7.0]
 
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -13,9 +13,12 @@
 
 def served(front):
     """Return the path templates that a server handles, with methods."""
-    built = front(lambda event: None)
+    openapi_front = front(lambda event: None)
     methods_by_path = {}
-    for route in [*callers.routes(built), *operators.routes(built)]:
+    for route in [
+        *callers.routes(openapi_front),
+        *operators.routes(openapi_front),
+    ]:
         names = iter(['id'] if '/jobs/' in route.regex.pattern else ['name'])
         pattern = route.regex.pattern.rstrip('$')
         path = re.sub(r'\(.*\)', lambda _: '{%s}' % next(names), pattern)
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -15,15 +15,15 @@
 
 def test_the_page_lists_each_event_that_the_programs_log():
     """Engineers look events up there; it lists exactly the logged events."""
-    found = set(BUILT)
+    logged = set(BUILT)
     for package in ('repeatable', 'platform'):
         for path in (ROOT / 'src' / 'agatepick' / package).glob('*.py'):
             for call in CALLS:
-                found |= set(re.findall(call, path.read_text()))
-    found.discard('run_')
+                logged |= set(re.findall(call, path.read_text()))
+    logged.discard('run_')
     page = (ROOT / 'docs' / 'OPERATIONS.md').read_text()
     listed = set(re.findall(r'`(\w+)`', page.partition('## Events')[2]))
-    assert listed == found
+    assert listed == logged
 
 
 def test_the_page_explains_each_gauge():
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -14,7 +14,7 @@
 
 
 def now(process):
-    return process.outside.clock.now()
+    return process.dependencies.clock.now()
 
 
 def last_suspect_stamp(process):
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -50,7 +50,7 @@
         local_upstream.run(make_run_task(0))
         local_upstream.run(make_run_task(1, b'{"fail": true}'))
         await events.until(3)
-        states = {(one.index, one.state.value) for one in events}
+        states = {(event.index, event.state.value) for event in events}
         assert states == {(0, 'finished'), (1, 'failed')}
         assert worker.starts == {('j', 0): 2, ('j', 1): 1}
         assert worker.max_running == 3
@@ -69,7 +69,7 @@
         assert worker.running == 1
         worker.faults.ignores_stop = False
         local_upstream.stop(stop)
-        assert [(one.state.value, one.reason) for one in events] == [
+        assert [(event.state.value, event.reason) for event in events] == [
             ('failed', 'stopped')
         ]
 
--- a/tests/test_summary.py
+++ b/tests/test_summary.py
@@ -36,9 +36,11 @@
     ],
 )
 def test_failures_are_counted_by_second_and_cause(second, outcome, cause):
-    found, number = summary.count_failures(['noise that is no event\n', *TEXT])
-    assert found[summary.FailureGroup(second, 'q', outcome, cause)] == 1
-    assert sum(found.values()) == 6
+    counts, number = summary.count_failures(
+        ['noise that is no event\n', *TEXT]
+    )
+    assert counts[summary.FailureGroup(second, 'q', outcome, cause)] == 1
+    assert sum(counts.values()) == 6
     assert number == 7
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -218,7 +218,7 @@
 
 async def _key_of(entry):
     """Return a new key that an entry owns."""
-    now = entry.outside.clock.now()
+    now = entry.dependencies.clock.now()
     members = entry.entry.configuration.in_force(now).entries
     while True:
         key = str(uuid_utils.uuid7())
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -17,12 +17,12 @@
     entry = timeline.Timeline('entry-1', 10, conftest.FixedClock(100.2))
     agent = timeline.Timeline('agent-1', 10, conftest.FixedClock(100.0))
     entry.add(core.note('task.sent', job='j', task='a'))
-    agent.hybrid.merge(entry.hybrid.stamp())
+    agent.hybrid_clock.merge(entry.hybrid_clock.stamp())
     agent.add(core.note('task.started', job='j', task='a'))
-    entry.hybrid.merge(agent.hybrid.stamp())
+    entry.hybrid_clock.merge(agent.hybrid_clock.stamp())
     entry.add(core.note('task.ended', job='j', task='a'))
     parts = [agent.events(), entry.events()]
-    names = [one.event for one in timeline.merge(parts)]
+    names = [event.event for event in timeline.merge(parts)]
     assert names == ['task.sent', 'task.started', 'task.ended']
 
 
@@ -33,7 +33,7 @@
     """
     clock = conftest.FixedClock(100.0)
     process_timeline = timeline.Timeline('entry-1', 10, clock)
-    process_timeline.hybrid.merge(
+    process_timeline.hybrid_clock.merge(
         int(100.0 + 365 * 86400) * timeline.MICROSECONDS
     )
     process_timeline.add(core.note('any'))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -199,13 +199,13 @@
             )
             return upstreams[0]
 
-        outside = processes.Dependencies(
+        dependencies = processes.Dependencies(
             clocks.ProcessClock.start(),
             random.Random(1),
             make_upstream=make_upstream,
         )
         agent = processes.AgentProcess.from_settings(
-            agent_cfg(entry.member.address), outside
+            agent_cfg(entry.member.address), dependencies
         )
         await agent.start(contexts)
         upstreams[0].begin()
