--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -51,6 +51,7 @@
 
     :param name: name of this process, reported as the peer in errors.
     :param ready: returns whether a balancer may send requests here.
+    :param measured: metrics of the process, updated after each request.
     """
 
     name: types.PeerName
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -160,7 +160,7 @@
         self._name_count = 0
 
     async def start(self) -> None:
-        """Start all processes and wait until the entries see every slot."""
+        """Start all processes and wait until agents offer every slot."""
         self.table = await standin_table.TableServer.start()
         for number in range(self._deployment.entries):
             self.entries.append(await self._start_entry(number))
--- a/src/agatepick/cli.py
+++ b/src/agatepick/cli.py
@@ -4,7 +4,7 @@
 
 ====== ==============================================================
 0      done; for a job: complete
-1      unexpected error, or a broken promise in the demo
+1      unexpected error, or a violated guarantee in the demo
 2      wrong usage or invalid settings
 3      rejected, nothing was changed; for a job: not run
 4      a job failed
--- a/src/agatepick/cmd/command_tree.py
+++ b/src/agatepick/cmd/command_tree.py
@@ -129,7 +129,7 @@
     ) -> None:
         """Submit the job in a JSON file (else standard input) and wait."""
         self._set_entry_command(
-            entry, json, lambda site: commands.submit(site, file, key)
+            entry, json, lambda context: commands.submit(context, file, key)
         )
 
     @_keep_text
@@ -138,7 +138,7 @@
         self._set_entry_command(
             entry,
             json,
-            lambda site: commands.show_or_cancel_job(site, job, True),
+            lambda context: commands.show_or_cancel_job(context, job, True),
         )
 
     @_keep_text
@@ -150,7 +150,7 @@
             self._set_entry_command(
                 entry,
                 json,
-                lambda site: commands.show_or_cancel_job(site, job),
+                lambda context: commands.show_or_cancel_job(context, job),
             )
         else:
             self._set_show(entry, json, '/v1/status')
@@ -223,7 +223,7 @@
         self._set_entry_command(
             entry,
             json,
-            lambda site: commands.drain_zone(site, zone, based_on),
+            lambda context: commands.drain_zone(context, zone, based_on),
         )
 
     @_keep_text
@@ -276,7 +276,7 @@
         self._set_entry_command(
             entry,
             json,
-            lambda site: commands.show_timeline(site, job, task, zone),
+            lambda context: commands.show_timeline(context, job, task, zone),
         )
 
     @_keep_text
@@ -320,19 +320,19 @@
         entry: str,
         as_json: bool,
         command: typing.Callable[
-            [commands.Site],
+            [commands.CommandContext],
             typing.Coroutine[typing.Any, typing.Any, commands.Output],
         ],
     ) -> None:
         def run() -> commands.Output:
-            site = commands.Site.from_environment(entry, as_json)
-            return asyncio.run(command(site))
+            context = commands.CommandContext.from_environment(entry, as_json)
+            return asyncio.run(command(context))
 
         self._run = run
 
     def _set_show(self, entry: str, as_json: bool, path: str) -> None:
         self._set_entry_command(
-            entry, as_json, lambda site: commands.show(site, path)
+            entry, as_json, lambda context: commands.show(context, path)
         )
 
     def _set_zone_change(
@@ -360,8 +360,8 @@
         self._set_entry_command(
             entry,
             as_json,
-            lambda site: commands.change(
-                site, method, path, body, based_on, wait
+            lambda context: commands.change(
+                context, method, path, body, based_on, wait
             ),
         )
 
--- a/src/agatepick/cmd/commands.py
+++ b/src/agatepick/cmd/commands.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Site:
+class CommandContext:
     """Entries and credentials that a command uses, and its output format.
 
     :param entries: URLs of entries.
@@ -61,8 +61,11 @@
         entry: str,
         as_json: bool,
         environment: typing.Mapping[str, str] = os.environ,
-    ) -> 'Site':
-        """Return a site with ``entry``, ``AGATEPICK_ENTRY`` or the default."""
+    ) -> 'CommandContext':
+        """Return a context with the URLs in ``entry``.
+
+        Without them ``AGATEPICK_ENTRY`` or the default is used.
+        """
         text = entry or environment.get('AGATEPICK_ENTRY', DEFAULT_ENTRY)
         entries = tuple(url.strip() for url in text.split(',') if url.strip())
         for url in entries:
@@ -99,7 +102,7 @@
         return tls.make_caller_context(self.authority)
 
 
-async def submit(site: Site, file: str, key: str) -> Output:
+async def submit(context: CommandContext, file: str, key: str) -> Output:
     """Submit the job in a JSON file, or on standard input."""
     if file:
         try:
@@ -109,41 +112,41 @@
     else:
         body = sys.stdin.buffer.read()
     job = client.decode(body)
-    caller = site.caller()
+    caller = context.caller()
     try:
-        return format_job(site, await caller.submit(job, key or None))
+        return format_job(context, await caller.submit(job, key or None))
     finally:
         caller.close()
 
 
 async def show_or_cancel_job(
-    site: Site, key: str, cancel: bool = False
+    context: CommandContext, key: str, cancel: bool = False
 ) -> Output:
     """Show the status of a job, or cancel it and show its status."""
-    caller = site.caller()
+    caller = context.caller()
     try:
         job_result = await (caller.cancel(key) if cancel else caller.ask(key))
     finally:
         caller.close()
-    output = format_job(site, job_result)
+    output = format_job(context, job_result)
     done = cancel and job_result.http_status in (200, 202)
     return dataclasses.replace(output, exit_status=0) if done else output
 
 
-async def show(site: Site, path: str) -> Output:
+async def show(context: CommandContext, path: str) -> Output:
     """Show a resource of the operators' API."""
-    operator = site.operator()
+    operator = context.operator()
     try:
         answer = await operator.get(path)
     finally:
         operator.close()
-    if site.as_json:
+    if context.as_json:
         return Output(json.dumps(answer.data))
     return Output('\n'.join(_flatten(answer.data)))
 
 
 async def change(
-    site: Site,
+    context: CommandContext,
     method: str,
     path: str,
     body: object,
@@ -154,12 +157,12 @@
 
     :param wait: wait until the change is in force.
     """
-    operator = site.operator()
+    operator = context.operator()
     try:
         data = await _propose(operator, method, path, body, based_on, wait)
     finally:
         operator.close()
-    if site.as_json:
+    if context.as_json:
         return Output(json.dumps(data))
     state = 'in force' if wait else 'accepted'
     return Output(f'{state}: version {data["version"]}')
@@ -181,9 +184,11 @@
     return typing.cast(dict[str, typing.Any], answer.data)
 
 
-async def drain_zone(site: Site, zone: str, based_on: int | None) -> Output:
+async def drain_zone(
+    context: CommandContext, zone: str, based_on: int | None
+) -> Output:
     """Take a zone out of service and wait until its last task ends."""
-    clients = [site.operator(url) for url in site.entries]
+    clients = [context.operator(url) for url in context.entries]
     path, body = f'/v1/zones/{zone}', {'state': 'out'}
     try:
         data = await _propose(
@@ -199,7 +204,7 @@
     finally:
         for operator in clients:
             operator.close()
-    if site.as_json:
+    if context.as_json:
         return Output(json.dumps(dataclasses.asdict(drain_result)))
     return Output(drain_result.show())
 
@@ -221,9 +226,11 @@
     )
 
 
-async def show_timeline(site: Site, job: str, task: str, zone: str) -> Output:
+async def show_timeline(
+    context: CommandContext, job: str, task: str, zone: str
+) -> Output:
     """Show the merged events of all processes in ``--entry``."""
-    clients = [site.operator(url) for url in site.entries]
+    clients = [context.operator(url) for url in context.entries]
     try:
         parts = await asyncio.gather(
             *[
@@ -237,19 +244,21 @@
         for operator in clients:
             operator.close()
     events = timeline.merge([timeline.parse(part) for part in parts])
-    if site.as_json:
+    if context.as_json:
         lines = [msgspec.json.encode(event).decode() for event in events]
     else:
         lines = [event.show() for event in events]
     return Output('\n'.join(lines))
 
 
-def format_job(site: Site, job_result: client.JobResult) -> Output:
+def format_job(
+    context: CommandContext, job_result: client.JobResult
+) -> Output:
     """Return the output for the result of a job."""
     status = EXIT_STATUS_BY_RUN[job_result.run]
     if job_result.http_status in (401, 403):
         status = exceptions.Unauthorised.exit_status
-    if site.as_json:
+    if context.as_json:
         return Output(msgspec.json.encode(job_result).decode(), status)
     lines = [f'job {job_result.job or "-"}: {job_result.run.value}']
     if job_result.code or job_result.detail:
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -268,7 +268,7 @@
 def count_violations(
     evidence: bench_evidence.Evidence, watch: ConfigurationWatch
 ) -> dict[str, int]:
-    """Return the number of violations of each promise."""
+    """Return the number of violations of each guarantee."""
     violations = bench_violations.find_violations(evidence)
     return {
         **dataclasses.asdict(violations),
@@ -333,7 +333,7 @@
 
 
 def run_command(seconds: float, as_json: bool) -> commands.Output:
-    """Run the demo; the exit status is 1 if a promise was broken."""
+    """Run the demo; the exit status is 1 if a guarantee was violated."""
 
     def print_line(line: str) -> None:
         print(line, file=sys.stderr if as_json else sys.stdout, flush=True)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -87,11 +87,11 @@
     """
 
     async def scenario(site):
-        held = await site.fetch(
+        response = await site.fetch(
             'POST', '/v1/jobs', JOB, Idempotency_Key=KEY, Prefer='wait=0'
         )
         assert len(site.front.calls) == 0
-        return held
+        return response
 
     response = serve(no_reply, scenario)
     assert response.code == 202
@@ -115,7 +115,7 @@
 ):
     """A job is rejected by admission control, or some of its tasks fail.
 
-    The response has one field that tells whether anything ran and another
+    The response has one field that reports whether anything ran and another
     with the retry delay.
     """
     task = types.TaskAnswer('a', types.Outcome.UNKNOWN, reason='agent lost')
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from tests import test_operators
 
 JOB = {'team': 'talca', 'tasks': [{'id': 'a', 'kind': 'slot'}]}
-GONE = '--entry=http://127.0.0.1:9'
+UNREACHABLE_ENTRY = '--entry=http://127.0.0.1:9'
 
 
 @pytest.fixture
@@ -78,8 +78,8 @@
         ('bench steady --seconds=long', 2, '--seconds'),
         ('bench steady --deployment=mars', 2, 'mars'),
         ('demo --seconds=abc', 2, '--seconds'),
-        (f'status {GONE}', 6, 'http://127.0.0.1:9'),
-        (f'cancel k {GONE}', 6, 'http://127.0.0.1:9'),
+        (f'status {UNREACHABLE_ENTRY}', 6, 'http://127.0.0.1:9'),
+        (f'cancel k {UNREACHABLE_ENTRY}', 6, 'http://127.0.0.1:9'),
     ],
 )
 def test_an_error_is_one_line_that_says_where(capsys, line, status, words):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -12,7 +12,7 @@
 )
 
 
-def complete(event):
+def answer_complete(event):
     tasks = (types.TaskAnswer('a', types.Outcome.FINISHED, b'{"ok": true}'),)
     return types.JobAnswer(event.job.key, types.JobStatus.COMPLETE, tasks)
 
@@ -32,7 +32,7 @@
 
 
 def test_a_job_comes_back_with_the_upstreams_values(serve):
-    job_result = submit(serve, complete)
+    job_result = submit(serve, answer_complete)
     assert job_result.complete
     assert job_result.tasks[0].body == {'ok': True}
 
@@ -53,7 +53,7 @@
                 code='overload',
                 retry_after=0.01,
             )
-        return complete(event)
+        return answer_complete(event)
 
     job_result = submit(serve, answer)
     assert (job_result.complete, job_result.tries) == (True, 2)
@@ -73,7 +73,7 @@
             return types.JobAnswer(
                 event.job.key, types.JobStatus.PENDING, retry_after=0.01
             )
-        return complete(event)
+        return answer_complete(event)
 
     assert submit(serve, answer).complete
     assert len(set(keys)) == 1 and len(keys) == 2
@@ -84,7 +84,7 @@
 
     The client submits the job to the next entry.
     """
-    job_result = submit(serve, complete, ['http://127.0.0.1:9'])
+    job_result = submit(serve, answer_complete, ['http://127.0.0.1:9'])
     assert (job_result.complete, job_result.tries) == (True, 2)
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -13,7 +13,7 @@
 KEY = '0190a5e4-7b00-7000-8000-000000000001'
 
 
-def evidence(runs=(), departures=()):
+def make_evidence(runs=(), departures=()):
     """Return the evidence of one complete job, with its starts."""
     job = LOAD.jobs[0]
     names = [
@@ -42,13 +42,13 @@
 
 
 def test_a_correct_run_has_no_violations_and_is_measured():
-    run_evidence = evidence()
-    promises = demo.count_violations(run_evidence, demo.ConfigurationWatch())
-    assert set(promises.values()) == {0}
-    measured = demo.compute_measures(run_evidence)
-    assert (measured.complete, measured.longest_seconds) == (1, 1.0)
-    assert measured.messages_per_task == 4 / measured.tasks_started
-    assert demo.format_report(measured, promises)[-1] == 'promises broken: 0'
+    run_evidence = make_evidence()
+    violations = demo.count_violations(run_evidence, demo.ConfigurationWatch())
+    assert set(violations.values()) == {0}
+    measures = demo.compute_measures(run_evidence)
+    assert (measures.complete, measures.longest_seconds) == (1, 1.0)
+    assert measures.messages_per_task == 4 / measures.tasks_started
+    assert demo.format_report(measures, violations)[-1] == 'promises broken: 0'
 
 
 def test_each_broken_promise_is_counted():
@@ -58,12 +58,14 @@
     """
     second_run = bench_evidence.Run(KEY, 't0', 3, 'curico', 1.2, 1.3)
     departure = bench_evidence.ZoneDeparture('curico', 0.1, 0.2, 1.0, 9.0)
-    run_evidence = evidence([second_run], [departure])
-    promises = demo.count_violations(
+    run_evidence = make_evidence([second_run], [departure])
+    violations = demo.count_violations(
         run_evidence, demo.ConfigurationWatch(reversions=1)
     )
-    assert promises['duplicate_starts'] == 1
-    assert promises['starts_after_fence'] == 1
-    assert promises['reverted_configurations'] == 1
-    report = demo.format_report(demo.compute_measures(run_evidence), promises)
+    assert violations['duplicate_starts'] == 1
+    assert violations['starts_after_fence'] == 1
+    assert violations['reverted_configurations'] == 1
+    report = demo.format_report(
+        demo.compute_measures(run_evidence), violations
+    )
     assert report[-1] == 'promises broken: 3'
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -43,7 +43,7 @@
     assert explain.find_cause(lines).startswith(text)
 
 
-def late(began, *more):
+def make_late_job_lines(began, *more):
     """Return the log lines of a late job, with additional lines."""
     return [
         'time=1.0 level=info process=e event=job_admitted job=d4 slack=0.1\n',
@@ -60,10 +60,16 @@
 @pytest.mark.parametrize(
     ('lines', 'text'),
     [
-        (late('0.4'), 'it waited 0.4 s for room, its slack was 0.1 s'),
-        (late('0.0', STUCK), 'run_stuck (w): a task took too long'),
-        (late('0.0', FAILED), 'run_failed (w): a task failed'),
-        (late('0.0'), 'its tasks took longer than expected'),
+        (
+            make_late_job_lines('0.4'),
+            'it waited 0.4 s for room, its slack was 0.1 s',
+        ),
+        (
+            make_late_job_lines('0.0', STUCK),
+            'run_stuck (w): a task took too long',
+        ),
+        (make_late_job_lines('0.0', FAILED), 'run_failed (w): a task failed'),
+        (make_late_job_lines('0.0'), 'its tasks took longer than expected'),
     ],
 )
 def test_the_cause_of_a_late_answer_is_named(lines, text):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,7 +13,7 @@
 PAGE = pathlib.Path(__file__).parent.parent / 'docs' / 'metrics.md'
 
 
-def values(text):
+def parse_samples(text):
     """Return the samples of a metrics page by name and labels."""
     return {
         (sample.name, *sample.labels.values()): sample.value
@@ -27,7 +27,7 @@
     recorder.count_note(core.note('job.refused', code='overload'))
     recorder.observe_seconds('http_seconds', 0.25)
     recorder.set_gauge('http_open', 3)
-    samples = values(recorder.text().decode())
+    samples = parse_samples(recorder.text().decode())
     assert samples['agatepick_events_total', 'job.refused'] == 1.0
     assert samples['agatepick_http_seconds_sum',] == 0.25
     assert samples['agatepick_http_seconds_bucket', '0.2'] == 0.0
@@ -55,7 +55,7 @@
 
         def scrape():
             with urllib.request.urlopen(url, timeout=10) as answer:
-                return values(answer.read().decode())
+                return parse_samples(answer.read().decode())
 
         loop = asyncio.get_running_loop()
         samples = [await loop.run_in_executor(None, scrape) for _ in range(2)]
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -11,7 +11,7 @@
 JOB = {'team': 'talca', 'tasks': [{'id': 'a', 'kind': 'slot'}]}
 
 
-def served(front):
+def list_routes(front):
     """Return the path templates that a server handles, with methods."""
     openapi_front = front(lambda event: None)
     methods_by_path = {}
@@ -30,7 +30,9 @@
 
 def test_the_file_names_the_routes_that_are_served(front):
     paths = json.loads(openapi.FILE.read_text())['paths']
-    assert {path: set(item) for path, item in paths.items()} == served(front)
+    assert {path: set(item) for path, item in paths.items()} == list_routes(
+        front
+    )
 
 
 def test_the_file_matches_the_generated_document():
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -4,21 +4,21 @@
 from agatepick.repeatable import measures
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-CALLS = (
+LOG_CALL_PATTERNS = (
     r"(?:core\.note|run_note)\(\s*'(\w+)'",
     r"logs\.(?:info|warning)\(\s*LOG,\s*'(\w+)'",
 )
 
-BUILT = {'run_failed', 'run_over', 'lines_dropped'}
+EVENTS_WITHOUT_LOG_CALL = {'run_failed', 'run_over', 'lines_dropped'}
 """Events with a composed name, or written without a log function."""
 
 
 def test_the_page_lists_each_event_that_the_programs_log():
-    """Engineers look events up there; it lists exactly the logged events."""
-    logged = set(BUILT)
+    """Engineers look up events of logs in the page, which lists no others."""
+    logged = set(EVENTS_WITHOUT_LOG_CALL)
     for package in ('repeatable', 'platform'):
         for path in (ROOT / 'src' / 'agatepick' / package).glob('*.py'):
-            for call in CALLS:
+            for call in LOG_CALL_PATTERNS:
                 logged |= set(re.findall(call, path.read_text()))
     logged.discard('run_')
     page = (ROOT / 'docs' / 'OPERATIONS.md').read_text()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -26,7 +26,7 @@
     zones: tuple[str, ...] = ('curico', 'talca')
 
 
-def verdict(kind, version=8):
+def make_reducer(kind, version=8):
     """Return a fake reducer that gives every change the same verdict."""
 
     def answer(event):
@@ -37,7 +37,7 @@
     return answer
 
 
-def ask(serve, answer, method, path, body=None, **headers):
+def send_request(serve, answer, method, path, body=None, **headers):
     async def scenario(site):
         return await site.fetch(method, path, body, **{**TOKEN, **headers})
 
@@ -49,13 +49,17 @@
 
     The response must show the operator that tasks may still start there.
     """
-    response = ask(serve, verdict('accepted'), 'GET', '/v1/zones')
+    response = send_request(
+        serve, make_reducer('accepted'), 'GET', '/v1/zones'
+    )
     assert response.headers['ETag'] == '"7"'
     assert response.data['zones'] == [
         {'name': 'curico', 'in_force': 'in', 'accepted': 'in', 'since': 0.0},
         {'name': 'talca', 'in_force': 'in', 'accepted': 'out', 'since': 5.0},
     ]
-    response = ask(serve, verdict('accepted'), 'GET', '/v1/presets')
+    response = send_request(
+        serve, make_reducer('accepted'), 'GET', '/v1/presets'
+    )
     assert response.data['in_force'] == 'ordinary'
     assert response.data['accepted'] == 'peak'
 
@@ -75,9 +79,9 @@
 
     def answer(event):
         events.append(event)
-        return verdict('accepted')(event)
+        return make_reducer('accepted')(event)
 
-    response = ask(serve, answer, 'PUT', path, body, If_Match='"7"')
+    response = send_request(serve, answer, 'PUT', path, body, If_Match='"7"')
     assert (response.code, response.headers['ETag']) == (200, '"8"')
     assert response.data['in_force_at'] == 12.5
     assert (events[0].change, events[0].based_on) == (change, 7)
@@ -102,8 +106,10 @@
     is reported as unknown.
     """
     body = {'kind': 'quota_set', 'team': 'talca', 'slots': 5}
-    answer = verdict(kind, version=9)
-    response = ask(serve, answer, 'POST', '/v1/config', body, **headers)
+    answer = make_reducer(kind, version=9)
+    response = send_request(
+        serve, answer, 'POST', '/v1/config', body, **headers
+    )
     assert response.code == http
     assert response.headers['Content-Type'] == 'application/problem+json'
     assert (response.data['code'], response.data['version']) == (kind, 9)
@@ -127,10 +133,10 @@
     def answer(event):
         pytest.fail('the request reached the reducer')
 
-    response = ask(serve, answer, method, path, body, **headers)
+    response = send_request(serve, answer, method, path, body, **headers)
     assert response.code == http
 
 
 def test_a_balancer_needs_no_token(serve):
-    response = ask(serve, None, 'GET', '/healthz', Authorization='')
+    response = send_request(serve, None, 'GET', '/healthz', Authorization='')
     assert (response.code, response.data) == (200, {'ready': True})
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,7 @@
                 )
                 assert code == 200
                 outcomes = {
-                    one['id']: one['outcome'] for one in answer['tasks']
+                    task['id']: task['outcome'] for task in answer['tasks']
                 }
                 assert outcomes == {f't{i}': 'finished' for i in range(10)}
             assert cluster.starts() == 20
@@ -74,7 +74,7 @@
             code, answer = await sent
             assert code == 502
             assert answer['run'] == 'failed'
-            assert [one['outcome'] for one in answer['tasks']] == [
+            assert [task['outcome'] for task in answer['tasks']] == [
                 'unknown',
                 'unknown',
             ]
@@ -163,7 +163,7 @@
                     await asyncio.sleep(0.01)
             code, answer = await cluster.call(second, 'GET', path)
             assert (code, answer['code']) == (409, 'cancelled')
-            assert {one['id'] for one in answer['tasks']} == {'t0', 't1'}
+            assert {task['id'] for task in answer['tasks']} == {'t0', 't1'}
 
     asyncio.run(main())
 
@@ -180,7 +180,9 @@
             entries=1, zones=('z1', 'z2')
         ) as cluster:
             (entry,) = cluster.entries
-            site = commands.Site((f'http://{entry.http_address}',), 'x' * 16)
+            context = commands.CommandContext(
+                (f'http://{entry.http_address}',), 'x' * 16
+            )
             body = local_cluster.job(1, 5.0, zones=['z1'])
             sent = asyncio.create_task(
                 cluster.call(entry, 'POST', '/v1/jobs', body)
@@ -188,7 +190,7 @@
             async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
                 while not cluster.starts():
                     await asyncio.sleep(0.01)
-            output = await commands.drain_zone(site, 'z1', None)
+            output = await commands.drain_zone(context, 'z1', None)
             assert cluster.workers[0].running == 0
             assert 'the last task in z1 has ended' in output.text
             assert 'none started after acceptance' in output.text
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -22,7 +22,7 @@
 """
 
 
-def faults(text, kind=settings.EntrySettings):
+def parse_faults(text, kind=settings.EntrySettings):
     with pytest.raises(exceptions.BadSettings) as caught:
         settings_files.parse(text, kind, 'entry.toml')
     return caught.value.message.splitlines()
@@ -48,7 +48,7 @@
         + '[timing]\nmargin_seconds = 2.0\nheartbeat_seconds = "1s"\n'
         + '[log]\nlevel = "loud"\n[extra]\n'
     )
-    assert sorted(faults(text)) == [
+    assert sorted(parse_faults(text)) == [
         'entry.toml: extra: found an unknown key; allowed: process, http, '
         'peers, store, tokens, tls, timing, metrics, log',
         'entry.toml: http.idle_secs: found an unknown key (did you mean '
@@ -87,7 +87,7 @@
     ],
 )
 def test_a_faulty_value_is_named(old, new, fault):
-    found_faults = faults(GOOD.replace(old, new))
+    found_faults = parse_faults(GOOD.replace(old, new))
     assert any(fault in line for line in found_faults), found_faults
 
 
@@ -97,7 +97,7 @@
         '[upstream]\nlisten = "127.0.0.1:1"\n[tls]\nenabled = false\n'
         '[operators]\nlisten = "10.0.0.1:2"\n'
     )
-    found_faults = faults(text, settings.AgentSettings)
+    found_faults = parse_faults(text, settings.AgentSettings)
     starts = sorted(line.split(': found')[0] for line in found_faults)
     assert starts == [
         'entry.toml: entries.seeds',
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -76,11 +76,11 @@
             processes = [*cluster.entries, *cluster.agents]
             parts = [
                 timeline.parse(
-                    b'\n'.join(one.timeline.lines(answer['job'], '1'))
+                    b'\n'.join(process.timeline.lines(answer['job'], '1'))
                 )
-                for one in processes
+                for process in processes
             ]
-            return [one.event for one in timeline.merge(parts)]
+            return [event.event for event in timeline.merge(parts)]
 
     assert asyncio.run(main()) == [
         'task_sent',
