--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -207,7 +207,7 @@
             'urgent': job.urgent,
             'tasks': [
                 {
-                    'id': bench_violations.task_id(position),
+                    'id': bench_violations.make_task_id(position),
                     'kind': task.kind,
                     'payload': standin_upstream.Payload(task.seconds),
                     'needs': {'cpu': task.cpu},
--- a/src/agatepick/bench/bench_ideal.py
+++ b/src/agatepick/bench/bench_ideal.py
@@ -89,7 +89,7 @@
         heapq.heappush(free, (reopens_at, worker, slot))
 
 
-def work_between(
+def compute_work_between(
     runs: collections.abc.Iterable[tuple[float, float]],
     since: float,
     until: float,
--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -32,7 +32,9 @@
         """Return the mean and 99th percentile of the lag in milliseconds."""
         return {
             'loop_lag_mean_ms': self._histogram.get_mean_value() / 1e3,
-            'loop_lag_p99_ms': bench_measures.quantile(self._histogram, 99.0)
+            'loop_lag_p99_ms': bench_measures.get_quantile(
+                self._histogram, 99.0
+            )
             / 1e3,
         }
 
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -54,7 +54,7 @@
     return hist
 
 
-def first_replies(
+def get_first_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
     """Return the first submission's reply of each job not cancelled.
@@ -68,19 +68,21 @@
     }
 
 
-def completed_replies(
+def get_completed_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
     """Return the first replies with status complete, by job number."""
     return {
         number: reply
-        for number, reply in first_replies(evidence).items()
+        for number, reply in get_first_replies(evidence).items()
         if reply.answer is not None
         and reply.answer.status is types.JobStatus.COMPLETE
     }
 
 
-def response_times(evidence: bench_evidence.Evidence) -> dict[int, float]:
+def compute_response_times(
+    evidence: bench_evidence.Evidence,
+) -> dict[int, float]:
     """Return the seconds from planned arrival to answer of completed jobs.
 
     Response times start at the planned arrival instead of the submission;
@@ -89,7 +91,7 @@
     plans = {job.number: job for job in evidence.load.jobs}
     return {
         number: reply.received_at - plans[number].at
-        for number, reply in completed_replies(evidence).items()
+        for number, reply in get_completed_replies(evidence).items()
     }
 
 
@@ -112,23 +114,24 @@
     return Responses(
         response_over_ideal_mean=measured.get_mean_value()
         / ideal_histogram.get_mean_value(),
-        median=quantile(measured, 50.0) / quantile(ideal_histogram, 50.0),
-        p99=quantile(measured, 99.0) / quantile(ideal_histogram, 99.0),
-        own_median=quantile(own_ratios, 50.0) / 1e3,
-        own_p99=quantile(own_ratios, 99.0) / 1e3,
+        median=get_quantile(measured, 50.0)
+        / get_quantile(ideal_histogram, 50.0),
+        p99=get_quantile(measured, 99.0) / get_quantile(ideal_histogram, 99.0),
+        own_median=get_quantile(own_ratios, 50.0) / 1e3,
+        own_p99=get_quantile(own_ratios, 99.0) / 1e3,
         mean_seconds=statistics.fmean(actual.values()),
         ideal_mean_seconds=statistics.fmean(ideal[num] for num in actual),
         jobs=len(actual),
     )
 
 
-def quantile(hist: histogram.HdrHistogram, percentile: float) -> float:
+def get_quantile(hist: histogram.HdrHistogram, percentile: float) -> float:
     """Return a percentile of a histogram, at least its lowest value."""
     value = hist.get_value_at_percentile(percentile)
     return float(max(LOWEST_MICROSECONDS, value))
 
 
-def fairness(
+def compute_fairness(
     evidence: bench_evidence.Evidence,
     ideal: collections.abc.Mapping[int, float],
 ) -> float:
@@ -138,7 +141,7 @@
     """
     by_team: dict[str, list[tuple[float, float]]] = {}
     plans = {job.number: job for job in evidence.load.jobs}
-    for number, value in response_times(evidence).items():
+    for number, value in compute_response_times(evidence).items():
         pair = (value, ideal[number])
         by_team.setdefault(plans[number].team, []).append(pair)
     ratios = [
@@ -151,12 +154,12 @@
     return sum(ratios) ** 2 / (len(ratios) * squares)
 
 
-def missed_deadlines(evidence: bench_evidence.Evidence) -> int:
+def count_missed_deadlines(evidence: bench_evidence.Evidence) -> int:
     """Count the accepted jobs without a complete answer by their deadline."""
     plans = {job.number: job for job in evidence.load.jobs}
     return sum(
         not met_deadline(reply, plans[number])
-        for number, reply in first_replies(evidence).items()
+        for number, reply in get_first_replies(evidence).items()
         if not is_refused(reply)
     )
 
@@ -180,12 +183,12 @@
     )
 
 
-def goodput(evidence: bench_evidence.Evidence) -> float:
+def compute_goodput(evidence: bench_evidence.Evidence) -> float:
     """Return the share of all slot time spent on jobs that met deadlines."""
     plans = {job.number: job for job in evidence.load.jobs}
     on_time_keys = {
         reply.key
-        for number, reply in completed_replies(evidence).items()
+        for number, reply in get_completed_replies(evidence).items()
         if met_deadline(reply, plans[number])
     }
     spans = [
@@ -194,11 +197,11 @@
         if run.key in on_time_keys
     ]
     seconds = evidence.load.seconds
-    on_time_work = bench_ideal.work_between(spans, 0.0, seconds)
+    on_time_work = bench_ideal.compute_work_between(spans, 0.0, seconds)
     return on_time_work / (seconds * evidence.deployment.total_slots)
 
 
-def work_ratio(
+def compute_work_ratio(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> float | None:
     """Return the work done after a zone's departure, over the ideal's.
@@ -214,5 +217,5 @@
     since = min(departure.requested_at for departure in evidence.departures)
     until = evidence.load.seconds
     spans = [(run.start, run.end) for run in evidence.runs]
-    ideal_work = bench_ideal.work_between(ideal.runs, since, until)
-    return bench_ideal.work_between(spans, since, until) / ideal_work
+    ideal_work = bench_ideal.compute_work_between(ideal.runs, since, until)
+    return bench_ideal.compute_work_between(spans, since, until) / ideal_work
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -66,7 +66,7 @@
             task.cancel()
         await asyncio.gather(*tasks, step_task, return_exceptions=True)
 
-    def unanswered(self) -> list[bench_evidence.Reply]:
+    def list_unanswered(self) -> list[bench_evidence.Reply]:
         """Return a reply without an answer for each job still open."""
         now = self._recorder.now()
         return [
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -69,25 +69,25 @@
         'load': load.load,
         'jobs': len(load.jobs),
         'tasks': sum(len(job.tasks) for job in load.jobs),
-        **response_figures(evidence, ideal),
-        **message_figures(evidence),
-        **outcome_figures(evidence),
+        **compute_response_figures(evidence, ideal),
+        **compute_message_figures(evidence),
+        **compute_outcome_figures(evidence),
         **dataclasses.asdict(bench_violations.find_violations(evidence)),
-        **departure_figures(evidence, ideal),
+        **compute_departure_figures(evidence, ideal),
         **(extra or {}),
     }
     title = f'{load.pattern} seed={load.seed} load={load.load}'
-    return Report(title, figures, work_series(evidence, ideal))
+    return Report(title, figures, compute_work_series(evidence, ideal))
 
 
-def response_figures(
+def compute_response_figures(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> dict[str, Figure]:
     """Return the figures of the completed jobs' response times."""
-    times = bench_measures.response_times(evidence)
+    times = bench_measures.compute_response_times(evidence)
     responses = bench_measures.compare_to_ideal(times, ideal.responses)
     figures: dict[str, Figure] = {
-        'fairness': bench_measures.fairness(evidence, ideal.responses)
+        'fairness': bench_measures.compute_fairness(evidence, ideal.responses)
     }
     if responses is not None:
         figures = {**dataclasses.asdict(responses), **figures}
@@ -95,7 +95,9 @@
     return figures
 
 
-def message_figures(evidence: bench_evidence.Evidence) -> dict[str, Figure]:
+def compute_message_figures(
+    evidence: bench_evidence.Evidence,
+) -> dict[str, Figure]:
     """Return the figures of messages between the processes."""
     traffic = evidence.traffic
     total = sum(traffic.counts.values())
@@ -118,12 +120,14 @@
     return figures
 
 
-def outcome_figures(evidence: bench_evidence.Evidence) -> dict[str, Figure]:
+def compute_outcome_figures(
+    evidence: bench_evidence.Evidence,
+) -> dict[str, Figure]:
     """Return the outcomes of the jobs as their callers received them."""
-    replies = list(bench_measures.first_replies(evidence).values())
+    replies = list(bench_measures.get_first_replies(evidence).values())
     refused = sum(map(bench_measures.is_refused, replies))
-    completed = len(bench_measures.completed_replies(evidence))
-    missed = bench_measures.missed_deadlines(evidence)
+    completed = len(bench_measures.get_completed_replies(evidence))
+    missed = bench_measures.count_missed_deadlines(evidence)
     accepted = len(replies) - refused
     return {
         'refused_jobs': refused,
@@ -131,11 +135,11 @@
         'failed_share': (accepted - completed) / accepted if accepted else 0.0,
         'missed_deadlines': missed,
         'met_deadline_share': 1 - missed / accepted if accepted else None,
-        'goodput_share': bench_measures.goodput(evidence),
+        'goodput_share': bench_measures.compute_goodput(evidence),
     }
 
 
-def departure_figures(
+def compute_departure_figures(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> dict[str, Figure]:
     """Return the figures of the first zone departure, if there is one."""
@@ -148,14 +152,14 @@
         if run.zone == departure.zone and run.start < departure.returned_at
     ]
     return {
-        'work_ratio': bench_measures.work_ratio(evidence, ideal),
+        'work_ratio': bench_measures.compute_work_ratio(evidence, ideal),
         'accepted_after_asked_seconds': departure.accepted_at
         - departure.requested_at,
         'last_start_after_acceptance': max(starts, default=None),
     }
 
 
-def work_series(
+def compute_work_series(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> tuple[tuple[float, float, float], ...]:
     """Return the busy slots over time, of the run and of the ideal."""
@@ -164,11 +168,11 @@
     return tuple(
         (
             bin_index * width,
-            bench_ideal.work_between(
+            bench_ideal.compute_work_between(
                 spans, bin_index * width, (bin_index + 1) * width
             )
             / width,
-            bench_ideal.work_between(
+            bench_ideal.compute_work_between(
                 ideal.runs, bin_index * width, (bin_index + 1) * width
             )
             / width,
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -81,7 +81,7 @@
             options.policy,
         )
     )
-    return add_figures(played, light_figures(played, alone))
+    return add_figures(played, compute_light_figures(played, alone))
 
 
 async def play(
@@ -125,14 +125,14 @@
     evidence = bench_evidence.Evidence(
         load,
         deployment,
-        (*callers.replies, *player.unanswered()),
+        (*callers.replies, *player.list_unanswered()),
         tuple(recorder.runs),
         traffic,
         tuple(player.departures.values()),
     )
     extra: Figures = {
         'policy': policy or 'default',
-        **run_figures(evidence, callers, player, installation),
+        **compute_run_figures(evidence, callers, player, installation),
         'bytes': bytes_sent,
         **lag.figures(),
         'cpu_seconds_all_processes_and_bench': cpu_seconds,
@@ -150,7 +150,7 @@
     """
     excluded = {
         number
-        for number, reply in bench_measures.first_replies(evidence).items()
+        for number, reply in bench_measures.get_first_replies(evidence).items()
         if bench_measures.is_refused(reply)
     }
     excluded |= {reply.job for reply in evidence.replies if reply.cancelled}
@@ -164,7 +164,7 @@
     return bench_ideal.simulate(jobs, evidence.deployment, closures)
 
 
-def run_figures(
+def compute_run_figures(
     evidence: bench_evidence.Evidence,
     callers: bench_callers.Callers,
     player: bench_player.Player,
@@ -182,15 +182,15 @@
     }
     figures |= {
         f'answers_{code}': count
-        for code, count in sorted(answer_codes(evidence).items())
+        for code, count in sorted(count_answer_codes(evidence).items())
     }
-    figures |= outage_figures(evidence)
+    figures |= compute_outage_figures(evidence)
     if evidence.load.failing_workers:
-        figures |= failing_figures(evidence, installation)
+        figures |= compute_failing_figures(evidence, installation)
     return figures
 
 
-def outage_figures(evidence: bench_evidence.Evidence) -> Figures:
+def compute_outage_figures(evidence: bench_evidence.Evidence) -> Figures:
     """Return the figures of jobs that arrived during the table outage."""
     steps = {step.action: step.at for step in evidence.load.steps}
     down = steps.get(bench_plan.Action.STORE_DOWN)
@@ -200,17 +200,17 @@
     arrived = {
         job.number for job in evidence.load.jobs if down <= job.at < until
     }
-    done = arrived & bench_measures.completed_replies(evidence).keys()
+    done = arrived & bench_measures.get_completed_replies(evidence).keys()
     return {
         'jobs_during_outage': len(arrived),
         'completed_during_outage_share': len(done) / max(1, len(arrived)),
     }
 
 
-def answer_codes(evidence: bench_evidence.Evidence) -> dict[str, int]:
+def count_answer_codes(evidence: bench_evidence.Evidence) -> dict[str, int]:
     """Count the first answers by status and code."""
     counts: dict[str, int] = {}
-    for reply in bench_measures.first_replies(evidence).values():
+    for reply in bench_measures.get_first_replies(evidence).values():
         if reply.answer is None:
             name = 'none'
         else:
@@ -219,7 +219,7 @@
     return counts
 
 
-def failing_figures(
+def compute_failing_figures(
     evidence: bench_evidence.Evidence, installation: bench_cluster.Cluster
 ) -> Figures:
     """Return the figures of starts on a worker that fails every task."""
@@ -237,16 +237,20 @@
     return figures
 
 
-def light_figures(with_heavy: PlayResult, alone: PlayResult) -> Figures:
+def compute_light_figures(
+    with_heavy: PlayResult, alone: PlayResult
+) -> Figures:
     """Return the light teams' mean response with and without heavy teams."""
     plans = {job.number: job for job in with_heavy.evidence.load.jobs}
-    times = bench_measures.response_times(with_heavy.evidence)
+    times = bench_measures.compute_response_times(with_heavy.evidence)
     times_with_heavy = [
         value
         for number, value in times.items()
         if plans[number].team.startswith(LIGHT_TEAM_PREFIX)
     ]
-    times_alone = list(bench_measures.response_times(alone.evidence).values())
+    times_alone = list(
+        bench_measures.compute_response_times(alone.evidence).values()
+    )
     if not times_with_heavy or not times_alone:
         return {'light_over_alone_mean': None}
     return {
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -77,7 +77,7 @@
         position = self._recorder.record_start(
             bench_evidence.Run(
                 key,
-                bench_violations.task_id(index),
+                bench_violations.make_task_id(index),
                 self._number,
                 self._zone,
                 now,
--- a/src/agatepick/bench/bench_violations.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -129,7 +129,7 @@
         return 0
     if answer.status is types.JobStatus.NOT_RUN:
         not_run_ids = {
-            task_id(position) for position in range(len(plan.tasks))
+            make_task_id(position) for position in range(len(plan.tasks))
         }
     else:
         not_run_ids = {
@@ -140,7 +140,7 @@
     return sum(starts.get((reply.key, task), 0) > 0 for task in not_run_ids)
 
 
-def task_id(position: int) -> str:
+def make_task_id(position: int) -> str:
     """Return the caller's id of a task by its index in the job."""
     return f'{TASK_PREFIX}{position}'
 
@@ -155,7 +155,9 @@
         types.JobStatus.NOT_RUN,
     ):
         return False
-    expected_ids = [task_id(position) for position in range(len(plan.tasks))]
+    expected_ids = [
+        make_task_id(position) for position in range(len(plan.tasks))
+    ]
     if sorted(task.id for task in answer.tasks) != sorted(expected_ids):
         return True
     finished = all(
@@ -182,13 +184,13 @@
         task.outcome is types.Outcome.FINISHED
         and (
             starts.get((reply.key, task.id), 0) == 0
-            or expected_body(reply.key, task.id) != task.body
+            or make_expected_body(reply.key, task.id) != task.body
         )
         for task in answer.tasks
     )
 
 
-def expected_body(key: types.JobKey, task: str) -> bytes:
+def make_expected_body(key: types.JobKey, task: str) -> bytes:
     """Return the body with which the stand-in upstream answers a task."""
     index = int(task.removeprefix(TASK_PREFIX))
     return msgspec.json.encode({'job': key, 'index': index})
--- a/src/agatepick/capacity/slopes.py
+++ b/src/agatepick/capacity/slopes.py
@@ -98,7 +98,7 @@
             f'allowed: {MIN_SIZES} sizes or more',
             step='slopes',
         )
-    slope, intercept = least_squares(sorted_points)
+    slope, intercept = fit_least_squares(sorted_points)
     mean = sum(cost for _, cost in sorted_points) / len(sorted_points)
     squares = sum(
         (cost - intercept - slope * size) ** 2 for size, cost in sorted_points
@@ -117,7 +117,7 @@
     )
 
 
-def least_squares(
+def fit_least_squares(
     points: collections.abc.Sequence[tuple[float, float]],
 ) -> tuple[float, float]:
     """Return the slope and the intercept of the least-squares line."""
--- a/src/agatepick/capacity/slopes_process.py
+++ b/src/agatepick/capacity/slopes_process.py
@@ -61,7 +61,7 @@
     return Usage(share, after.resident_bytes)
 
 
-def mean_usage(usages: collections.abc.Sequence[Usage]) -> Usage:
+def compute_mean_usage(usages: collections.abc.Sequence[Usage]) -> Usage:
     """Compute the mean usage of the processes of one role."""
     count = len(usages)
     return Usage(
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -106,7 +106,7 @@
         return f'{self.role}\t{self.command}\t{self.config}'
 
 
-def free_ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Return ports that are free at present."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
@@ -120,7 +120,7 @@
 def write_settings(directory: pathlib.Path, entries: int, agents: int) -> None:
     """Write settings for a table service, entries, agents and upstreams."""
     directory.mkdir(parents=True, exist_ok=True)
-    ports = iter(free_ports(1 + 2 * entries + 2 * agents))
+    ports = iter(find_free_ports(1 + 2 * entries + 2 * agents))
     programs = [_write_table_settings(directory, table := next(ports))]
     http, peers = [], []
     for number in range(entries):
@@ -225,7 +225,7 @@
     before = _take_samples(pids[role])
     time.sleep(WATCH_SECONDS)
     after = _take_samples(pids[role])
-    usage = slopes_process.mean_usage(
+    usage = slopes_process.compute_mean_usage(
         [
             slopes_process.compute_usage(old, new, WATCH_SECONDS)
             for old, new in zip(before, after, strict=True)
@@ -283,7 +283,7 @@
     sent = 0
     for _ in range(MEMORY_STEPS):
         sent += await _submit_jobs(callers, tasks)
-        resident = slopes_process.mean_usage(
+        resident = slopes_process.compute_mean_usage(
             [
                 slopes_process.compute_usage(sample, sample, 1.0)
                 for sample in _take_samples(pids['entry'])
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -168,11 +168,11 @@
     counts = installation.table.counts
     return Reading(
         tuple(
-            total_traffic(site.process.links.traffic)
+            sum_traffic(site.process.links.traffic)
             for site in installation.entries
         ),
         tuple(
-            total_traffic(site.process.links.traffic)
+            sum_traffic(site.process.links.traffic)
             for site in installation.agents
         ),
         counts.reads,
@@ -180,7 +180,7 @@
     )
 
 
-def total_traffic(traffic: links.Traffic) -> tuple[int, int]:
+def sum_traffic(traffic: links.Traffic) -> tuple[int, int]:
     """Return messages and bytes in both directions."""
     return (
         traffic.messages_in + traffic.messages_out,
@@ -188,7 +188,7 @@
     )
 
 
-def mean_traffic(
+def compute_mean_traffic(
     before: collections.abc.Sequence[tuple[int, int]],
     after: collections.abc.Sequence[tuple[int, int]],
     seconds: float,
@@ -232,8 +232,8 @@
         after = read_counters(installation)
     finally:
         await installation.stop()
-    entry = mean_traffic(before.entries, after.entries, IDLE_SECONDS)
-    agent = mean_traffic(before.agents, after.agents, IDLE_SECONDS)
+    entry = compute_mean_traffic(before.entries, after.entries, IDLE_SECONDS)
+    agent = compute_mean_traffic(before.agents, after.agents, IDLE_SECONDS)
     if by_agents:
         points['entry_control_bytes'].append((agents, entry.bytes))
         points['entry_control_messages'].append((agents, entry.messages))
@@ -266,7 +266,7 @@
         after = read_counters(installation)
     finally:
         await installation.stop()
-    entry = mean_traffic(before.entries, after.entries, seconds)
+    entry = compute_mean_traffic(before.entries, after.entries, seconds)
     actual_rate = change_count / seconds
     points['entry_bytes_by_changes'].append((actual_rate, entry.bytes))
     reads = (after.reads - before.reads) / seconds
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -165,8 +165,8 @@
     """Builds the answer of a task that the upstream has run."""
 
     def build(index):
-        task = bench_violations.task_id(index)
-        body = bench_violations.expected_body('key', task)
+        task = bench_violations.make_task_id(index)
+        body = bench_violations.make_expected_body('key', task)
         return types.TaskAnswer(task, types.Outcome.FINISHED, body)
 
     return build
--- a/tests/test_bench_ideal.py
+++ b/tests/test_bench_ideal.py
@@ -26,4 +26,4 @@
     jobs = [make_job(0, 0.5, 2.0), make_job(1, 1.5, 1.0)]
     ideal = bench_ideal.simulate(jobs, ONE_SLOT, [closure])
     assert ideal.runs == ((0.5, 2.5), (10.0, 11.0))
-    assert bench_ideal.work_between(ideal.runs, 1.0, 10.5) == 2.0
+    assert bench_ideal.compute_work_between(ideal.runs, 1.0, 10.5) == 2.0
--- a/tests/test_bench_measures.py
+++ b/tests/test_bench_measures.py
@@ -9,13 +9,13 @@
     make_bench_evidence, make_bench_answer
 ):
     evidence = make_bench_evidence(make_bench_answer(types.JobStatus.COMPLETE))
-    times = bench_measures.response_times(evidence)
+    times = bench_measures.compute_response_times(evidence)
     responses = bench_measures.compare_to_ideal(times, {0: 1.0})
     assert responses.response_over_ideal_mean == pytest.approx(2.0, rel=1e-2)
     assert responses.p99 == pytest.approx(2.0, rel=1e-2)
     assert responses.own_p99 == pytest.approx(2.0, rel=1e-2)
-    assert bench_measures.missed_deadlines(evidence) == 0
-    assert bench_measures.goodput(evidence) == pytest.approx(2.0 / 800)
+    assert bench_measures.count_missed_deadlines(evidence) == 0
+    assert bench_measures.compute_goodput(evidence) == pytest.approx(2.0 / 800)
 
 
 def test_wasted_messages_are_neither_start_nor_result_or_were_refused():
--- a/tests/test_bench_upstream.py
+++ b/tests/test_bench_upstream.py
@@ -36,7 +36,7 @@
     assert (first.task, first.worker, first.zone) == ('t1', 3, 'talca')
     assert (first.start, first.end) == (2.0, 3.0)
     assert second.end == math.inf
-    body = bench_violations.expected_body(KEY, 't1')
+    body = bench_violations.make_expected_body(KEY, 't1')
     assert answers == [(types.TaskState.FINISHED, body)]
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -17,13 +17,13 @@
     """Return the evidence of one complete job, with its starts."""
     job = LOAD.jobs[0]
     names = [
-        bench_violations.task_id(index) for index in range(len(job.tasks))
+        bench_violations.make_task_id(index) for index in range(len(job.tasks))
     ]
     tasks = tuple(
         types.TaskAnswer(
             name,
             types.Outcome.FINISHED,
-            bench_violations.expected_body(KEY, name),
+            bench_violations.make_expected_body(KEY, name),
         )
         for name in names
     )
