--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -21,7 +21,7 @@
 
     def start(self) -> None:
         """Start measuring."""
-        self._task = asyncio.get_running_loop().create_task(self._watch())
+        self._task = asyncio.get_running_loop().create_task(self._measure())
 
     def stop(self) -> None:
         """Stop measuring."""
@@ -32,11 +32,13 @@
         """Return the mean and 99th percentile of the lag in milliseconds."""
         return {
             'loop_lag_mean_ms': self._histogram.get_mean_value() / 1e3,
-            'loop_lag_p99_ms': bench_measures.quantile(self._histogram, 99.0)
+            'loop_lag_p99_ms': bench_measures.get_quantile(
+                self._histogram, 99.0
+            )
             / 1e3,
         }
 
-    async def _watch(self) -> None:
+    async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + PERIOD_SECONDS
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -33,7 +33,8 @@
 TASKS_PER_JOB = (1, 8, 32, 130)
 MEMORY_STEPS = 5
 MAX_OPEN_TASKS = 260
-"""Further tasks would only wait in the entry's queue."""
+"""Limit of tasks in submitted jobs without an answer.  Further tasks would
+only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
 IDLE_BY_AGENTS = 'idle-by-agents'
@@ -105,7 +106,7 @@
         return f'{self.role}\t{self.command}\t{self.config}'
 
 
-def free_ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Return ports that are free at present."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
@@ -119,7 +120,7 @@
 def write_settings(directory: pathlib.Path, entries: int, agents: int) -> None:
     """Write settings for a table service, entries, agents and upstreams."""
     directory.mkdir(parents=True, exist_ok=True)
-    ports = iter(free_ports(1 + 2 * entries + 2 * agents))
+    ports = iter(find_free_ports(1 + 2 * entries + 2 * agents))
     programs = [_write_table_settings(directory, table := next(ports))]
     http, peers = [], []
     for number in range(entries):
@@ -224,7 +225,7 @@
     before = _take_samples(pids[role])
     time.sleep(WATCH_SECONDS)
     after = _take_samples(pids[role])
-    usage = slopes_process.mean_usage(
+    usage = slopes_process.compute_mean_usage(
         [
             slopes_process.compute_usage(old, new, WATCH_SECONDS)
             for old, new in zip(before, after, strict=True)
@@ -282,10 +283,10 @@
     sent = 0
     for _ in range(MEMORY_STEPS):
         sent += await _submit_jobs(callers, tasks)
-        resident = slopes_process.mean_usage(
+        resident = slopes_process.compute_mean_usage(
             [
-                slopes_process.compute_usage(one, one, 1.0)
-                for one in _take_samples(pids['entry'])
+                slopes_process.compute_usage(sample, sample, 1.0)
+                for sample in _take_samples(pids['entry'])
             ]
         ).resident_bytes
         points.append(Point(line, sent * tasks, resident))
@@ -327,14 +328,14 @@
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
     semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
 
-    async def one(number: int) -> None:
+    async def submit_one(number: int) -> None:
         job = bench_arrivals.JobPlan(
             number, 0.0, f'team-{number % 4}', plan * tasks
         )
         async with semaphore:
             await callers.submit(job)
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(submit_one(number) for number in range(count)))
     return count
 
 
--- a/src/agatepick/cli.py
+++ b/src/agatepick/cli.py
@@ -4,7 +4,7 @@
 
 ====== ==============================================================
 0      done; for a job: complete
-1      unexpected error, or a broken promise in the demo
+1      unexpected error, or a violated guarantee in the demo
 2      wrong usage or invalid settings
 3      rejected, nothing was changed; for a job: not run
 4      a job failed
@@ -61,11 +61,11 @@
 
 def _parse(argv: list[str]) -> command_tree.Run | None:
     """Return the action of a command line; ``None`` if help was shown."""
-    chosen = command_tree.Commands()
+    commands = command_tree.Commands()
     out, err = io.StringIO(), io.StringIO()
     try:
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            fire.Fire(chosen.tree(), command=argv, name='agatepick')
+            fire.Fire(commands.tree(), command=argv, name='agatepick')
     except fire.core.FireExit as exc:
         if exc.code == 0:
             _print((out.getvalue() + err.getvalue()).strip())
@@ -73,9 +73,9 @@
         raise exceptions.BadUsage(
             _describe_usage_error(err.getvalue())
         ) from None
-    if chosen.run is None:
+    if commands.run is None:
         _print(out.getvalue().strip())
-    return chosen.run
+    return commands.run
 
 
 def _describe_usage_error(text: str) -> str:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -20,13 +20,13 @@
 
 
 def test_a_request_s_lines_come_in_order_of_all_processes():
-    found = explain.collect_lines([*ENTRY, *AGENT], 'a1')
-    assert [line.event for line in found] == [
+    lines = explain.collect_lines([*ENTRY, *AGENT], 'a1')
+    assert [line.event for line in lines] == [
         'job_admitted',
         'run_failed',
         'job_ended',
     ]
-    assert found[1].fields['reason'] == 'went "wrong"'
+    assert lines[1].fields['reason'] == 'went "wrong"'
 
 
 @pytest.mark.parametrize(
@@ -39,11 +39,11 @@
 )
 def test_the_cause_of_three_kinds_of_failure_is_named(job, text):
     """Jobs are rejected, fail on faulty workers or are lost with an entry."""
-    found = explain.collect_lines([*ENTRY, *AGENT], job)
-    assert explain.find_cause(found).startswith(text)
+    lines = explain.collect_lines([*ENTRY, *AGENT], job)
+    assert explain.find_cause(lines).startswith(text)
 
 
-def late(began, *more):
+def make_late_job_lines(began, *more):
     """Return the log lines of a late job, with additional lines."""
     return [
         'time=1.0 level=info process=e event=job_admitted job=d4 slack=0.1\n',
@@ -60,17 +60,23 @@
 @pytest.mark.parametrize(
     ('lines', 'text'),
     [
-        (late('0.4'), 'it waited 0.4 s for room, its slack was 0.1 s'),
-        (late('0.0', STUCK), 'run_stuck (w): a task took too long'),
-        (late('0.0', FAILED), 'run_failed (w): a task failed'),
-        (late('0.0'), 'its tasks took longer than expected'),
+        (
+            make_late_job_lines('0.4'),
+            'it waited 0.4 s for room, its slack was 0.1 s',
+        ),
+        (
+            make_late_job_lines('0.0', STUCK),
+            'run_stuck (w): a task took too long',
+        ),
+        (make_late_job_lines('0.0', FAILED), 'run_failed (w): a task failed'),
+        (make_late_job_lines('0.0'), 'its tasks took longer than expected'),
     ],
 )
 def test_the_cause_of_a_late_answer_is_named(lines, text):
     """All tasks complete, but the answer misses the deadline."""
-    found = explain.find_cause(explain.collect_lines(lines, 'd4'))
-    assert found.startswith('late by 0.3 s: ')
-    assert text in found
+    cause = explain.find_cause(explain.collect_lines(lines, 'd4'))
+    assert cause.startswith('late by 0.3 s: ')
+    assert text in cause
 
 
 def test_the_agents_that_ended_a_lost_entry_s_runs_are_named():
@@ -78,8 +84,8 @@
         *ENTRY,
         'time=11.0 level=info process=w event=run_abandoned job=c3 index=0\n',
     ]
-    found = explain.find_cause(explain.collect_lines(lines, 'c3'))
-    assert found.endswith('its runs were ended by w')
+    cause = explain.find_cause(explain.collect_lines(lines, 'c3'))
+    assert cause.endswith('its runs were ended by w')
 
 
 def test_the_command_reads_logs_of_all_processes(tmp_path, capsys):
