--- a/src/agatepick/repeatable/__init__.py
+++ b/src/agatepick/repeatable/__init__.py
@@ -1,8 +1,8 @@
 """Jobs whose tasks may run again once an earlier run has ended.
 
 An entry owns the jobs that its callers submit and holds a lease on each of
-their runs. An agent beside each worker starts runs there and stops those whose
-lease isn't renewed. A task never has two runs at the same time.
+their runs.  An agent beside each worker starts runs there and stops those
+whose lease isn't renewed.  A task never has two runs at the same time.
 """
 
 from agatepick.repeatable import agent
--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -5,15 +5,15 @@
 callers wait in vain, and the workers spend their time on answers that come too
 late.
 
-Jobs wait for cores. The wait is predicted from the cores that all earlier jobs
-need beyond those that are free, and from the rate at which cores are released:
-this entry's share of the workers divided by the mean run time, or the recent
-release rate of its own runs if that is higher. A job that would start too late
-is refused at once; where nothing is queued, no job is refused. The accepted
-wait is adjusted by the outcome of admitted jobs (:class:`Margin`). An admitted
-job whose latest start passes before any of its tasks started is refused as
-well: the prediction was wrong, and an early answer lets its caller try
-elsewhere.
+Jobs wait for cores.  The wait is predicted from the cores that all earlier
+jobs need beyond those that are free, and from the rate at which cores are
+released: this entry's share of the workers divided by the mean run time, or
+the recent release rate of its own runs if that is higher.  A job that would
+start too late is refused at once; where nothing is queued, no job is refused.
+The accepted wait is adjusted by the outcome of admitted jobs
+(:class:`Margin`).  An admitted job whose latest start passes before any of its
+tasks started is refused as well: the prediction was wrong, and an early answer
+lets its caller try elsewhere.
 """
 
 import dataclasses
@@ -42,7 +42,7 @@
 
 MAX_WAIT_SHARE = 0.7
 """Largest share of a job's slack that its predicted wait may take up, while
-queued jobs start in time. The job's own run time is known to within a
+queued jobs start in time.  The job's own run time is known to within a
 third."""
 
 MIN_WAIT_SHARE = 0.05
@@ -52,7 +52,7 @@
 SHARE_INCREASE_FACTOR = 1.02
 SHARE_DECREASE_FACTOR = 0.7
 """Factors on the share after a job that started in time, and after one that
-started late. They balance at one late start in nineteen, whatever the share
+started late.  They balance at one late start in nineteen, whatever the share
 is: fewer late starts would cost many refusals, and to callers a refusal is
 worse than a late answer."""
 
@@ -118,7 +118,7 @@
     :param needed: cores of the tasks that start before it.
     :param free: cores that are free for them now.
     :param rate: cores that are released per second.
-    :param trip: round trip of a message to an agent in seconds. It is long
+    :param trip: round trip of a message to an agent in seconds.  It is long
         while the entry's link or processor is saturated, when more jobs would
         only make all of them wait longer.
     """
@@ -141,7 +141,7 @@
     """Return whether a job starts soon enough.
 
     :param slack: seconds until its latest start.
-    :param share: share of the slack that the wait for cores may take up. The
+    :param share: share of the slack that the wait for cores may take up.  The
         round trip isn't part of that limit: an entry with a low share and slow
         round trips would admit no job, and the share could never recover.
     """
@@ -153,9 +153,9 @@
 class Margin:
     """Share of its slack that an admitted job may wait, adjusted by outcome.
 
-    Load pattern: more work than the workers can do, for seconds. A job's wait
+    Load pattern: more work than the workers can do, for seconds.  A job's wait
     is predicted from the queue before it, but more urgent jobs arrive later
-    and overtake it, and its own tasks need several slots. The additional wait
+    and overtake it, and its own tasks need several slots.  The additional wait
     depends on the load and on the mix of jobs, so it is learnt from outcomes:
     each job that waited until it started too late lowers the share, so that
     later callers are refused at once instead of late.
@@ -247,7 +247,7 @@
     def record_start(self, arrived_at: float, in_time: bool) -> None:
         """Record whether an admitted job started in time.
 
-        A job that never started counts as late. Jobs that arrived before any
+        A job that never started counts as late.  Jobs that arrived before any
         worker was reachable don't count: after a power loss they would make an
         entry without load refuse other jobs.
         """
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -1,7 +1,7 @@
 """Estimates of run times per task and job.
 
 Load pattern: callers' estimates are wrong by a factor in either direction, and
-the tasks of one job resemble one another far more than those of two jobs. A
+the tasks of one job resemble one another far more than those of two jobs.  A
 run's estimate is therefore the median of the job's tasks that have ended, if
 there are any, and otherwise the learnt run time of its queue.
 """
--- a/src/agatepick/repeatable/health.py
+++ b/src/agatepick/repeatable/health.py
@@ -1,14 +1,14 @@
 """Performance record of a worker, kept by its agent.
 
 Load pattern: a worker becomes slow, hangs or fails its tasks, while its
-announcements look normal. As tasks are placed where capacity is free, such a
-worker is always free and attracts more work the worse it performs. Each entry
+announcements look normal.  As tasks are placed where capacity is free, such a
+worker is always free and attracts more work the worse it performs.  Each entry
 alone would need a dozen of its own runs to detect that; the agent sees the
 runs of all entries.
 
-Slowness and success rate are moving averages. A run that exceeds its expected
-time counts before it ends, since on a hanging worker no run ends. Without runs
-the record fades, so that the worker is tried again.
+Slowness and success rate are moving averages.  A run that exceeds its expected
+time counts before it ends, since on a hanging worker no run ends.  Without
+runs the record fades, so that the worker is tried again.
 """
 
 import math
@@ -22,7 +22,7 @@
 success rate; a healthy worker fails two runs in a thousand."""
 
 FADE_SECONDS = 3.0
-"""Time constant with which the record fades while nothing runs. A worker that
+"""Time constant with which the record fades while nothing runs.  A worker that
 was six times too slow is tried again after 5 s."""
 
 OVERDUE_RATIO = 2.5
@@ -59,7 +59,7 @@
     def record_overdue(self, ratio: float, now: float) -> None:
         """Record that a run has taken ``ratio`` times its expected time.
 
-        The run is still going on. Its weight is that of an ended run: one run
+        The run is still going on.  Its weight is that of an ended run: one run
         with a wrong estimate must not exclude a healthy worker, but ten
         overdue runs on a slow worker must.
         """
--- a/src/agatepick/repeatable/leases.py
+++ b/src/agatepick/repeatable/leases.py
@@ -4,10 +4,10 @@
 the new runs start while the old ones still run: the caller's quote is filed
 twice.
 
-A run is bounded by two leases in sequence. The agent holds a lease from the
+A run is bounded by two leases in sequence.  The agent holds a lease from the
 entry, renewed by a round trip and counted from the time of the agent's
 request; the worker holds a lease from the agent, counted on the worker's own
-clock. In the longest sequence the entry answers a renewal and dies; the agent
+clock.  In the longest sequence the entry answers a renewal and dies; the agent
 extends the worker's lease just before its lease from the entry expires, and
 dies too; the worker ends all runs when its lease expires.
 
@@ -18,14 +18,14 @@
 
 ENTRY_LEASE_SECONDS = 0.45
 """Duration of an agent's lease on an entry's runs, counted from the sending of
-the last renewal that was answered. One renewal may be lost."""
+the last renewal that was answered.  One renewal may be lost."""
 
 RENEW_SECONDS = 0.2
 """Pause between an agent's renewals, a bit less than half of the lease."""
 
 WORKER_LEASE_SECONDS = 0.65
-"""Time by which an agent extends its worker's lease. The worker allows up to 1
-s; a shorter lease keeps the whole sequence below the callers' 1.3 s."""
+"""Time by which an agent extends its worker's lease.  The worker allows up to
+1 s; a shorter lease keeps the whole sequence below the callers' 1.3 s."""
 
 CLOCK_DRIFT = 1.02
 """A worker's monotonic clock may be 2% slow, so its lease lasts 2% longer."""
@@ -37,7 +37,7 @@
 """Allowance for event loop delays in between."""
 
 MAX_WORKER_LEASE_SECONDS = 1.0
-"""Upper bound to which the worker cuts any longer lease. A request meant for
+"""Upper bound to which the worker cuts any longer lease.  A request meant for
 an earlier incarnation of the worker contains an instant of that incarnation's
 clock, which may be hours ahead."""
 
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -1,9 +1,9 @@
 """Timing of an agent's requests for its worker's lists.
 
-Load pattern: one request in twenty gets no answer, for seconds. If the agent
+Load pattern: one request in twenty gets no answer, for seconds.  If the agent
 waited for the lost list before it requested another, it would receive no ends
 of runs for a quarter of a second, several times a second: short urgent jobs
-would all be late although the worker is healthy. An overdue list is therefore
+would all be late although the worker is healthy.  An overdue list is therefore
 requested once more while the first one may still arrive, and the silence of a
 worker is measured by time, not by a number of failures.
 
@@ -30,7 +30,7 @@
 row, which are hardly ever lost if one request in twenty is."""
 
 SILENT_SECONDS = 0.6
-"""Silence after which a worker's lease is no longer extended. The lease lasts
+"""Silence after which a worker's lease is no longer extended.  The lease lasts
 as long: with a shorter time lost answers alone would end all its runs."""
 
 PROBE_SECONDS = 0.5
--- a/src/agatepick/repeatable/measures.py
+++ b/src/agatepick/repeatable/measures.py
@@ -33,7 +33,7 @@
     'entries': 'entries that the agent is connected to',
     'worker_open': '1 while runs may be started at the worker',
 }
-"""Gauges and their help texts by name. The values are computed on each scrape
+"""Gauges and their help texts by name.  The values are computed on each scrape
 only."""
 
 Gauges = typing.Callable[[], dict[str, float]]
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -1,6 +1,6 @@
 """Reports on an entry's runs, and the tasks' next states.
 
-A task whose run finished is done. A task whose run failed, was refused or
+A task whose run finished is done.  A task whose run failed, was refused or
 ended without a result waits again, until it has failed as often as its queue
 allows: only then its job is answered as failed.
 """
@@ -19,15 +19,15 @@
 from agatepick import types
 
 STALE_RUN_STEP = 64
-"""Step by which run numbers are raised after the reason ``stale_run``. A
+"""Step by which run numbers are raised after the reason ``stale_run``.  A
 worker that has already received this run number or a higher one received it
 from an earlier owner of the job; the step exceeds what that owner can have
 used."""
 
 REFUSED_DELAYS = backoff.BackoffDelays(first=0.05, most=0.5)
 """Delays before a task that workers refuse is sent again, from its second
-refusal on. If all workers are unwell, the task would otherwise circulate among
-them without a delay."""
+refusal on.  If all workers are unwell, the task would otherwise circulate
+among them without a delay."""
 
 _WORKER_REASONS = frozenset({'stale_run', 'unwell'})
 """Reasons of refusals that the worker's free capacity doesn't explain."""
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -2,7 +2,7 @@
 
 Jobs wait in order of their latest start, the instant at which a job must start
 to end within its objective: short urgent jobs overtake long ones that can
-still wait, and a long one advances as its latest start approaches. Jobs that
+still wait, and a long one advances as its latest start approaches.  Jobs that
 have started precede all that have not: a job is answered only when its last
 task ends, and the work of its first tasks is wasted if that is late.
 """
@@ -154,7 +154,7 @@
     def started_late(self) -> bool:
         """Return whether queueing alone made a finished job too late.
 
-        The job's objective follows from its actual run times. A job with a
+        The job's objective follows from its actual run times.  A job with a
         lost or moved run returns false, since its delay isn't due to the
         queue.
         """
--- a/src/agatepick/repeatable/payloads.py
+++ b/src/agatepick/repeatable/payloads.py
@@ -1,11 +1,11 @@
 """Payload cache shared by both ends of a connection.
 
 Load pattern: wide jobs, and starts that are refused for lack of capacity and
-sent again. If each start contained its job's payload, the same kilobytes would
-pass an entry's link for each task and each attempt. On a narrow link messages
-then queue behind them, capacity granted to the entry expires before its answer
-arrives, its starts are refused, and the retries keep the link saturated
-permanently.
+sent again.  If each start contained its job's payload, the same kilobytes
+would pass an entry's link for each task and each attempt.  On a narrow link
+messages then queue behind them, capacity granted to the entry expires before
+its answer arrives, its starts are refused, and the retries keep the link
+saturated permanently.
 
 Both ends add the same payloads in the same order and keep the same number of
 them, so the entry knows the contents of the agent's cache without messages.
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -1,7 +1,7 @@
 """Placement of waiting tasks on workers, and requests for more capacity.
 
 A task is assigned only when a worker has free capacity for it, so a straggler
-or a wrong estimate delays one slot and no queue behind it. For tasks without
+or a wrong estimate delays one slot and no queue behind it.  For tasks without
 capacity the entry sends the agents a request with the urgency of the first
 task, and they reserve released capacity for the most urgent entry
 (:mod:`~agatepick.repeatable.sharing`).
@@ -81,7 +81,7 @@
         effects = self._send_starts(wants)
         for name, jobs in by_pool.items():
             effects += self._send_want(name, wants[name], now)
-        # No task waits for the other pools any more. Their agents get no
+        # No task waits for the other pools any more.  Their agents get no
         # message: an agent with a grant for this entry receives its answer,
         # and the others drop the request after a while.
         for name, last_want in self._last_wants.items():
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -4,9 +4,9 @@
 tasks, and several entries place tasks on the same ones.
 
 The free capacity of a worker is the value that its agent sent last, minus what
-this entry has sent there since. A worker's cost, sent by its agent, is
+this entry has sent there since.  A worker's cost, sent by its agent, is
 compared with that of the others: jobs that are slow or fail on all workers
-cause that themselves. Workers with a high cost get no tasks, or one task at a
+cause that themselves.  Workers with a high cost get no tasks, or one task at a
 time, which shows whether they have recovered.
 """
 
@@ -23,7 +23,7 @@
 
 MAX_RENEWAL_AGE_SECONDS = 0.43
 """Time since the last renewal after which an agent gets no more runs: two
-renewals were missed. A frozen or lost machine thus gets none, long before its
+renewals were missed.  A frozen or lost machine thus gets none, long before its
 connection ends."""
 
 EXCLUDED_COST = 2.3
@@ -55,7 +55,7 @@
 class PlacedRun:
     """One run at a worker.
 
-    :param run: number of the run. The task may have a later run elsewhere,
+    :param run: number of the run.  The task may have a later run elsewhere,
         which must not be ended together with this one.
     """
 
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -1,8 +1,8 @@
 """Processes that consist of a reducer, its event loop shell and its links.
 
 The parts that communicate with callers, workers and the store are supplied
-from outside. They pass events to :meth:`Process.feed` and register for effects
-with :meth:`Process.handle`.
+from outside.  They pass events to :meth:`Process.feed` and register for
+effects with :meth:`Process.handle`.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 _INCARNATION_BITS = 63
 
 TIMEOUTS = links.LinkTimeouts(heartbeat=0.4, silence=1.2, dial=1.0)
-"""Timing of the links. Agents and entries exchange renewals every 0.2 s, so
+"""Timing of the links.  Agents and entries exchange renewals every 0.2 s, so
 1.2 s of silence is longer than any pause of a busy process; a connection that
 has been silent for so long is replaced."""
 
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -1,9 +1,9 @@
 """Updates to entries on the worker and its free capacity.
 
-Load pattern: many short tasks. Each start and each end changes the free
+Load pattern: many short tasks.  Each start and each end changes the free
 capacity; if every change were sent to every entry, an entry would mostly read
 updates, and one with a small processor would have no time for its callers at
-peak load. An update is therefore sent only when the capacity that an entry
+peak load.  An update is therefore sent only when the capacity that an entry
 assumes differs enough from the actual one: by one task where few fit, by more
 where many do.
 """
--- a/src/agatepick/repeatable/reports.py
+++ b/src/agatepick/repeatable/reports.py
@@ -1,6 +1,6 @@
 """Reports on runs to entries, also after a broken connection.
 
-A report may be lost with its connection. Reports are therefore kept for a
+A report may be lost with its connection.  Reports are therefore kept for a
 while, and an entry that reconnects receives a full report on all of its runs:
 a run that isn't in that list has ended.
 """
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -21,14 +21,14 @@
 from agatepick import types
 
 STOP_RETRY_SECONDS = 0.1
-"""Pause before a stop is sent again. One request in twenty may get no answer;
+"""Pause before a stop is sent again.  One request in twenty may get no answer;
 the retry is sent well within the callers' 1.3 s."""
 
 UNOWNED_STOP_RETRY_SECONDS = 0.2
 """Pause before a run that no entry owns is stopped once more."""
 
 START_RETRY_SECONDS = 0.03
-"""Pause before an unanswered start is sent again. A worker that receives the
+"""Pause before an unanswered start is sent again.  A worker that receives the
 same start twice runs it once, so a retry only saves time: giving up a start
 and placing its task elsewhere cost 0.15 s, more than the slack of short urgent
 jobs."""
@@ -44,7 +44,7 @@
 announcements at 1.5 s each, and some spare time."""
 
 MIN_EXPECTED_SECONDS = 0.05
-"""Lower bound of expected run times in health records. Shorter runs take as
+"""Lower bound of expected run times in health records.  Shorter runs take as
 long as a round trip to the worker on a busy machine, which doesn't show how
 the worker performs."""
 
@@ -81,7 +81,7 @@
         self._lease_until = 0.0
         self._unowned_stopped_at = 0.0
         # Whether no run that an earlier incarnation of this process started is
-        # left at the worker. Each start extends the lease of all runs there:
+        # left at the worker.  Each start extends the lease of all runs there:
         # if tasks were started beside such a run whose stop got lost, it would
         # outlive the time after which its entry starts its task elsewhere, and
         # a caller's quote would be filed twice.
@@ -143,7 +143,7 @@
 
         Otherwise, after a kill or a power loss, the agent has no description
         of its worker until the next announcement, up to 1.5 s later, and
-        callers reach entries that can't start anything. A draining worker is
+        callers reach entries that can't start anything.  A draining worker is
         deleted from the store: the next incarnation must not use it.
         """
         persisted = None
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -1,13 +1,13 @@
 """Choice of the entries that an agent serves.
 
-Load pattern: many agents and many entries. Each pair costs both sides
+Load pattern: many agents and many entries.  Each pair costs both sides
 renewals, capacity updates and requests, whether jobs arrive or not, and with
-thousands of agents an entry could do nothing else. An agent therefore serves
+thousands of agents an entry could do nothing else.  An agent therefore serves
 only a few entries, and each entry has its share of the workers.
 
 The entries are chosen by rendezvous hashing: agents need no coordination, and
-an entry that is added or removed moves only its own share. Zones alternate, so
-that every zone's entries reach workers in all zones. An entry that stays
+an entry that is added or removed moves only its own share.  Zones alternate,
+so that every zone's entries reach workers in all zones.  An entry that stays
 disconnected is replaced by the next one; once it is back, the substitute gets
 no more capacity, and is disconnected when its runs have ended.
 """
@@ -26,7 +26,7 @@
 agent still serves the others."""
 
 AWAY_SECONDS = 2.0
-"""Time without a connection after which an entry is replaced. The connection
+"""Time without a connection after which an entry is replaced.  The connection
 of a silent entry is closed after 1.2 s, and a killed process is back in about
 1 s."""
 
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -1,16 +1,16 @@
 """Division of a worker's free capacity among the entries.
 
 Load pattern: several entries place tasks on the same workers, and at peak load
-all of them wait for capacity. If every released slot were announced to all,
+all of them wait for capacity.  If every released slot were announced to all,
 each would try to use it, all but one would fail, and the nearest entry would
-always be first: callers of a zone with few workers would starve. If capacity
+always be first: callers of a zone with few workers would starve.  If capacity
 were leased in parts, a remainder of each part that is too small for a task
 would stay idle.
 
 Capacity that no entry waits for is therefore open to all, and an entry uses it
-without asking. An entry that finds none sends a request with the urgency of
+without asking.  An entry that finds none sends a request with the urgency of
 its first task; released capacity is then reserved for the most urgent entry
-alone, as much as its tasks need, until its answer arrives. The part that it
+alone, as much as its tasks need, until its answer arrives.  The part that it
 doesn't use is granted to the next entry.
 """
 
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -1,7 +1,7 @@
 """Graceful stop of an entry.
 
 Without it, callers continue to use their open connections to a process that
-was asked to stop, and requests in progress are cut off with it. A stopping
+was asked to stop, and requests in progress are cut off with it.  A stopping
 entry isn't ready any more, accepts only jobs that end in time, answers all of
 them, and exits well before the platform kills it.
 """
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -1,9 +1,9 @@
 """Detection of runs that take far too long and should be moved.
 
-Load pattern: a worker becomes slow or hangs while it has runs. Their jobs wait
-for them alone, and without a bound their callers would wait until they give
-up. A run that takes several times its expected time is stopped and its task
-started at another worker, if one has free capacity; otherwise stopping it
+Load pattern: a worker becomes slow or hangs while it has runs.  Their jobs
+wait for them alone, and without a bound their callers would wait until they
+give up.  A run that takes several times its expected time is stopped and its
+task started at another worker, if one has free capacity; otherwise stopping it
 would only waste its work.
 """
 
@@ -16,7 +16,7 @@
 from agatepick.repeatable import pool
 
 STRAGGLER_RATIO = 2.2
-"""Multiple of the expected time after which a run counts as stuck. A healthy
+"""Multiple of the expected time after which a run counts as stuck.  A healthy
 worker of the slow type takes 1.3 times as long, and tasks of a job differ by
 15%; beyond this ratio the objective (1.6 times) is missed in any case, and
 another worker uses the rest of the caller's time better."""
