--- a/src/agatepick/decisions/admission.py
+++ b/src/agatepick/decisions/admission.py
@@ -75,8 +75,8 @@
     """Return the expected seconds until the job's last task starts."""
     if not estimate.tasks:
         return 0.0
-    at_once = load.free * estimate.work / estimate.tasks
-    waiting = max(0.0, load.work_before + estimate.work - at_once)
+    immediate_work = load.free * estimate.work / estimate.tasks
+    waiting = max(0.0, load.work_before + estimate.work - immediate_work)
     return waiting / max(load.slots, 1.0)
 
 
@@ -92,26 +92,26 @@
     :param spare_share: part of the time to the deadline that stays unused.
     :returns: the refusal, or ``None`` if the job can be admitted.
     """
-    left = job.deadline - now
-    if left <= 0.0:
+    remaining = job.deadline - now
+    if remaining <= 0.0:
         return Refusal('deadline_passed', 'the deadline has passed', 0.0)
-    if estimate.median > left:
+    if estimate.median > remaining:
         return Refusal(
             'deadline_too_short',
             f'its longest task takes {estimate.median:.2f} s, the deadline'
-            f' is in {left:.2f} s',
+            f' is in {remaining:.2f} s',
             0.0,
         )
     wait = predict_wait(load, estimate)
-    usable = left * (1.0 - spare_share)
+    usable = remaining * (1.0 - spare_share)
     if not wait or wait + estimate.longest <= usable:
         return None
-    late = wait + estimate.longest - usable
+    excess = wait + estimate.longest - usable
     return Refusal(
         'overloaded',
-        f'would end {late:.2f} s too late: {load.work_before:.1f} s of work'
+        f'would end {excess:.2f} s too late: {load.work_before:.1f} s of work'
         f' waits before it for {load.slots:.0f} slots',
-        min(max(late, MIN_RETRY_AFTER), MAX_RETRY_AFTER),
+        min(max(excess, MIN_RETRY_AFTER), MAX_RETRY_AFTER),
     )
 
 
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -1,6 +1,6 @@
 """The queue of an entry, and the slots at agents that it may fill.
 
-Combines the decisions under load: admission, fair queueing, quotas, worker
+It combines the decisions under load: admission, fair queueing, quotas, worker
 selection, outlier detection, retry budget and run-time estimates.  Tasks
 wait here and are bound to a slot only when one is free (late binding), so
 that a straggler or a wrong estimate holds up one slot, not a queue behind it.
@@ -41,7 +41,8 @@
 EXCLUDED_SECONDS = 0.1
 """Time after which a retry may be placed at agents that refused the task."""
 LATEST_START_FACTOR = 1.2
-"""Multiple of the longest run time that a job needs before its deadline."""
+"""Time before its deadline by which a job must start, as a multiple of the run
+time of its longest task."""
 NOTES_BY_STANDING = {
     outliers.Standing.EJECTED: 'worker_ejected',
     outliers.Standing.GOOD: 'worker_readmitted',
@@ -124,7 +125,7 @@
         self._retries = retries.RetryQueue()
         self._deadlines: list[tuple[float, int, str]] = []
         self._sequence = 0
-        self._sized: sizing.SizedJob | None = None
+        self._last_sized: sizing.SizedJob | None = None
         self._blocked: set[placement.Requirement] = set()
         self._demand = demand.SlotDemand()
         self._notes: list[core.Note] = []
@@ -172,7 +173,7 @@
     def enqueue(self, job: types.JobSpec, now: float) -> None:
         """Queue all tasks of a job."""
         sized = self._estimate(job)
-        self._sized = None
+        self._last_sized = None
         cost = sized.estimate.work / max(1, len(job.tasks))
         groups = {
             requirement: collections.deque(indices)
@@ -195,8 +196,8 @@
         :returns: ``False`` if the retry budget or the deadline forbids it.
         """
         self._release_needs(refused_by, task.job, task.index)
-        left = task.job.deadline - now
-        pause = self._budget.delay(task.attempt, left)
+        remaining = task.job.deadline - now
+        pause = self._budget.spend_token(task.attempt, remaining)
         if pause is None:
             return False
         excluded = task.excluded | {refused_by}
@@ -346,15 +347,15 @@
             self._notes.append(core.note(name, agent=agent))
 
     def _estimate(self, job: types.JobSpec) -> sizing.SizedJob:
-        # Caches the estimate, as enqueue directly follows admit for a job.
-        if self._sized is None or self._sized.job is not job:
-            self._sized = sizing.estimate_job(
+        # The estimate is cached, as enqueue directly follows admit for a job.
+        if self._last_sized is None or self._last_sized.job is not job:
+            self._last_sized = sizing.estimate_job(
                 job,
                 self._workers.classify,
                 self._run_times,
                 self._preset.confidence,
             )
-        return self._sized
+        return self._last_sized
 
     def _compute_latest_start(self, sized: sizing.SizedJob) -> float:
         estimate = sized.estimate
@@ -408,10 +409,10 @@
     ) -> None:
         throttled: set[str] = set()
         while True:
-            found = self._queue.find_next(self._blocked, throttled, now)
-            if found is None:
+            next_group = self._queue.find_next(self._blocked, throttled, now)
+            if next_group is None:
                 return
-            waiting, requirement = found
+            waiting, requirement = next_group
             free_quota = self._get_free_quota(waiting.job.team, now)
             if free_quota <= 0:
                 throttled.add(waiting.job.team)
@@ -509,14 +510,14 @@
         """Rebuild the heap if most of its jobs no longer wait."""
         if len(self._deadlines) < PRUNE_LENGTH:
             return
-        kept = [
+        waiting_entries = [
             entry
             for entry in self._deadlines
             if self._queue.get(entry[2]) is not None
         ]
-        if len(kept) * 2 < len(self._deadlines):
-            heapq.heapify(kept)
-            self._deadlines = kept
+        if len(waiting_entries) * 2 < len(self._deadlines):
+            heapq.heapify(waiting_entries)
+            self._deadlines = waiting_entries
 
 
 _NO_NEEDS = types.Needs()
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -181,7 +181,7 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """Return the worker with the lowest score."""
+        """Return the best worker by the criteria of this module."""
         needs_none = not requirement.needs.accelerators
         best = workers[0]
         best_score = float('inf')
--- a/src/agatepick/decisions/presets.py
+++ b/src/agatepick/decisions/presets.py
@@ -9,8 +9,8 @@
 makes the next job miss its deadline too; it also retries less, because
 callers submit refused jobs again.  ``maintenance`` expects workers and zones
 to come and go: it retries more, ejects more, and reserves more of the time
-to the deadline.  With a reserve of a tenth or more, admitted work is in time
-at 150% load even if run times aren't declared.
+to the deadline.  A tenth is the smallest reserve with which admitted work is
+in time at 150% load when run times aren't declared.
 
 A change of preset applies at once to decisions about new work.  Admitted
 jobs stay admitted, and running tasks continue; the number of retry tokens is
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -225,8 +225,8 @@
             heap = level.heaps.setdefault(requirement, [])
             entry = (waiting.rank, self._sequence, order, waiting)
             heapq.heappush(heap, entry)
-            late_entry = (waiting.latest_start, self._sequence, order, waiting)
-            heapq.heappush(level.by_latest_start, late_entry)
+            due_entry = (waiting.latest_start, self._sequence, order, waiting)
+            heapq.heappush(level.by_latest_start, due_entry)
 
     def find_next(
         self,
@@ -244,11 +244,11 @@
         if self._urgent_streak >= self.urgent_run and second.count:
             first, second = second, first
         for level in (first, second):
-            found = _find_due(level, blocked, throttled_teams, now)
-            if found is None:
-                found = self._find_first(level, blocked, throttled_teams)
-            if found is not None:
-                return found
+            next_group = _find_due(level, blocked, throttled_teams, now)
+            if next_group is None:
+                next_group = self._find_first(level, blocked, throttled_teams)
+            if next_group is not None:
+                return next_group
         return None
 
     def pop_task(
@@ -361,17 +361,17 @@
         throttled_teams: typing.Container[str],
     ) -> tuple[WaitingJob, placement.Requirement] | None:
         best: _Ranked | None = None
-        found: placement.Requirement | None = None
+        best_class: placement.Requirement | None = None
         for requirement in list(level.heaps):
             if requirement in blocked:
                 continue
             head = _find_head(level.heaps, requirement, throttled_teams)
             if head is not None and (best is None or head < best):
                 best = head
-                found = requirement
-        if best is None or found is None:
+                best_class = requirement
+        if best is None or best_class is None:
             return None
-        return best[3], found
+        return best[3], best_class
 
 
 def _starts_before(waiting: WaitingJob, urgent: bool, rank: float) -> bool:
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -153,7 +153,7 @@
         held = old.drop_superseded(ask.held_until) if old else ()
         loans[peer] = _Loan(ask.want, ask.running, ask.promise, held)
         reserved = sum(
-            self._get_reserved(layout, team, one, now) for one in others
+            self._get_reserved(layout, team, name, now) for name in others
         )
         available = max(0, layout.quotas[team] - reserved)
         amount = min(
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -46,17 +46,17 @@
         tokens = self._tokens + number * self._preset.retry_share
         self._tokens = min(tokens, self._preset.retry_burst)
 
-    def delay(self, attempt: int, left: float) -> float | None:
+    def spend_token(self, attempt: int, remaining: float) -> float | None:
         """Spend a token on a retry and return the delay before it.
 
         :param attempt: number of the refused attempt, from 0.
-        :param left: seconds until the deadline.
+        :param remaining: seconds until the deadline.
         :returns: seconds, or ``None`` if no retry is allowed.
         """
         if self._tokens < 1.0:
             return None
         pause = self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempt + 1))
-        if pause >= left:
+        if pause >= remaining:
             return None
         self._tokens -= 1.0
         return pause
@@ -102,6 +102,8 @@
         """Remove and return the tasks that match a predicate."""
         removed = [task for task in self if predicate(task)]
         if removed:
-            self._heap = [one for one in self._heap if not predicate(one[2])]
+            self._heap = [
+                entry for entry in self._heap if not predicate(entry[2])
+            ]
             heapq.heapify(self._heap)
         return removed
--- a/src/agatepick/decisions/sizing.py
+++ b/src/agatepick/decisions/sizing.py
@@ -48,11 +48,11 @@
     groups, work = _group_tasks(job, classify, run_times)
     for group in groups.values():
         group.sort()
-    order = sorted(groups, key=lambda one: groups[one][0])
+    order = sorted(groups, key=lambda requirement: groups[requirement][0])
     share = confidence ** (1.0 / min(len(job.tasks) or 1, LAST_TASKS))
-    firsts = [job.tasks[group[0][1]] for group in groups.values()]
-    medians = [run_times.quantile(task, 0.5) for task in firsts]
-    longest = [run_times.quantile(task, share) for task in firsts]
+    first_tasks = [job.tasks[group[0][1]] for group in groups.values()]
+    medians = [run_times.quantile(task, 0.5) for task in first_tasks]
+    longest = [run_times.quantile(task, share) for task in first_tasks]
     estimate = admission.JobEstimate(
         len(job.tasks),
         work,
@@ -61,7 +61,10 @@
     )
     return SizedJob(
         job,
-        {one: [index for _, index in groups[one]] for one in order},
+        {
+            requirement: [index for _, index in groups[requirement]]
+            for requirement in order
+        },
         estimate,
     )
 
@@ -71,22 +74,22 @@
 ) -> tuple[dict[placement.Requirement, _Group], float]:
     groups: dict[placement.Requirement, _Group] = {}
     work = 0.0
-    last: types.TaskSpec | None = None
+    previous: types.TaskSpec | None = None
     group: _Group = []
     mean = 0.0
     for index, task in enumerate(job.tasks):
-        if last is None or not _is_equivalent(task, last):
+        if previous is None or not _is_equivalent(task, previous):
             group = groups.setdefault(classify(job, task), [])
             mean = run_times.mean(task)
-            last = task
+            previous = task
         group.append((-mean, index))
         work += mean
     return groups, work
 
 
-def _is_equivalent(one: types.TaskSpec, other: types.TaskSpec) -> bool:
+def _is_equivalent(task: types.TaskSpec, other: types.TaskSpec) -> bool:
     return (
-        one.kind == other.kind
-        and one.expected_seconds == other.expected_seconds
-        and one.needs == other.needs
+        task.kind == other.kind
+        and task.expected_seconds == other.expected_seconds
+        and task.needs == other.needs
     )
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -203,7 +203,10 @@
         self, requirements: typing.Iterable[placement.Requirement]
     ) -> frozenset[str]:
         """Return the names of the workers that serve any of the classes."""
-        pools = [self.get_index(one).get_pool() for one in requirements]
+        pools = [
+            self.get_index(requirement).get_pool()
+            for requirement in requirements
+        ]
         return pools[0] if len(pools) == 1 else frozenset().union(*pools)
 
     def sum_slots(self, pool: frozenset[str]) -> tuple[int, int, int]:
@@ -242,7 +245,9 @@
         ]
         if not same_kind:
             return admission.refuse_unknown_kind(requirement.kind)
-        if any(requirement.needs.fits(one.capacity) for one in same_kind):
+        if any(
+            requirement.needs.fits(worker.capacity) for worker in same_kind
+        ):
             return admission.refuse_unknown_zone(
                 requirement.zones, requirement.kind
             )
@@ -269,9 +274,9 @@
             self._add_to_index(worker, index)
 
     def _update_limit(self, worker: placement.Worker) -> None:
-        before = worker.limit
+        old_limit = worker.limit
         worker.limit = self._compute_limit(worker)
-        self.limit += worker.limit - before
+        self.limit += worker.limit - old_limit
         usable = worker.slots if _is_usable(worker) else 0
         self.slots += usable - worker.usable
         worker.usable = usable
@@ -321,17 +326,17 @@
             for worker in self._workers.values()
             if needs.fits(worker.capacity)
         ]
-        raised = needs
+        rounded = needs
         if fitting:
-            raised = types.Needs(
+            rounded = types.Needs(
                 min(capacity.cpu for capacity in fitting),
                 min(capacity.memory_mb for capacity in fitting),
                 needs.accelerators,
             )
         if len(self._canonical) >= MAX_CLASSES:
             self._canonical.clear()
-        self._canonical[needs] = raised
-        return raised
+        self._canonical[needs] = rounded
+        return rounded
 
     def _remove(self, worker: placement.Worker) -> None:
         for index in worker.indexes:
@@ -367,11 +372,11 @@
     return worker.connected and not worker.leaving
 
 
-def _is_worth_asking(worker: placement.Worker, before: float) -> bool:
+def _is_worth_asking(worker: placement.Worker, cutoff: float) -> bool:
     return (
         _is_usable(worker)
         and not worker.running
         and worker.credits < worker.slots
-        and worker.last_message_at <= before
-        and worker.demand_sent_at <= before
+        and worker.last_message_at <= cutoff
+        and worker.demand_sent_at <= cutoff
     )
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -32,5 +32,5 @@
     if zone.out:
         return 0.0
     progress = max(0.0, now - zone.since) / RAMP_SECONDS
-    grown = FIRST_SHARE + (1.0 - FIRST_SHARE) * min(1.0, progress)
-    return int(grown * STEPS) / STEPS
+    share = FIRST_SHARE + (1.0 - FIRST_SHARE) * min(1.0, progress)
+    return int(share * STEPS) / STEPS
--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -123,10 +123,10 @@
 
     async def post(self) -> None:
         """Submit a job and answer when it has ended."""
-        found = self._find_route()
-        if found is None:
+        route_and_key = self._find_route()
+        if route_and_key is None:
             return
-        route, key = found
+        route, key = route_and_key
         if not _KEY.fullmatch(key):
             self._refuse(404, 'no_such_path', 0.0)
             return
@@ -142,10 +142,10 @@
 
         The state of single jobs isn't stored, so a request for one gets 410.
         """
-        found = self._find_route()
-        if found is None:
+        route_and_key = self._find_route()
+        if route_and_key is None:
             return
-        route, key = found
+        route, key = route_and_key
         if key:
             self._refuse(410, 'not_kept', 0.0)
             return
@@ -153,10 +153,10 @@
 
     def delete(self) -> None:
         """Cancel a job."""
-        found = self._find_route()
-        if found is None:
+        route_and_key = self._find_route()
+        if route_and_key is None:
             return
-        _, key = found
+        _, key = route_and_key
         if not self._front.entry.owns_open_job(key):
             self._refuse(410, 'no_such_job', 0.0)
             return
@@ -224,7 +224,8 @@
 
     def _close_if_stopping(self) -> None:
         if self._front.entry.stopping:
-            # Makes the caller send its next request to a process that stays.
+            # The header makes the caller send its next request to a process
+            # that stays.
             self.set_header('Connection', 'close')
 
 
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -120,7 +120,7 @@
     client = worker.WorkerClient(cfg.worker, proc.clock, proc.feed)
     proc.handle(workerapi.StartRun, client.start)
     proc.handle(workerapi.StopRun, client.stop)
-    proc.handle(workerapi.RequestLists, client.watch)
+    proc.handle(workerapi.RequestLists, client.request_lists)
     store = rows.RowStore(cfg.store)
     record = worker_record.WorkerRecord(store, cfg.worker, rng)
     proc.handle(workerapi.PersistWorker, record.update)
--- a/src/agatepick/platform/settings.py
+++ b/src/agatepick/platform/settings.py
@@ -23,7 +23,7 @@
     :param ready: address of the readiness endpoint for the platform.
     :param control: address at which this machine's worker announces itself.
     :param links: address at which this process accepts its peers.
-    :param worker: address at which this machine's worker takes orders.
+    :param worker: address at which this machine's worker takes requests.
     :param store: address of the platform's store.
     :param grace_seconds: time from the request to stop until the kill.
     """
--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -1,4 +1,4 @@
-"""Client for orders to the worker on this machine, over HTTP.
+"""Client for requests to the worker on this machine, over HTTP.
 
 The worker expects a lease as an instant of its own clock until which all its
 runs may continue; this module computes it from the newest clock samples.
@@ -17,27 +17,28 @@
 
 LOG = logs.logger(__name__)
 
-ORDER_SECONDS = 0.12
-"""Timeout of an order.  The worker is on this machine and answers within a few
-milliseconds, but one order in twenty may get no answer at all.  A task that
-waits longer than this can't be in time at another worker any more."""
+REQUEST_SECONDS = 0.12
+"""Timeout of a request.  The worker is on this machine and answers within a
+few milliseconds, but one request in twenty may get no answer at all.  A task
+that waits longer than this can't be in time at another worker any more."""
 
-WATCH_MARGIN_SECONDS = 0.08
-"""Time after the wait of a watch until it counts as unanswered."""
+LISTS_MARGIN_SECONDS = 0.08
+"""Time beyond the wait after which a request for the lists counts as
+unanswered."""
 
 MAX_CONNECTIONS = 6
 """Each connection has a cost.  A burst of ten starts, 2 ms each,
 takes only 4 ms longer over four connections than over ten; two more are for
-watches that wait."""
+requests for the lists, which wait."""
 
 SAMPLE_SECONDS = 1.0
 """Age up to which a clock sample is used; a clock that is 2% slow falls 20 ms
 behind in that time."""
 
 FENCING_TOKEN = 1
-"""Constant, as all orders come from the one agent beside the worker, whose
-earlier incarnation has ended before it starts; late orders of that one carry
-expired leases."""
+"""Constant, as all requests come from the one agent beside the worker, whose
+earlier incarnation has ended before it starts; late requests of that one
+carry expired leases."""
 
 _END_KINDS = {
     'done': workerapi.EndKind.DONE,
@@ -51,7 +52,7 @@
 
 
 class _Answer(msgspec.Struct, frozen=True):
-    """The worker's answer to an order."""
+    """The worker's answer to a request."""
 
     clock_ms: int = 0
     reason: str = ''
@@ -107,7 +108,7 @@
         :returns: milliseconds.
         """
         # Each sample is too low by its transit time; the highest is closest.
-        offset = max((one[1] for one in self._samples), default=0.0)
+        offset = max((sample[1] for sample in self._samples), default=0.0)
         return int((self._clock.now() + seconds) * 1000.0 + offset)
 
 
@@ -132,7 +133,7 @@
         self._client.close()
 
     def start(self, effect: workerapi.StartRun) -> None:
-        """Start a run; its lease begins now, not when the order is sent."""
+        """Start a run; its lease begins now, not when the request is sent."""
         body = {
             'task': effect.name,
             'run': effect.ref.run,
@@ -146,7 +147,7 @@
         """Stop a run."""
         self._spawn(self._stop(effect))
 
-    def watch(self, effect: workerapi.RequestLists) -> None:
+    def request_lists(self, effect: workerapi.RequestLists) -> None:
         """Extend the lease and request the running and ended runs."""
         body: dict[str, typing.Any] = {
             'fencing_token': FENCING_TOKEN,
@@ -157,7 +158,7 @@
             body['until_ms'] = self.worker_clock.get_instant(
                 effect.lease_seconds
             )
-        self._spawn(self._watch(effect, body))
+        self._spawn(self._request_lists(effect, body))
 
     async def fetch_born(self, name: str) -> int:
         """Return the instant of the worker's start, in milliseconds.
@@ -170,7 +171,7 @@
         body = {'fencing_token': FENCING_TOKEN, 'last_seen': 0, 'wait_ms': 0}
         try:
             status, data = await self._post(
-                '/v1/hold', make_incarnation(name, 0), body, ORDER_SECONDS
+                '/v1/hold', make_incarnation(name, 0), body, REQUEST_SECONDS
             )
             if status != 200:
                 return 0
@@ -186,7 +187,7 @@
     ) -> None:
         try:
             status, data = await self._post(
-                '/v1/run-start', effect.incarnation, body, ORDER_SECONDS
+                '/v1/run-start', effect.incarnation, body, REQUEST_SECONDS
             )
         except OSError as exc:
             result, reason = workerapi.StartResult.UNKNOWN, repr(exc)
@@ -205,13 +206,13 @@
             self._decode_answer(data)
             return workerapi.StartResult.STARTED, ''
         if status == 421:
-            return workerapi.StartResult.OTHER_LIFE, ''
+            return workerapi.StartResult.OTHER_WORKER, ''
         if status == 409:
             reason = self._decode_answer(data).reason
-            found = _RESULTS_BY_REASON.get(
+            result = _RESULTS_BY_REASON.get(
                 reason, workerapi.StartResult.UNKNOWN
             )
-            return found, reason
+            return result, reason
         if status in (429, 503):
             return workerapi.StartResult.UNWELL, str(status)
         logs.warning(LOG, 'start_rejected', status=status)
@@ -226,7 +227,7 @@
         ok = False
         try:
             status, data = await self._post(
-                '/v1/run-stop', effect.incarnation, body, ORDER_SECONDS
+                '/v1/run-stop', effect.incarnation, body, REQUEST_SECONDS
             )
             ok = status == 200
             if ok:
@@ -239,11 +240,11 @@
             )
         )
 
-    async def _watch(
+    async def _request_lists(
         self, effect: workerapi.RequestLists, body: dict[str, typing.Any]
     ) -> None:
         sent_at = self._clock.now()
-        seconds = effect.wait_seconds + WATCH_MARGIN_SECONDS
+        seconds = effect.wait_seconds + LISTS_MARGIN_SECONDS
         try:
             status, data = await self._post(
                 '/v1/hold', effect.incarnation, body, seconds
@@ -255,9 +256,9 @@
                 workerapi.ListsFailed(effect.incarnation, refused=refused)
             )
             return
-        self._feed(self._decode_watch(effect, sent_at, status, data))
+        self._feed(self._decode_lists(effect, sent_at, status, data))
 
-    def _decode_watch(
+    def _decode_lists(
         self,
         effect: workerapi.RequestLists,
         sent_at: float,
@@ -265,24 +266,24 @@
         data: bytes,
     ) -> object:
         if status == 421:
-            return workerapi.ListsFailed(effect.incarnation, other_life=True)
+            return workerapi.ListsFailed(effect.incarnation, other_worker=True)
         if status != 200:
             logs.info(LOG, 'watch_failed', status=status)
             return workerapi.ListsFailed(effect.incarnation)
         try:
             lists = msgspec.json.decode(data, type=_Lists)
             running = tuple(
-                workerapi.RunningRun(one[0], one[1]) for one in lists.running
+                workerapi.RunningRun(row[0], row[1]) for row in lists.running
             )
             ended = tuple(
                 workerapi.EndedRun(
-                    one[0],
-                    one[1],
-                    one[2],
-                    _END_KINDS.get(one[3], workerapi.EndKind.OTHER),
-                    one[3],
+                    row[0],
+                    row[1],
+                    row[2],
+                    _END_KINDS.get(row[3], workerapi.EndKind.OTHER),
+                    row[3],
                 )
-                for one in lists.ended_runs
+                for row in lists.ended_runs
             )
         except (msgspec.MsgspecError, IndexError) as exc:
             logs.warning(LOG, 'lists_unreadable', reason=exc)
@@ -315,13 +316,13 @@
 
     def _decode_answer(self, data: bytes) -> _Answer:
         try:
-            found = msgspec.json.decode(data, type=_Answer)
+            answer = msgspec.json.decode(data, type=_Answer)
         except msgspec.MsgspecError as exc:
             logs.warning(LOG, 'answer_unreadable', reason=exc)
             return _Answer()
-        if found.clock_ms:
-            self.worker_clock.add_sample(found.clock_ms)
-        return found
+        if answer.clock_ms:
+            self.worker_clock.add_sample(answer.clock_ms)
+        return answer
 
     def _spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
--- a/src/agatepick/platform/worker_record.py
+++ b/src/agatepick/platform/worker_record.py
@@ -32,15 +32,18 @@
 
 RETRY_SECONDS = 0.15
 """Pause between two requests to a worker or a store that doesn't answer.  A
-request to a worker times out after 0.12 s, and one order in twenty may get no
-answer."""
+request to a worker times out after 0.12 s, and one request in twenty may get
+no answer."""
 
 GIVE_UP_SECONDS = 1.5
 """Time after which the row isn't needed, as the worker announces itself."""
 
 
 class _Row(msgspec.Struct, frozen=True):
-    """A worker as it was announced; ``name`` is its id."""
+    """A worker as it was announced.
+
+    :param name: id of the worker, without its incarnation.
+    """
 
     name: str
     pool: str
--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -81,7 +81,7 @@
         self._cores = 0.0
         self._seconds = 0.0
         self._count = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, cores: float, seconds: float, now: float) -> None:
         """Record a run that ended.
@@ -93,7 +93,7 @@
         self._cores = self._cores * decay + cores
         self._seconds = self._seconds * decay + seconds
         self._count = self._count * decay + 1.0
-        self._at = now
+        self._updated_at = now
 
     def cores_per_second(self, now: float) -> float:
         """Return the recent rate of released cores per second."""
@@ -108,7 +108,9 @@
         return max(self._seconds / self._count, MIN_RUN_SECONDS)
 
     def _decay_factor(self, now: float) -> float:
-        return math.exp(-max(0.0, now - self._at) / RATE_TIME_CONSTANT_SECONDS)
+        return math.exp(
+            -max(0.0, now - self._updated_at) / RATE_TIME_CONSTANT_SECONDS
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -176,9 +178,9 @@
 
 def retry_after(load: Load, slack: float, rng: random.Random) -> float:
     """Return the seconds until the wait is short enough, randomly spread."""
-    late = max(load.wait() - slack, MIN_RETRY_SECONDS)
+    delay = max(load.wait() - slack, MIN_RETRY_SECONDS)
     spread = rng.uniform(0.0, RETRY_SPREAD_SECONDS)
-    return min(late + spread, MAX_RETRY_SECONDS)
+    return min(delay + spread, MAX_RETRY_SECONDS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -238,7 +240,7 @@
         if now > self._last_reachable_at + NO_AGENT_SECONDS:
             return Refusal('cut_off', self.pick_retry_delay())
         slack = self.compute_latest_start(spec, now) - now
-        load = self._load(spec, now + slack, now)
+        load = self._compute_load(spec, now + slack, now)
         if load.rate and not starts_in_time(load, slack, self._margin.share):
             after = retry_after(load, slack, self._rng)
             return Refusal('overloaded', after, load)
@@ -284,12 +286,14 @@
             for task in spec.tasks
         )
 
-    def _load(self, spec: jobs.Job, latest: float, now: float) -> Load:
+    def _compute_load(
+        self, spec: jobs.Job, latest_start: float, now: float
+    ) -> Load:
         # The job's own cores aren't counted: otherwise wide urgent jobs would
         # be refused although they could get all cores that are released.
         needed = 0.0
         for job in self._waiting.in_order():
-            if not job.started and job.latest_start > latest:
+            if not job.started and job.latest_start > latest_start:
                 break
             needed += sum(
                 job.spec.tasks[index].needs.cpu for index in job.waiting
@@ -311,6 +315,8 @@
             else 0.0
         )
         trip = (
-            statistics.median(one.trip for one in workers) if workers else 0.0
+            statistics.median(worker.trip for worker in workers)
+            if workers
+            else 0.0
         )
         return Load(needed, free, rate, trip)
--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -127,7 +127,7 @@
         """Return the agent's gauges by name; see ``measures.GAUGES``."""
         return {
             'runs': len(self._controller.runs),
-            'entries': sum(one.connected for one in self._owners.values()),
+            'entries': sum(owner.connected for owner in self._owners.values()),
             'worker_open': float(self._is_open(now)),
             'free_cores': self._capacity.free.cpu,
         }
@@ -143,7 +143,7 @@
     def _review_entries(self, now: float) -> list[object]:
         """Connect the entries that this agent serves, and leave the others."""
         connected = {
-            one.name for one in self._owners.values() if one.connected
+            owner.name for owner in self._owners.values() if owner.connected
         }
         busy = {run.owner.name for run in self._controller.runs.values()}
         effects = self._serving.review(now, connected, busy)
@@ -236,12 +236,16 @@
             self._capacity.end_grant(owner.name, message.grant)
             self._publisher.clear_capacity(owner.name)
         self._capacity.record_want(owner.name, message.want, now)
-        fresh = {one.job: one.data for one in message.payloads}
-        for job, data in fresh.items():
+        new_payloads = {
+            payload.job: payload.data for payload in message.payloads
+        }
+        for job, data in new_payloads.items():
             owner.payload_cache.add(job, data)
         effects: list[object] = []
         for spec in message.runs:
-            payload = fresh.get(spec.job, owner.payload_cache.get(spec.job))
+            payload = new_payloads.get(
+                spec.job, owner.payload_cache.get(spec.job)
+            )
             effects += self._start(owner, spec, payload, now)
         return effects
 
@@ -256,12 +260,12 @@
         self._publisher.subtract_start(owner.name, spec.needs)
         if payload is None:
             return self._controller.refuse(owner, ref, reports.NO_PAYLOAD)
-        reason = self._refusal(owner, spec, now)
+        reason = self._find_refusal(owner, spec, now)
         if reason:
             return self._controller.refuse(owner, ref, reason)
         return self._controller.start(owner, spec, payload, now)
 
-    def _refusal(
+    def _find_refusal(
         self, owner: runs.Owner, spec: messages.RunSpec, now: float
     ) -> str:
         if not self._is_open(now):
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -27,8 +27,9 @@
 
 ROLE_AGENT = 'agent'
 
-WATCH_SECONDS = 0.05
-"""Pause between checks for stuck runs and for jobs that waited too long."""
+JOB_CHECK_SECONDS = 0.05
+"""Pause between checks for expired leases, stragglers and jobs that waited too
+long."""
 
 PLACE_SECONDS = 0.05
 """Longest pause between placement rounds while tasks wait, even if neither a
@@ -73,7 +74,7 @@
         )
         self._stragglers = stragglers.Stragglers(self._pool, self._estimator)
         self._calls: dict[int, owned_jobs.OwnedJob] = {}
-        self._watched_at = 0.0
+        self._checked_at = 0.0
         self._placement_due = False
         self._placed_at = 0.0
         self._disconnected_at: dict[types.PeerName, float] = {}
@@ -114,7 +115,7 @@
             # event loop.
             effects.append(core.WakeAt(now))
         elif self._calls:
-            effects.append(core.WakeAt(now + WATCH_SECONDS))
+            effects.append(core.WakeAt(now + JOB_CHECK_SECONDS))
         return effects
 
     def _may_place(self) -> bool:
@@ -308,8 +309,8 @@
             ),
             *[events.Reply(call, answer) for call in job.calls],
         ]
-        effects += owned_jobs.stop_runs(job, job.placed())
-        self._jobs.forget(job)
+        effects += owned_jobs.stop_runs(job, job.placed_indexes())
+        self._jobs.remove_if_ended(job)
         return effects
 
     # Agents
@@ -391,23 +392,26 @@
     # Time
 
     def _on_tick(self, event: core.Tick, now: float) -> list[object]:
-        for name, at in list(self._disconnected_at.items()):
+        for name, disconnected_at in list(self._disconnected_at.items()):
             worker = self._pool.get(name)
             if worker is None or worker.connected:
                 del self._disconnected_at[name]
-            elif now > at + FORGET_AGENT_SECONDS and not worker.placed:
+            elif (
+                now > disconnected_at + FORGET_AGENT_SECONDS
+                and not worker.placed
+            ):
                 del self._disconnected_at[name]
                 self._pool.remove(name)
-        effects = self._watch(now)
+        effects = self._check_leases_and_jobs(now)
         due = self._placement_due or now >= self._placed_at + PLACE_SECONDS
         if due and self._may_place():
             effects += self._place(now)
         return effects + self._finish(now)
 
-    def _watch(self, now: float) -> list[object]:
-        if now < self._watched_at + WATCH_SECONDS:
+    def _check_leases_and_jobs(self, now: float) -> list[object]:
+        if now < self._checked_at + JOB_CHECK_SECONDS:
             return []
-        self._watched_at = now
+        self._checked_at = now
         effects: list[object] = []
         self._admission.update_reachability(now)
         for worker in [*self._pool, *self._former_workers]:
@@ -416,13 +420,13 @@
                     worker, 'agent_silent', now
                 )
         self._former_workers = [
-            one for one in self._former_workers if one.placed
+            worker for worker in self._former_workers if worker.placed
         ]
         for job in self._jobs.open_jobs():
-            effects += self._watch_job(job, now)
+            effects += self._check_job(job, now)
         return effects
 
-    def _watch_job(self, job: owned_jobs.OwnedJob, now: float) -> list[object]:
+    def _check_job(self, job: owned_jobs.OwnedJob, now: float) -> list[object]:
         if now >= job.spec.deadline:
             answer = jobs.Answer(jobs.Verdict.GIVEN_UP, 'deadline')
             if not job.started:
@@ -435,9 +439,9 @@
                 jobs.Verdict.NOT_RUN, 'waited_too_long', after
             )
             return self._end_job(job, answer, now)
-        stuck = self._stragglers.find(job, now)
-        stops = owned_jobs.stop_runs(job, [one.index for one in stuck])
-        return [*[one.note for one in stuck], *stops]
+        slow_runs = self._stragglers.find(job, now)
+        stops = owned_jobs.stop_runs(job, [run.index for run in slow_runs])
+        return [*[run.note for run in slow_runs], *stops]
 
     def _on_stop(self, event: core.StopRequested, now: float) -> list[object]:
         self._stopping.request(now)
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -34,7 +34,7 @@
             by_step[task.step] = max(by_step[task.step], self.mean(job, task))
         ends: list[float] = []
         for step, before in enumerate(job.after):
-            start = max((ends[one] for one in before), default=0.0)
+            start = max((ends[other] for other in before), default=0.0)
             ends.append(start + by_step[step])
         return max(ends, default=0.0)
 
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -44,7 +44,7 @@
 """Delays after failed requests, while the worker may still be healthy."""
 
 
-class Watching:
+class ListRequests:
     """Requests for the lists of one incarnation of a worker."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether the next request is due."""
-        limit = 1 if self.silent(now) else MAX_PENDING
+        limit = 1 if self.is_silent(now) else MAX_PENDING
         return now >= self._next_request_at and self._pending < limit
 
     def record_request(self, wait: float, now: float) -> None:
@@ -90,7 +90,7 @@
         """Record that a request failed."""
         self._pending = max(0, self._pending - 1)
         pause = self._backoff.record_failure()
-        if self.silent(now):
+        if self.is_silent(now):
             pause = PROBE_SECONDS
         if self._pending:
             # The answers to other requests may still arrive.
@@ -108,7 +108,7 @@
         """Return whether no more runs should be started."""
         return self._silence(now) >= BLOCK_STARTS_SECONDS
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Return whether the worker's lease should expire."""
         return self._silence(now) >= SILENT_SECONDS
 
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -116,7 +116,7 @@
         self._estimator.observe(job.spec, task, report.seconds)
         job.mark_finished(report.index, report.seconds)
         if job.answered:
-            self._jobs.forget(job)
+            self._jobs.remove_if_ended(job)
             return []
         if not job.open_tasks:
             return self._end_job(job, jobs.Answer(jobs.Verdict.COMPLETE), now)
@@ -174,7 +174,7 @@
         """Queue a task again whose run ended without a result."""
         if job.answered:
             job.records[index].state = owned_jobs.TaskState.ENDED
-            self._jobs.forget(job)
+            self._jobs.remove_if_ended(job)
             return []
         job.requeue(index)
         self._waiting.add(job)
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -58,7 +58,7 @@
         objective.
     :ivar objective_ends_at: end of its objective, by its expected run time.
     :ivar started_at: instant at which its first task was sent to a worker.
-    :ivar check_at: instant of the next check for stuck runs.
+    :ivar check_at: instant of the next check for stragglers.
     :ivar calls: requests that wait for its answer; more than one if a caller
         submitted the job again.
     :ivar open_tasks: number of tasks that haven't finished.
@@ -114,7 +114,9 @@
             if record.state is not TaskState.BLOCKED:
                 continue
             step = self.spec.tasks[index].step
-            if any(self._open_by_step[one] for one in self.spec.after[step]):
+            if any(
+                self._open_by_step[other] for other in self.spec.after[step]
+            ):
                 continue
             record.state = TaskState.WAITING
             self.waiting.append(index)
@@ -159,13 +161,15 @@
         queue.
         """
         last_sent_at = self.last_start()
-        if last_sent_at is None or any(one.run > 1 for one in self.records):
+        if last_sent_at is None or any(
+            record.run > 1 for record in self.records
+        ):
             return False
         return last_sent_at > self.arrived_at + self.spec.route.slack(
             self.slowest()
         )
 
-    def placed(self) -> list[int]:
+    def placed_indexes(self) -> list[int]:
         """Return the indexes of tasks with a run that may be going on."""
         return [
             index
@@ -188,9 +192,9 @@
         """Add an admitted job."""
         self._by_key[job.spec.key] = job
 
-    def forget(self, job: OwnedJob) -> None:
+    def remove_if_ended(self, job: OwnedJob) -> None:
         """Remove a job if it is answered and all its runs have ended."""
-        if not job.answered or job.placed():
+        if not job.answered or job.placed_indexes():
             return
         if self._by_key.get(job.spec.key) is job:
             del self._by_key[job.spec.key]
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -72,22 +72,23 @@
         :param waiting: jobs with waiting tasks, the most urgent first.
         """
         blocked = self._place_jobs(waiting, now) if waiting else []
-        by_pool: dict[str, list[owned_jobs.OwnedJob]] = {}
+        blocked_by_pool: dict[str, list[owned_jobs.OwnedJob]] = {}
         for job in blocked:
-            by_pool.setdefault(job.spec.route.pool, []).append(job)
+            blocked_by_pool.setdefault(job.spec.route.pool, []).append(job)
         wants = {
-            name: _build_want(jobs, now) for name, jobs in by_pool.items()
+            name: _build_want(jobs, now)
+            for name, jobs in blocked_by_pool.items()
         }
         effects = self._send_starts(wants)
-        for name, jobs in by_pool.items():
+        for name, jobs in blocked_by_pool.items():
             effects += self._send_want(name, wants[name], now)
         # No task waits for the other pools any more.  Their agents get no
         # message: an agent with a grant for this entry receives its answer,
         # and the others drop the request after a while.
         for name, last_want in self._last_wants.items():
-            if name not in by_pool:
+            if name not in blocked_by_pool:
                 self._last_wants[name] = dataclasses.replace(
-                    last_want, latest=math.inf
+                    last_want, latest_start=math.inf
                 )
         return effects
 
@@ -137,7 +138,9 @@
     ) -> pool.Worker | None:
         task = job.spec.tasks[index]
         avoid = job.records[index].avoid
-        if avoid and all(one.name in avoid for one in candidates.workers):
+        if avoid and all(
+            worker.name in avoid for worker in candidates.workers
+        ):
             avoid = frozenset()
         return candidates.pick(task.needs, avoid)
 
@@ -205,10 +208,10 @@
     ) -> list[object]:
         """Send a pool's agents the capacity request, if it is due."""
         last_want = self._last_wants.get(name)
-        latest = now + want.slack
-        if last_want is not None and not last_want.is_due(latest, now):
+        latest_start = now + want.slack
+        if last_want is not None and not last_want.is_due(latest_start, now):
             return []
-        self._last_wants[name] = _LastWant(now, latest)
+        self._last_wants[name] = _LastWant(now, latest_start)
         return [
             core.Send(worker.name, want)
             for worker in self._pool
@@ -221,22 +224,23 @@
     """Last capacity request that a pool's agents received.
 
     :param sent_at: instant at which it was sent.
-    :param latest: latest start of the most urgent task; infinite once no task
-        waits.
+    :param latest_start: latest start of the most urgent task; infinite once
+        no task waits.
     """
 
     sent_at: float
-    latest: float
+    latest_start: float
 
-    def is_due(self, latest: float, now: float) -> bool:
+    def is_due(self, latest_start: float, now: float) -> bool:
         """Return whether to send a request again.
 
-        :param latest: latest start of the most urgent task that waits now.
+        :param latest_start: latest start of the most urgent task that waits
+            now.
         """
         if now >= self.sent_at + WANT_REPEAT_SECONDS:
             return True
-        urgent = latest < self.latest - URGENCY_CHANGE_SECONDS
-        return urgent and now >= self.sent_at + MIN_WANT_INTERVAL_SECONDS
+        more_urgent = latest_start < self.latest_start - URGENCY_CHANGE_SECONDS
+        return more_urgent and now >= self.sent_at + MIN_WANT_INTERVAL_SECONDS
 
 
 def expected_run_seconds(
@@ -254,7 +258,7 @@
     needs = [
         job.spec.tasks[index].needs for job in blocked for index in job.waiting
     ]
-    least = min(needs, key=lambda one: one.cpu)
-    latest = min(job.latest_start for job in blocked)
+    least = min(needs, key=lambda task_needs: task_needs.cpu)
+    latest_start = min(job.latest_start for job in blocked)
     total = functools.reduce(operator.add, needs)
-    return messages.Want(len(needs), least, latest - now, total)
+    return messages.Want(len(needs), least, latest_start - now, total)
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -121,7 +121,9 @@
         """Grant released capacity, and send the entries due updates."""
         self._worker = worker
         self._open = is_open
-        agent_counts = [one.agents for one in owners.values() if one.connected]
+        agent_counts = [
+            owner.agents for owner in owners.values() if owner.connected
+        ]
         self._entries = len(agent_counts)
         self._agents = max(agent_counts, default=1)
         cost = self._health.cost(now)
--- a/src/agatepick/repeatable/reports.py
+++ b/src/agatepick/repeatable/reports.py
@@ -61,8 +61,8 @@
             return []
         effects: list[object] = []
         for owner, reports in self._queued.items():
-            kept = self._history.setdefault(owner, collections.deque())
-            kept.extend((now, report) for report in reports)
+            history = self._history.setdefault(owner, collections.deque())
+            history.extend((now, report) for report in reports)
             effects.append(
                 core.Send(owner.name, messages.RunReports(tuple(reports)))
             )
@@ -73,10 +73,10 @@
         self, owner: runs.Owner, running: typing.Iterable[runs.Run], now: float
     ) -> messages.RunReports:
         """Return a full report on an entry's runs, for a new connection."""
-        kept = self._history.get(owner, collections.deque())
-        while kept and kept[0][0] < now - RETENTION_SECONDS:
-            kept.popleft()
-        reports = [report for _, report in kept]
+        history = self._history.get(owner, collections.deque())
+        while history and history[0][0] < now - RETENTION_SECONDS:
+            history.popleft()
+        reports = [report for _, report in history]
         reports += [
             messages.RunReport(
                 run.ref.job,
--- a/src/agatepick/repeatable/routes.py
+++ b/src/agatepick/repeatable/routes.py
@@ -44,10 +44,10 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the queue with the host and the longest path prefix."""
-        found: Route | None = None
+        best: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
                 continue
-            if found is None or len(route.prefix) > len(found.prefix):
-                found = route
-        return found
+            if best is None or len(route.prefix) > len(best.prefix):
+                best = route
+        return best
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -1,7 +1,7 @@
 """Runs at one worker, each until it has certainly ended.
 
 Requests to the worker may get no answer, or be carried out seconds later.
-Starts and stops are therefore sent again, a lease ends runs that nobody
+Starts and stops are therefore sent again, a lease ends runs that no entry
 renews, and a run has ended only when the worker reports so, or when no request
 can reach it any more.
 """
@@ -74,7 +74,7 @@
         self._health = health_record
         self._reports = run_reports
         self._on_refused = on_refused
-        self._watching = list_requests.Watching()
+        self._list_requests = list_requests.ListRequests()
         self._announced_at = 0.0
         self._last_end_handled = 0
         self._last_end_acknowledged = 0
@@ -178,7 +178,7 @@
         ):
             return []
         self._announced_at = now
-        self._watching.mark_silent(now)
+        self._list_requests.mark_silent(now)
         return [core.note('worker_lapsed', life=self.worker.incarnation)]
 
     def _switch_incarnation(
@@ -191,7 +191,7 @@
         # shows them.
         self._last_end_acknowledged = NO_LIST_YET
         self._earlier_runs_over = False
-        self._watching.reset(now)
+        self._list_requests.reset(now)
         until = now + leases.MAX_WORKER_EXPIRY_SECONDS
         self._lease_until = max(self._lease_until, until)
         effects: list[object] = []
@@ -348,10 +348,10 @@
     def request_lists(self, now: float) -> list[object]:
         """Extend the lease and request the lists, if they are due."""
         worker = self.worker
-        if worker is None or not self._watching.is_due(now):
+        if worker is None or not self._list_requests.is_due(now):
             return []
         busy = bool(self.runs)
-        silent = self._watching.silent(now)
+        silent = self._list_requests.is_silent(now)
         acknowledged = (
             self._last_end_acknowledged == self._last_end_handled
             and self._earlier_runs_over
@@ -365,7 +365,7 @@
         first_request = self._last_end_acknowledged == NO_LIST_YET
         waits = busy or not self._earlier_runs_over and not first_request
         wait = list_requests.WAIT_SECONDS if waits else 0.0
-        self._watching.record_request(wait, now)
+        self._list_requests.record_request(wait, now)
         return [
             workerapi.RequestLists(
                 worker.incarnation, self._last_end_handled, lease, wait
@@ -379,7 +379,10 @@
         may still have runs that an earlier incarnation of this process
         started.
         """
-        return not self._earlier_runs_over or self._watching.blocks_starts(now)
+        return (
+            not self._earlier_runs_over
+            or self._list_requests.blocks_starts(now)
+        )
 
     def _has_renewed_run(self, now: float) -> bool:
         return any(
@@ -398,12 +401,12 @@
         worker = self.worker
         if worker is None or worker.incarnation != event.incarnation:
             return []
-        self._watching.record_answer(now)
+        self._list_requests.record_answer(now)
         self._last_end_acknowledged = self._last_end_handled
         effects: list[object] = []
         for end in event.ended:
             effects += self._handle_end(end, now)
-        running = {(one.name, one.run) for one in event.running}
+        running = {(run.name, run.run) for run in event.running}
         for run in list(self.runs.values()):
             if (run.name, run.ref.run) not in running:
                 effects += self._end_if_absent(run, event.requested_at, now)
@@ -417,15 +420,15 @@
         worker = self.worker
         if worker is None or worker.incarnation != event.incarnation:
             return []
-        self._watching.record_failure(now)
-        if event.refused or event.other_life:
+        self._list_requests.record_failure(now)
+        if event.refused or event.other_worker:
             # The worker's process has exited, and its runs with it.
             self.worker = None
             return [
                 core.note('worker_lost', life=event.incarnation),
                 *self._end_answered_runs('worker_lost', now),
             ]
-        if not self._watching.blocks_starts(now):
+        if not self._list_requests.blocks_starts(now):
             return []
         return [core.note('worker_silent', life=event.incarnation)]
 
@@ -460,10 +463,10 @@
     ) -> list[object]:
         """Stop runs that an earlier incarnation of this process started."""
         unowned = [
-            one
-            for one in event.running
-            if one.name not in self.runs
-            or self.runs[one.name].ref.run != one.run
+            run
+            for run in event.running
+            if run.name not in self.runs
+            or self.runs[run.name].ref.run != run.run
         ]
         self._earlier_runs_over = self._earlier_runs_over or not unowned
         if (
@@ -473,8 +476,8 @@
             return []
         self._unowned_stopped_at = now
         return [
-            workerapi.StopRun(event.incarnation, one.name, one.run)
-            for one in unowned
+            workerapi.StopRun(event.incarnation, run.name, run.run)
+            for run in unowned
         ]
 
     # Runs
@@ -532,7 +535,7 @@
         ]
         if self.runs:
             wakes.append(now + STOP_RETRY_SECONDS)
-        request_at = self._watching.next_due()
+        request_at = self._list_requests.next_due()
         if (
             self.worker is not None
             and request_at is not None
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -53,7 +53,7 @@
         self, entries: tuple[events.ListedEntry, ...]
     ) -> list[object]:
         """Replace the list of entries, and disconnect those that are gone."""
-        listed = {one.name: one for one in entries}
+        listed = {entry.name: entry for entry in entries}
         effects: list[object] = []
         for name in sorted(self._dialled):
             if listed.get(name) != self._entries[name]:
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -16,10 +16,10 @@
 from agatepick.repeatable import pool
 
 STRAGGLER_RATIO = 2.2
-"""Multiple of the expected time after which a run counts as stuck.  A healthy
-worker of the slow type takes 1.3 times as long, and tasks of a job differ by
-15%; beyond this ratio the objective (1.6 times) is missed in any case, and
-another worker uses the rest of the caller's time better."""
+"""Multiple of the expected time after which a run counts as a straggler.  A
+healthy worker of the slow type takes 1.3 times as long, and tasks of a job
+differ by 15%; beyond this ratio the objective (1.6 times) is missed in any
+case, and another worker uses the rest of the caller's time better."""
 
 STRAGGLER_SPARE_SECONDS = 0.12
 """Additional time for the round trip to the worker and for a busy agent."""
@@ -52,7 +52,7 @@
 
 
 class Stragglers:
-    """Detector of stuck runs."""
+    """Detector of stragglers."""
 
     def __init__(
         self, workers: pool.Pool, estimator: estimating.Estimator
@@ -70,19 +70,19 @@
             return []
         due = {
             index: self._due_at(job, index)
-            for index in job.placed()
+            for index in job.placed_indexes()
             if not job.records[index].stopping
             and job.records[index].moves < MAX_MOVES
         }
         job.check_at = min([now + CHECK_SECONDS, *due.values()])
         return [
             self._move(job, index, now)
-            for index, at in due.items()
-            if now >= at and self._fits_elsewhere(job, index, now)
+            for index, due_at in due.items()
+            if now >= due_at and self._fits_elsewhere(job, index, now)
         ]
 
     def _due_at(self, job: owned_jobs.OwnedJob, index: int) -> float:
-        """Return the instant from which a run counts as stuck."""
+        """Return the instant from which a run is a straggler."""
         limit = STRAGGLER_RATIO
         if not job.run_seconds.get(job.spec.tasks[index].step):
             limit *= NO_SIBLING_FACTOR
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -69,7 +69,7 @@
     STALE_RUN = 'stale_run'
     LATE = 'late'
     UNWELL = 'unwell'
-    OTHER_LIFE = 'other_life'
+    OTHER_WORKER = 'other_life'
     UNKNOWN = 'unknown'
 
 
@@ -195,10 +195,10 @@
     """Event: a :class:`RequestLists` got no answer.
 
     :param refused: whether nothing listens at the worker's address.
-    :param other_life: whether another worker answers there, which accepts no
+    :param other_worker: whether another worker answers there, which accepts no
         requests for this one.
     """
 
     incarnation: str
     refused: bool = False
-    other_life: bool = False
+    other_worker: bool = False
--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -135,7 +135,7 @@
 
     def has_room(self, name):
         needs = self.world.tasks[name].needs.cpu
-        used = sum(self.world.tasks[one].needs.cpu for one in self.runs)
+        used = sum(self.world.tasks[task].needs.cpu for task in self.runs)
         return used + needs <= self.capacity.cpu + 1e-6
 
 
@@ -196,21 +196,22 @@
     def start(self, name):
         super().start(name)
         if name not in self.workers:
-            table = tuple(one.route for one in self.queues)
+            table = tuple(queue.route for queue in self.queues)
             self.feed(name, events.RoutesRead(routes.RouteTable(2, table)))
 
     @property
     def cores(self):
         """Core-seconds per second, as counted by fast workers."""
         return sum(
-            one.capacity.cpu / one.slowness for one in self.workers.values()
+            worker.capacity.cpu / worker.slowness
+            for worker in self.workers.values()
         )
 
     def load(self, share, seconds):
         """Submit jobs that fill a share of the workers for some seconds."""
         # Mean seconds for which all tasks of a job run at fast workers.
         seconds_a_job = sum(
-            one.share * one.width * one.seconds for one in self.queues
+            queue.share * queue.width * queue.seconds for queue in self.queues
         )
         rate = share * self.cores / (seconds_a_job * self.task_cores)
         at = self.load_rng.expovariate(rate)
@@ -220,7 +221,7 @@
 
     def _submit_any(self):
         rng = self.load_rng
-        shares = [one.share for one in self.queues]
+        shares = [queue.share for queue in self.queues]
         self.submit_random(rng.choices(self.queues, shares)[0])
 
     def submit_random(self, queue):
@@ -229,10 +230,10 @@
         key = f'{len(self.callers):016x}'
         width = max(1, round(queue.width * rng.lognormvariate(-0.08, 0.4)))
         mean = queue.seconds * rng.lognormvariate(-0.08, 0.4)
-        guess = mean * rng.lognormvariate(0.0, 0.4)
+        estimate = mean * rng.lognormvariate(0.0, 0.4)
         cpu = self.task_cores * rng.uniform(0.8, 1.2)
         tasks = tuple(
-            jobs.Task(f'{key}.{index}', 0, types.Needs(cpu, 64, 0), guess)
+            jobs.Task(f'{key}.{index}', 0, types.Needs(cpu, 64, 0), estimate)
             for index in range(width)
         )
         for task in tasks:
@@ -270,22 +271,22 @@
     def feed(self, name, event):
         # A process handles one event at a time.
         if not self.event_queues[name] and self.now >= self.busy_until[name]:
-            self._take(name, event)
+            self._handle(name, event)
             return
         self.event_queues[name].append(event)
         if len(self.event_queues[name]) == 1:
-            self._take_later(name)
+            self._schedule_next(name)
 
-    def _take_later(self, name):
+    def _schedule_next(self, name):
         seconds = max(0.0, self.busy_until[name] - self.now)
-        self.schedule(seconds, self._take_next, name)
+        self.schedule(seconds, self._handle_next, name)
 
-    def _take_next(self, name):
-        self._take(name, self.event_queues[name].popleft())
+    def _handle_next(self, name):
+        self._handle(name, self.event_queues[name].popleft())
         if self.event_queues[name]:
-            self._take_later(name)
+            self._schedule_next(name)
 
-    def _take(self, name, event):
+    def _handle(self, name, event):
         caller = isinstance(event, events.JobArrived)
         self._spend(name, CALLER_SECONDS if caller else MESSAGE_SECONDS)
         super().feed(name, event)
@@ -304,12 +305,12 @@
         :param until: end of the submission time, in seconds.
         """
         callers = [
-            one
-            for one in self.callers.values()
-            if since <= one.sent_at - repeatable_world.START < until
+            caller
+            for caller in self.callers.values()
+            if since <= caller.sent_at - repeatable_world.START < until
         ]
-        owed = sum(one.worth for one in callers)
-        return sum(one.earned for one in callers) / owed
+        total = sum(caller.worth for caller in callers)
+        return sum(caller.earned for caller in callers) / total
 
     def _apply(self, node, effect):
         if isinstance(effect, core.Send):
@@ -324,9 +325,9 @@
         super()._apply(node, effect)
 
     def _reply(self, node, effect):
-        found = self.waiting.get(effect.call)
+        waiting = self.waiting.get(effect.call)
         super()._reply(node, effect)
-        if found and found[1].key in self.answers:
-            caller = self.callers[found[1].key]
+        if waiting and waiting[1].key in self.answers:
+            caller = self.callers[waiting[1].key]
             caller.answer = effect.answer
             caller.seconds = self.now - caller.sent_at
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -11,7 +11,7 @@
 
 CALM = 'calm'
 MUTE_SECONDS = 60.0
-"""Time without an answer that exceeds every timeout."""
+"""Delay of an answer that exceeds every timeout."""
 
 
 def start_server(app):
@@ -91,12 +91,12 @@
         self.changed = asyncio.Event()
 
     def get_changes(self, table, after):
-        found = [
+        changes = [
             _make_row(table, key, version, value)
             for (name, key), (value, version) in self.rows.items()
             if name == table and version > after
         ]
-        found += [
+        changes += [
             {
                 'table': table,
                 'key': key,
@@ -106,7 +106,7 @@
             for (name, key), version in self.deleted.items()
             if name == table and version > after
         ]
-        return sorted(found, key=lambda row: row['row_version'])
+        return sorted(changes, key=lambda row: row['row_version'])
 
 
 def _make_row(table, key, version, value):
@@ -207,10 +207,10 @@
 
     :ivar run_seconds: length of each run.
     :ivar refusal_reason: reason with which starts are refused, or empty.
-    :ivar silent: whether orders get no answer.
+    :ivar silent: whether requests get no answer.
     :ivar lease_end: instant of its clock at which all its runs end.
     :ivar highest_runs: number of the newest run by task.
-    :ivar target_ids: id to which each order was addressed.
+    :ivar target_ids: id to which each request was addressed.
     """
 
     def __init__(self, run_seconds=0.05):
@@ -224,12 +224,12 @@
         self.runs = {}
         self.highest_runs = {}
         self.ended = []
-        self.orders = []
+        self.requests = []
         self.target_ids = []
         self.connections = set()
         self.server, self.address = start_server(
             web.Application(
-                [('/v1/(.*)', _Order, {'worker': self})],
+                [('/v1/(.*)', _WorkerRequest, {'worker': self})],
                 log_function=lambda handler: None,
             )
         )
@@ -293,18 +293,19 @@
             self.ended.append([len(self.ended) + 1, task, run, how, ''])
 
 
-class _Order(web.RequestHandler):
+class _WorkerRequest(web.RequestHandler):
     def initialize(self, worker):
         self.worker = worker
 
     async def post(self, name):
         worker = self.worker
         body = json.loads(self.request.body)
-        worker.orders.append((name, body))
+        worker.requests.append((name, body))
         worker.target_ids.append(self.request.headers['X-Target-Instance'])
         stream = self.request.connection.stream
         if stream.socket is not None:
-            # Without a socket the sender is gone; its order is still executed.
+            # Without a socket the sender is gone; its request is still
+            # carried out.
             worker.connections.add(stream.socket.getpeername())
         if worker.target_ids[-1] != worker.name:
             self.set_status(421)
@@ -347,7 +348,7 @@
         new_ends = []
         while True:
             new_ends = [
-                one for one in worker.ended if one[0] > body['last_seen']
+                end for end in worker.ended if end[0] > body['last_seen']
             ]
             if new_ends or loop.time() >= end:
                 break
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -57,7 +57,7 @@
         self.born = 1
         self.up = True
         self.runs = {}
-        self.highest = {}
+        self.highest_runs = {}
         self.ended = []
         self.slowness = 1.0
         self.fails = False
@@ -70,7 +70,7 @@
     def restart(self):
         """Crash and restart under the same name."""
         self.runs.clear()
-        self.highest.clear()
+        self.highest_runs.clear()
         self.ended.clear()
         self.born += 1
 
@@ -96,12 +96,12 @@
         self.extend(until)
         if name in self.runs and self.runs[name][0] == run:
             return result.STARTED
-        if self.highest.get(name, 0) >= run:
+        if self.highest_runs.get(name, 0) >= run:
             return result.STALE_RUN
         if not self.has_room(name):
             return result.NO_ROOM
         self.world.check_start(self, name)
-        self.highest[name] = run
+        self.highest_runs[name] = run
         seconds = self.world.seconds(name) * self.slowness
         self.runs[name] = (run, self.world.now + seconds, until)
         return result.STARTED
@@ -111,22 +111,22 @@
 
     def stop(self, name, run):
         self.expire()
-        self.highest[name] = max(self.highest.get(name, 0), run)
-        found = self.runs.get(name)
-        if found and found[0] <= run:
-            self._end(name, found[0], workerapi.EndKind.OTHER, 'stopped')
+        self.highest_runs[name] = max(self.highest_runs.get(name, 0), run)
+        current = self.runs.get(name)
+        if current and current[0] <= run:
+            self._end(name, current[0], workerapi.EndKind.OTHER, 'stopped')
 
     def extend(self, until):
         for name, (run, end_at, before) in self.runs.items():
             self.runs[name] = (run, end_at, max(before, until))
 
-    def list_runs(self, seen):
+    def list_runs(self, last_end):
         self.expire()
         running = tuple(
-            workerapi.RunningRun(name, one[0])
-            for name, one in self.runs.items()
+            workerapi.RunningRun(name, run[0])
+            for name, run in self.runs.items()
         )
-        ended = tuple(one for one in self.ended if one.number > seen)
+        ended = tuple(end for end in self.ended if end.number > last_end)
         return running, ended
 
     def _end(self, name, run, kind, reason):
@@ -145,7 +145,7 @@
         self.alive = False
         self.frozen_until = 0.0
         self.reducer = None
-        self.held = []
+        self.held_events = []
         self.wake_at = 0.0
 
 
@@ -159,7 +159,7 @@
             otherwise all processes are connected.
         """
         self.listed = listed
-        self.store_away = False
+        self.store_unavailable = False
         self.dialled = set()
         self.rng = random.Random(seed)
         self.now = START
@@ -202,10 +202,10 @@
         return agent.Agent.from_config(agent.AgentConfig(name, 'z'), 1)
 
     def entries(self):
-        return [one for one in self.nodes.values() if 'entry' in one.name]
+        return [node for node in self.nodes.values() if 'entry' in node.name]
 
     def agents(self):
-        return [one for one in self.nodes.values() if 'agent' in one.name]
+        return [node for node in self.nodes.values() if 'agent' in node.name]
 
     def start(self, name):
         """Start or restart a process."""
@@ -213,7 +213,7 @@
         node.incarnation += 1
         node.alive = True
         node.frozen_until = 0.0
-        node.held = []
+        node.held_events = []
         node.wake_at = 0.0
         node.reducer = node.make(name)
         if name in self.workers:
@@ -221,12 +221,12 @@
         else:
             table = routes.RouteTable(1, (ROUTE,))
             self.feed(name, events.RoutesRead(table))
-        if name in self.workers and not self.store_away:
+        if name in self.workers and not self.store_unavailable:
             self.feed(name, events.ZonesClosed(frozenset()))
         self._tick(name, node.incarnation)
-        self._beat(name, node.incarnation)
+        self._announce(name, node.incarnation)
         if self.listed and name in self.workers:
-            self.dialled = {one for one in self.dialled if name not in one}
+            self.dialled = {pair for pair in self.dialled if name not in pair}
             self.feed(name, events.EntriesListed(self._entry_list()))
         for other in self.nodes.values():
             if other.alive and (name in self.workers) != (
@@ -236,15 +236,15 @@
 
     def _entry_list(self):
         return tuple(
-            events.ListedEntry(one.name, 'address', f'z{number % 4}')
-            for number, one in enumerate(self.entries())
+            events.ListedEntry(node.name, 'address', f'z{number % 4}')
+            for number, node in enumerate(self.entries())
         )
 
     def kill(self, name, back_after=0.5):
         """Kill a process; its callers and peers get broken connections."""
         node = self.nodes[name]
         node.alive = False
-        for pair in [one for one in self.connected if name in one]:
+        for pair in [pair for pair in self.connected if name in pair]:
             self._break(pair)
         for call, (owner, spec) in list(self.waiting.items()):
             if owner == name:
@@ -254,9 +254,11 @@
         self.schedule(back_after, self.start, name)
 
     def freeze(self, name, seconds):
-        """Suspend a process; events that arrive meanwhile are held for it."""
+        """Suspend a process; events that arrive meanwhile are queued."""
         self.nodes[name].frozen_until = self.now + seconds
-        self.schedule(seconds, self._thaw, name, self.nodes[name].incarnation)
+        self.schedule(
+            seconds, self._resume, name, self.nodes[name].incarnation
+        )
 
     def cut(self, one, other, seconds):
         """Drop all messages between two processes without any error."""
@@ -269,11 +271,11 @@
 
     def submit(self, spec, to=None):
         """Submit a job at a running entry, or later if none is running."""
-        live = [one.name for one in self.entries() if one.alive]
-        if not live:
+        running = [node.name for node in self.entries() if node.alive]
+        if not running:
             self.schedule(RESEND_SECONDS, self.submit, spec)
             return
-        name = to or self.rng.choice(live)
+        name = to or self.rng.choice(running)
         call = next(self.calls)
         self.waiting[call] = (name, spec)
         self.feed(name, events.JobArrived(call, spec))
@@ -318,16 +320,16 @@
         if not node.alive:
             return
         if self.now < node.frozen_until:
-            node.held.append(event)
+            node.held_events.append(event)
             return
         for effect in node.reducer.reduce(event, self.now):
             self._apply(node, effect)
 
-    def _thaw(self, name, incarnation):
+    def _resume(self, name, incarnation):
         node = self.nodes[name]
         if node.alive and node.incarnation == incarnation:
-            held, node.held = node.held, []
-            for event in held:
+            held_events, node.held_events = node.held_events, []
+            for event in held_events:
                 self.feed(name, event)
 
     def _tick(self, name, incarnation):
@@ -337,7 +339,7 @@
                 self.feed(name, core.Tick())
             self.schedule(TICK, self._tick, name, incarnation)
 
-    def _beat(self, name, incarnation):
+    def _announce(self, name, incarnation):
         node = self.nodes[name]
         worker = self.workers.get(name)
         if worker is None or not node.alive or node.incarnation != incarnation:
@@ -353,7 +355,7 @@
             '',
         )
         self.feed(name, announced)
-        self.schedule(1.5, self._beat, name, incarnation)
+        self.schedule(1.5, self._announce, name, incarnation)
 
     # Links
 
@@ -430,7 +432,7 @@
             case workerapi.StopRun():
                 self._handle_stop(node, effect)
             case workerapi.RequestLists():
-                self._handle_watch(node, effect)
+                self._handle_list_request(node, effect)
 
     def _wake_later(self, node, at):
         # Each process has one timer, as in the shell.
@@ -449,10 +451,10 @@
                 self.feed(node.name, core.Tick())
 
     def _reply(self, node, effect):
-        found = self.waiting.pop(effect.call, None)
-        if found is None:
+        waiting = self.waiting.pop(effect.call, None)
+        if waiting is None:
             return
-        spec = found[1]
+        spec = waiting[1]
         verdict = effect.answer.verdict
         if verdict is not jobs.Verdict.NOT_RUN:
             self.not_refused.add(spec.key)
@@ -481,8 +483,8 @@
         worker = self.workers[node.name]
         args = (effect.name, effect.ref.run, until)
         if self._is_lost() or not worker.up:
-            late = self.rng.uniform(2.0, 12.0)
-            self.schedule(late, self._late_start, worker, args)
+            delay = self.rng.uniform(2.0, 12.0)
+            self.schedule(delay, self._start_late, worker, args)
             event = workerapi.StartAnswered(
                 effect.incarnation, effect.ref, workerapi.StartResult.UNKNOWN
             )
@@ -500,7 +502,7 @@
         event = workerapi.StartAnswered(effect.incarnation, effect.ref, result)
         self._answer(node, node.incarnation, event)
 
-    def _late_start(self, worker, args):
+    def _start_late(self, worker, args):
         if worker.up:
             worker.start(*args)
 
@@ -514,7 +516,7 @@
         )
         self._answer(node, node.incarnation, event)
 
-    def _handle_watch(self, node, effect):
+    def _handle_list_request(self, node, effect):
         worker = self.workers[node.name]
         if self._is_lost() or not worker.up:
             event = workerapi.ListsFailed(effect.incarnation)
@@ -535,17 +537,22 @@
         if effect.lease_seconds:
             worker.expire()
             worker.extend(self.now + effect.lease_seconds * leases.CLOCK_DRIFT)
-        asked = self.now
+        requested_at = self.now
         wait = 0.02 if effect.wait_seconds else 0.001
         self.schedule(
-            wait, self._answer_watch, node, node.incarnation, effect, asked
+            wait,
+            self._answer_list_request,
+            node,
+            node.incarnation,
+            effect,
+            requested_at,
         )
 
-    def _answer_watch(self, node, incarnation, effect, asked):
+    def _answer_list_request(self, node, incarnation, effect, requested_at):
         worker = self.workers[node.name]
         running, ended = worker.list_runs(effect.last_end)
         event = workerapi.ListsReceived(
-            worker.incarnation, asked, running, ended
+            worker.incarnation, requested_at, running, ended
         )
         if worker.incarnation == effect.incarnation:
             self._feed_incarnation(node.name, incarnation, event)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -178,17 +178,24 @@
         self.soak = soak
 
     def get_changes(self, table, after):
-        found = super().get_changes(table, after)
+        changes = super().get_changes(table, after)
         if table != members.TABLE:
-            return found
-        return [self.soak.replace_address(row) for row in found]
+            return changes
+        return [self.soak.replace_address(row) for row in changes]
 
 
 class Checks:
-    """The observations and the violations of the guarantees."""
+    """The observations and the violations of the guarantees.
+
+    :ivar done: number of completed runs by task.
+    :ivar closed: instant of its closing by zone out of service.
+    :ivar removed_prefixes: instant of its removal by prefix of a queue.
+    :ivar faults: instants of injected faults.
+    :ivar answered: number of jobs by the status of their last answer.
+    """
 
     def __init__(self):
-        self.broken = []
+        self.violations = []
         self.running = {}
         self.done = collections.Counter()
         self.started = set()
@@ -271,7 +278,7 @@
 
     def write_settings(self):
         front, ready, control, links = self.ports
-        found = {
+        fields = {
             'node_name': self.name,
             'ip': '127.0.0.1',
             'zone': self.zone,
@@ -281,14 +288,14 @@
             'bounds': {'grace_s': GRACE_SECONDS},
         }
         if self.role == 'entry':
-            found['bind_addresses'] = {
+            fields['bind_addresses'] = {
                 'front': f'127.0.0.1:{front}',
                 'ready': f'127.0.0.1:{ready}',
             }
         else:
-            found['app'] = self.app
+            fields['app'] = self.app
         path = self.soak.folder / f'{self.name}.yaml'
-        path.write_text(yaml.safe_dump(found))
+        path.write_text(yaml.safe_dump(fields))
         return path
 
     def send(self, number):
@@ -327,7 +334,7 @@
         self.calls = 0
         self.tasks = []
 
-    async def play(self):
+    async def run(self):
         """Run the test and return the violations."""
         self._publish()
         for process in [*self.entries, *self.agents]:
@@ -343,7 +350,7 @@
             self.store.server.stop()
             for worker in self.workers:
                 worker.server.stop()
-        return self.checks.broken
+        return self.checks.violations
 
     async def _run(self, session):
         for agent, worker in zip(self.agents, self.workers, strict=True):
@@ -633,15 +640,18 @@
 
     async def main():
         soak = Soak(seed, seconds, folder, faults)
-        broken = await soak.play()
-        return broken, dict(soak.checks.answered)
+        violations = await soak.run()
+        return violations, dict(soak.checks.answered)
 
-    broken, answered = asyncio.run(main())
-    if broken:
+    violations, answered = asyncio.run(main())
+    if violations:
         # The file lies beside the logs of the processes that explain it.
-        lines = [f'{one.guarantee}: {one.detail}\n' for one in broken]
+        lines = [
+            f'{violation.guarantee}: {violation.detail}\n'
+            for violation in violations
+        ]
         (folder / 'broken.txt').write_text(''.join(lines))
-    return broken, answered
+    return violations, answered
 
 
 def _now():
@@ -669,13 +679,16 @@
         # Each run has its own folder, as a later run must not overwrite the
         # logs of an earlier one that failed.
         folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=logs)
-        broken, answered = run_seed(seed, args.seconds, folder)
-        print(f'seed={seed} broken={len(broken)} answers={answered}')
-        for one in broken[:5]:
-            print(f'  {one.guarantee}: {one.detail} (logs in {folder})')
+        violations, answered = run_seed(seed, args.seconds, folder)
+        print(f'seed={seed} broken={len(violations)} answers={answered}')
+        for violation in violations[:5]:
+            print(
+                f'  {violation.guarantee}: {violation.detail}'
+                f' (logs in {folder})'
+            )
         sys.stdout.flush()
-        failed += bool(broken)
-        if not broken:
+        failed += bool(violations)
+        if not violations:
             shutil.rmtree(folder)
     print(f'{args.count - failed} passed, {failed} failed')
     return 1 if failed else 0
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -29,7 +29,7 @@
 """Bound for a worker that answers none."""
 
 STORE_CALLS_A_SECOND = 12
-"""Bound for one process that follows a table of a store that fails at once."""
+"""Bound for one process that watches a table of a store that fails at once."""
 
 DIALS_A_SECOND = 10
 """Bound for a peer that accepts connections and closes them at once."""
@@ -61,38 +61,38 @@
     :param answers: kinds of its answers to the first request, the second and
         so on.
     """
-    timing = list_requests.Watching()
+    timing = list_requests.ListRequests()
     now = 0.0
     timing.reset(now)
     requests = []
-    out = []
+    scheduled = []
     while now < seconds:
-        for item in [one for one in out if one[0] <= now]:
-            out.remove(item)
+        for item in [item for item in scheduled if item[0] <= now]:
+            scheduled.remove(item)
             item[1](now)
         while timing.is_due(now) and len(requests) < MAX_REQUESTS:
-            how = answers[len(requests) % len(answers)]
+            kind = answers[len(requests) % len(answers)]
             requests.append(now)
             timing.record_request(list_requests.WAIT_SECONDS, now)
-            if how == 'at_once':
+            if kind == 'at_once':
                 timing.record_answer(now)
-            elif how == 'lists':
-                out.append((now + 0.03, timing.record_answer))
-            elif how == 'fails':
+            elif kind == 'lists':
+                scheduled.append((now + 0.03, timing.record_answer))
+            elif kind == 'fails':
                 timing.record_failure(now)
-            elif how == 'resets':
-                out.append((now + step, timing.record_failure))
+            elif kind == 'resets':
+                scheduled.append((now + step, timing.record_failure))
             else:
-                late = now + list_requests.WAIT_SECONDS + 0.08
-                out.append((late, timing.record_failure))
+                failed_at = now + list_requests.WAIT_SECONDS + 0.08
+                scheduled.append((failed_at, timing.record_failure))
         now += step
     return requests
 
 
-def test_a_worker_that_resets_connections_is_asked_at_a_bounded_rate():
+def test_a_worker_that_resets_gets_requests_at_a_bounded_rate():
     """A worker repeatedly goes down and comes up, and resets connections.
 
-    It got 2,000 requests a second for as long: each opened a connection and
+    Meanwhile it got 2,000 requests a second: each opened a connection and
     wrote a log line, and its agent did nothing else.
     """
     requests = simulate_worker(['resets'], 8.0)
@@ -101,14 +101,14 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(st.sampled_from(ANSWER_KINDS), min_size=1, max_size=40))
-def test_lists_are_asked_for_at_a_bounded_rate(answers):
+def test_lists_are_requested_at_a_bounded_rate(answers):
     """An agent has time for its entries, whatever its worker answers."""
     requests = simulate_worker(answers, 4.0)
     assert most_in_a_second(requests) <= LISTS_A_SECOND
 
 
-def test_a_worker_that_answers_again_is_asked_as_before():
-    """If the pause stayed long, short jobs would end late unnoticed."""
+def test_a_worker_that_answers_again_gets_requests_as_before():
+    """If the pause stayed long, the ends of short jobs would arrive late."""
     requests = simulate_worker(['resets'] * 12 + ['lists'] * 1000, 6.0)
     assert most_in_a_second(requests[12:]) >= 25
 
@@ -137,17 +137,17 @@
 
 
 @pytest.mark.parametrize('answer', ['fails', 'forgets', 'answers'])
-def test_a_store_is_asked_at_a_bounded_rate(answer):
+def test_a_store_is_called_at_a_bounded_rate(answer):
     """A store loses its history each time, or answers without waiting.
 
-    Its followers would call it in a loop, and the store would answer the calls
-    of other processes with 429.
+    The processes that watch it would call it in a loop, and the store would
+    answer the calls of other processes with 429.
     """
     store = Store(answer)
 
     async def simulate():
         work = following.watch_table(
-            store, 'table', 1.0, lambda found: None, random.Random(1)
+            store, 'table', 1.0, lambda snapshot: None, random.Random(1)
         )
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(work, 1.0)
@@ -197,8 +197,8 @@
     spend their time on these while callers wait.
     """
     world = busy_world.BusyWorld(seed=1, entries=1, agents=3)
-    for one in world.workers.values():
-        one.unwell = True
+    for worker in world.workers.values():
+        worker.unwell = True
     world.run(2.0)
     world.submit_random(busy_world.QUEUES[1])
     (caller,) = world.callers.values()
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -64,9 +64,9 @@
     """A burst ends, and callers are refused permanently at half the load.
 
     Entries compete for the last slots, and each refused start is sent again
-    with its job's payload until an entry's link is saturated. Answers to
+    with its job's payload until an entry's link is saturated.  Answers to
     grants then arrive after the grants have expired, capacity is reserved for
-    nobody while starts are refused, and that keeps the link saturated. From
+    nobody while starts are refused, and that keeps the link saturated.  From
     the third second after the burst callers got 0.32 to 0.57 of their value, a
     third of all starts were refused, and it didn't end.
     """
@@ -106,6 +106,6 @@
     assert (
         earned(world, second_end + RECOVERY_SECONDS, until) >= RECOVERED_SHARE
     )
-    assert all(one.answer for one in world.callers.values())
+    assert all(caller.answer for caller in world.callers.values())
     assert world.double_runs == []
     assert world.false_refusals == []
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -33,20 +33,20 @@
         count = rng.randint(1, 40)
         seconds = [rng.lognormvariate(-1.4, 0.6) for _ in range(count)]
         now += rng.expovariate(load * SLOTS / sum(seconds))
-        one = make_job(
+        job_spec = make_job(
             team=team or f't{rng.randrange(12)}',
             tasks=count,
             deadline=now + job.get('within', 60.0),
         )
-        arrivals.append(playing.Arrival(now, one, tuple(seconds)))
+        arrivals.append(playing.Arrival(now, job_spec, tuple(seconds)))
     return arrivals
 
 
 def _compute_mean_response(arrivals, result, team=None):
     return statistics.fmean(
-        result.ended[one.job.key] - one.at
-        for one in arrivals
-        if one.job.key in result.ended and team in (None, one.job.team)
+        result.ended[arrival.job.key] - arrival.at
+        for arrival in arrivals
+        if arrival.job.key in result.ended and team in (None, arrival.job.team)
     )
 
 
@@ -86,7 +86,9 @@
     assert all(end <= 4.0 for end in result.ended.values())
     assert not result.expired
     assert len(result.ended) >= 26
-    assert all(one.retry_after > 0.0 for one in result.refused.values())
+    assert all(
+        refusal.retry_after > 0.0 for refusal in result.refused.values()
+    )
 
 
 def test_saturation_keeps_slots_busy_with_work_that_is_in_time(
@@ -99,13 +101,15 @@
     """
     arrivals = _make_arrivals(make_job, 1.5, 60.0, within=5.0)
     result = playing.play(make_dispatch(), arrivals)
-    deadlines = {one.job.key: one.job.deadline for one in arrivals}
+    deadlines = {arrival.job.key: arrival.job.deadline for arrival in arrivals}
     in_time = [
         key for key, end in result.ended.items() if end <= deadlines[key]
     ]
     admitted = len(arrivals) - len(result.refused)
     assert len(in_time) >= 0.99 * admitted
-    assert result.busy >= 0.95 * SLOTS * max(one.at for one in arrivals)
+    assert result.busy >= 0.95 * SLOTS * max(
+        arrival.at for arrival in arrivals
+    )
 
 
 def test_heavy_teams_barely_delay_light_ones(make_dispatch, make_job):
@@ -116,9 +120,9 @@
     light = _make_arrivals(make_job, 0.15, 40.0, seed=5)
     alone = _compute_mean_response(light, playing.play(make_dispatch(), light))
     heavy = [
-        one
+        arrival
         for i in range(3)
-        for one in _make_arrivals(
+        for arrival in _make_arrivals(
             make_job, 0.4, 40.0, seed=i, team=f'heavy{i}'
         )
     ]
@@ -160,7 +164,10 @@
         for i in range(1, 20)
     ]
     result = playing.play(make_dispatch(), [long_job, *short])
-    assert max(result.ended[one.job.key] - one.at for one in short) <= 0.7
+    assert (
+        max(result.ended[arrival.job.key] - arrival.at for arrival in short)
+        <= 0.7
+    )
     assert result.ended[long_job.job.key] <= 2000 * 0.3 / SLOTS + 0.6
 
 
@@ -232,7 +239,7 @@
     dispatcher.mark_disconnected('a1')
     dispatcher.enqueue(make_job(tasks=200), 0.0)
     placed = dispatcher.place(lambda zone: 0.0 if zone == 'z0' else 1.0, 0.0)
-    agents = {one.agent for one in placed}
+    agents = {placement.agent for placement in placed}
     assert agents == {'a2', 'a3', 'a5', 'a6', 'a7', 'a9'}
     refusal = dispatcher.admit(
         make_job(zones=('z0',)), lambda zone: False, 0.0
@@ -240,7 +247,7 @@
     assert refusal.code == 'zone_closed'
     assert refusal.retry_after > 0.0
     ramped = dispatcher.place(lambda zone: 0.25 if zone == 'z0' else 1.0, 0.0)
-    assert {one.agent: len(one.tasks) for one in ramped} == {
+    assert {placement.agent: len(placement.tasks) for placement in ramped} == {
         'a0': 2,
         'a4': 2,
         'a8': 2,
--- a/tests/test_list_requests.py
+++ b/tests/test_list_requests.py
@@ -6,7 +6,7 @@
 
 def request_lists():
     """Return the requests of a worker whose lists were just requested."""
-    timing = list_requests.Watching()
+    timing = list_requests.ListRequests()
     timing.reset(NOW)
     timing.record_request(WAIT, NOW)
     return timing
@@ -44,21 +44,21 @@
     assert timing.blocks_starts(
         NOW + list_requests.BLOCK_STARTS_SECONDS + 0.01
     )
-    assert not timing.silent(NOW + list_requests.SILENT_SECONDS - 0.01)
+    assert not timing.is_silent(NOW + list_requests.SILENT_SECONDS - 0.01)
     now = NOW + list_requests.SILENT_SECONDS + 0.01
-    assert timing.silent(now)
+    assert timing.is_silent(now)
     timing.record_failure(now)
     assert not timing.is_due(now + 0.1)
     assert timing.is_due(now + list_requests.PROBE_SECONDS + 0.01)
 
 
 def test_a_worker_without_announcements_counts_as_silent():
-    timing = list_requests.Watching()
+    timing = list_requests.ListRequests()
     timing.reset(NOW)
     timing.mark_silent(NOW)
-    assert timing.silent(NOW)
+    assert timing.is_silent(NOW)
     timing.record_answer(NOW + 0.1)
-    assert not timing.silent(NOW + 0.1)
+    assert not timing.is_silent(NOW + 0.1)
 
 
 def test_another_incarnation_resets_the_requests():
--- a/tests/test_mixes.py
+++ b/tests/test_mixes.py
@@ -37,10 +37,10 @@
     world.run(SETUP_SECONDS)
     world.load(share, LOAD_SECONDS)
     if flapping:
-        one = world.workers['agent-0']
+        worker = world.workers['agent-0']
         for at in range(4):
-            world.schedule(at + 0.3, setattr, one, 'up', False)
-            world.schedule(at + 0.9, setattr, one, 'up', True)
+            world.schedule(at + 0.3, setattr, worker, 'up', False)
+            world.schedule(at + 0.9, setattr, worker, 'up', True)
     world.run(AFTER_SECONDS)
     return world
 
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize('share', [0.5, 0.8, 1.15])
 def test_callers_of_any_mix_are_answered_correctly(queues, share):
     world = simulate(queues, share)
-    assert all(one.answer for one in world.callers.values())
+    assert all(caller.answer for caller in world.callers.values())
     assert world.double_runs == []
     assert world.false_refusals == []
 
--- a/tests/test_payloads.py
+++ b/tests/test_payloads.py
@@ -58,8 +58,8 @@
             self.payloads += len(message.payloads)
         if isinstance(message, messages.RunReports):
             self.refusals += [
-                one.reason
-                for one in message.reports
-                if one.state == types.RunState.REFUSED
+                report.reason
+                for report in message.reports
+                if report.state == types.RunState.REFUSED
             ]
         super()._deliver(pair, connection, to, sender, message)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -18,20 +18,26 @@
 TASK = types.Needs(6.0, 64, 0)
 
 
-def make_worker(name, free=0.0, of='p', grant=0):
+def make_worker(name, free=0.0, pool_name='p', grant=0):
     worker = pool.Worker(name, 1, 'z', '', renewed_at=NOW)
     worker.update_room(
         messages.Room(
-            1, True, of, (), TASK + TASK, types.Needs(free, 64, 0), grant
+            1,
+            True,
+            pool_name,
+            (),
+            TASK + TASK,
+            types.Needs(free, 64, 0),
+            grant,
         )
     )
     return worker
 
 
-def make_job(key, latest, of='p', tasks=1):
+def make_job(key, latest, pool_name='p', tasks=1):
     spec = jobs.Job(
         key=key,
-        route=routes.Route('q', 'host', '/q/', of),
+        route=routes.Route('q', 'host', '/q/', pool_name),
         payload=b'',
         tasks=tuple(
             jobs.Task(f'{key}.{index}', 0, TASK, 0.1) for index in range(tasks)
@@ -54,7 +60,7 @@
     return placing.Placing(workers, estimating.Estimator())
 
 
-def sent(effects, kind):
+def sent_messages(effects, kind):
     """Return the messages of a kind by receiver."""
     by_receiver = collections.defaultdict(list)
     for effect in effects:
@@ -70,12 +76,15 @@
     of the other pool would wait until its agents happened to have capacity
     that no other entry requests.
     """
-    workers.add(make_worker('a', of='p'))
-    workers.add(make_worker('b', of='r'))
-    waiting = [make_job('j', NOW + 0.1), make_job('k', NOW + 0.2, of='r')]
+    workers.add(make_worker('a', pool_name='p'))
+    workers.add(make_worker('b', pool_name='r'))
+    waiting = [
+        make_job('j', NOW + 0.1),
+        make_job('k', NOW + 0.2, pool_name='r'),
+    ]
     effects = placer.place(waiting, NOW)
-    (to_a,) = sent(effects, messages.Want)['a']
-    (to_b,) = sent(effects, messages.Want)['b']
+    (to_a,) = sent_messages(effects, messages.Want)['a']
+    (to_b,) = sent_messages(effects, messages.Want)['b']
     assert to_a.slack == pytest.approx(0.1)
     assert to_b.slack == pytest.approx(0.2)
 
@@ -94,12 +103,12 @@
     requested = []
     for step in range(20):
         effects = placer.place([late], NOW + step * 0.02)
-        requested.append('a' in sent(effects, messages.Want))
+        requested.append('a' in sent_messages(effects, messages.Want))
     assert requested.count(True) == 2
     now = NOW + 0.4
     urgent = make_job('urgent', now + 0.1)
     effects = placer.place([urgent, late], now)
-    assert sent(effects, messages.Want)['a'][0].count == 2
+    assert sent_messages(effects, messages.Want)['a'][0].count == 2
 
 
 def test_the_answer_to_a_grant_contains_the_remaining_want(workers, placer):
@@ -115,10 +124,12 @@
     room = messages.Room(1, True, 'p', (), TASK + TASK, TASK, grant=7, taken=0)
     placer.store_room(worker, room)
     effects = placer.place([job], NOW + 0.01)
-    (starts,) = sent(effects, messages.StartRuns)['a']
+    (starts,) = sent_messages(effects, messages.StartRuns)['a']
     assert (starts.grant, len(starts.runs)) == (7, 1)
     assert starts.want.count == 1
     room = dataclasses.replace(room, taken=1)
     placer.store_room(worker, room)
-    (starts,) = sent(placer.place([job], NOW + 0.02), messages.StartRuns)['a']
+    (starts,) = sent_messages(
+        placer.place([job], NOW + 0.02), messages.StartRuns
+    )['a']
     assert starts.want == messages.NO_WANT
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -116,30 +116,30 @@
     """Another writer has stored bytes that aren't a valid state."""
     assert desired.parse_route_table({'config': b'\xff'}) is None
     broken = {**DESIRED, 'version': 'seven'}
-    found = desired.parse_route_table({'config': json.dumps(broken).encode()})
-    assert found is None
+    table = desired.parse_route_table({'config': json.dumps(broken).encode()})
+    assert table is None
     assert 'version' in caplog.text
 
 
 def test_zones_out_of_service_are_read():
-    found = desired.parse_closed_zones(
+    closed = desired.parse_closed_zones(
         {'config': b'{}', 'evacuate/talca': b'{}'}
     )
-    assert found.zones == {'talca'}
+    assert closed.zones == {'talca'}
 
 
 def test_an_invalid_row_of_an_entry_is_skipped():
-    found = members.parse_entries(
+    listed = members.parse_entries(
         {'a': b'{"address":"127.0.0.1:1"}', 'b': b'?'}
     )
-    assert [one.name for one in found.entries] == ['a']
+    assert [entry.name for entry in listed.entries] == ['a']
 
 
 # The store
 
 
-class Follower:
-    """A follower of a table that collects the states passed on."""
+class Watcher:
+    """A task that watches a table and collects the states passed on."""
 
     def __init__(self, store, table='op', wait=0.2):
         self.states = []
@@ -173,17 +173,17 @@
     async def main():
         store = platform_standins.Store()
         store.put('op', 'a', b'1')
-        follower = Follower(store)
-        await follower.wait_until(lambda rows: rows == {'a': b'1'})
+        watcher = Watcher(store)
+        await watcher.wait_until(lambda rows: rows == {'a': b'1'})
         store.put('op', 'b', b'2')
-        await follower.wait_until(lambda rows: len(rows) == 2)
+        await watcher.wait_until(lambda rows: len(rows) == 2)
         store.mode = 'busy'
         await asyncio.sleep(0.3)
         store.delete('op', 'a')
         store.discard_history()
         store.mode = platform_standins.CALM
-        await follower.wait_until(lambda rows: rows == {'b': b'2'})
-        await follower.stop()
+        await watcher.wait_until(lambda rows: rows == {'b': b'2'})
+        await watcher.stop()
 
     run(main)
 
@@ -203,9 +203,9 @@
         changes = [lambda: store.put('t', 'k0', 'new')]
         store.after_read = lambda: changes and changes.pop()()
         client = rows.RowStore(store.address)
-        found = await client.read('t')
-        assert [row.key for row in found.rows] == ['k0', 'k1', 'k2', 'k3']
-        later = await client.changes('t', found.row_version, 0.0)
+        page = await client.read('t')
+        assert [row.key for row in page.rows] == ['k0', 'k1', 'k2', 'k3']
+        later = await client.changes('t', page.row_version, 0.0)
         assert [row.key for row in later.rows] == ['k0']
         await client.close()
 
@@ -225,9 +225,9 @@
         store = platform_standins.Store()
         store.put('op', 'a', b'1')
         store.mute = 1
-        follower = Follower(store)
-        await follower.wait_until(lambda rows: rows == {'a': b'1'})
-        await follower.stop()
+        watcher = Watcher(store)
+        await watcher.wait_until(lambda rows: rows == {'a': b'1'})
+        await watcher.stop()
 
     run(main)
 
@@ -252,11 +252,11 @@
         before.put('op', 'a', b'1')
         after.put('op', 'a', b'2')
         client = rows.RowStore(before.address)
-        found = await client.read('op')
-        assert [row.value for row in found.rows] == [b'1']
+        page = await client.read('op')
+        assert [row.value for row in page.rows] == [b'1']
         client.address = after.address
-        found = await client.read('op')
-        assert [row.value for row in found.rows] == [b'2']
+        page = await client.read('op')
+        assert [row.value for row in page.rows] == [b'2']
         await client.close()
 
     run(main)
@@ -287,7 +287,7 @@
 # The worker
 
 
-class Orders:
+class RecordingClient:
     """A worker's client and the events that it passed on."""
 
     def __init__(self, standin):
@@ -318,20 +318,20 @@
 def test_a_run_is_started_and_watched_until_its_end():
     async def main():
         standin = platform_standins.Worker()
-        orders = Orders(standin)
-        orders.start()
-        answered = await orders.get_event()
+        recorder = RecordingClient(standin)
+        recorder.start()
+        answered = await recorder.get_event()
         assert answered.result is workerapi.StartResult.STARTED
-        name, body = standin.orders[0]
+        name, body = standin.requests[0]
         ahead = body['until_ms'] - standin.clock_ms()
         assert 300 < ahead <= 650
-        orders.client.watch(
-            workerapi.RequestLists(orders.incarnation, 0, 0.65, 0.5)
+        recorder.client.request_lists(
+            workerapi.RequestLists(recorder.incarnation, 0, 0.65, 0.5)
         )
-        watched = await orders.get_event()
-        assert watched.ended[0].kind is workerapi.EndKind.DONE
+        lists_received = await recorder.get_event()
+        assert lists_received.ended[0].kind is workerapi.EndKind.DONE
         assert standin.target_ids == [standin.name] * 2
-        await orders.client.close()
+        await recorder.client.close()
 
     run(main)
 
@@ -339,19 +339,19 @@
 def test_a_burst_of_starts_opens_few_connections(monkeypatch):
     """Each new connection to a worker has a cost."""
     # Answers on a busy machine may take longer than on the platform.
-    monkeypatch.setattr(worker, 'ORDER_SECONDS', 30.0)
+    monkeypatch.setattr(worker, 'REQUEST_SECONDS', 30.0)
 
     async def main():
         standin = platform_standins.Worker()
-        orders = Orders(standin)
+        recorder = RecordingClient(standin)
         for run in range(1, 21):
-            orders.start(run)
+            recorder.start(run)
         for _ in range(20):
-            answered = await orders.get_event()
+            answered = await recorder.get_event()
             assert answered.result is not workerapi.StartResult.UNKNOWN
         assert len(standin.connections) <= worker.MAX_CONNECTIONS
         assert worker.MAX_CONNECTIONS <= 6
-        await orders.client.close()
+        await recorder.client.close()
 
     run(main)
 
@@ -368,25 +368,25 @@
     async def main():
         standin = platform_standins.Worker()
         standin.refusal_reason = reason
-        orders = Orders(standin)
-        orders.start()
-        assert (await orders.get_event()).result is result
-        await orders.client.close()
+        recorder = RecordingClient(standin)
+        recorder.start()
+        assert (await recorder.get_event()).result is result
+        await recorder.client.close()
 
     run(main)
 
 
 def test_a_start_without_an_answer_has_an_unknown_result():
-    """The worker doesn't answer the order, but may execute it later."""
+    """The worker doesn't answer the request, but may carry it out later."""
 
     async def main():
         standin = platform_standins.Worker()
         standin.silent = True
-        orders = Orders(standin)
-        orders.start()
-        found = await orders.get_event()
-        assert found.result is workerapi.StartResult.UNKNOWN
-        await orders.client.close()
+        recorder = RecordingClient(standin)
+        recorder.start()
+        answered = await recorder.get_event()
+        assert answered.result is workerapi.StartResult.UNKNOWN
+        await recorder.client.close()
 
     run(main)
 
@@ -394,22 +394,25 @@
 def test_the_lists_of_another_incarnation_are_recognised():
     """A worker crashes and restarts under its id without any runs.
 
-    It accepts orders meant for its earlier incarnation, so starts sent before
-    may run there: only its own lists show which runs are over.
+    It accepts requests meant for its earlier incarnation, so starts sent
+    before may run there: only its own lists show which runs are over.
     """
 
     async def main():
         standin = platform_standins.Worker()
-        orders = Orders(standin)
+        recorder = RecordingClient(standin)
         standin.born += 1000
-        orders.client.watch(
-            workerapi.RequestLists(orders.incarnation, 0, 0.65, 0.0)
+        recorder.client.request_lists(
+            workerapi.RequestLists(recorder.incarnation, 0, 0.65, 0.0)
         )
         new_incarnation = worker.make_incarnation(standin.name, standin.born)
-        assert await orders.get_event() == workerapi.OtherIncarnationAnswered(
-            orders.incarnation, new_incarnation, standin.born
+        assert (
+            await recorder.get_event()
+            == workerapi.OtherIncarnationAnswered(
+                recorder.incarnation, new_incarnation, standin.born
+            )
         )
-        await orders.client.close()
+        await recorder.client.close()
 
     run(main)
 
@@ -554,11 +557,11 @@
                 await programs.announce(session)
                 await programs.wait_ready(session)
                 path = '/dates/5c0e7a21d94b36f8'
-                found = await programs.post(session, path, JOB)
-                assert found == (200, {'state': 'completed'})
+                answer = await programs.post(session, path, JOB)
+                assert answer == (200, {'state': 'completed'})
                 tasks = [
                     (body['task'], body['run'])
-                    for name, body in programs.worker.orders
+                    for name, body in programs.worker.requests
                     if name == 'run-start'
                 ]
                 assert sorted(tasks) == [
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -26,9 +26,9 @@
     return worker
 
 
-def pick(found, needs, avoid):
+def pick(candidates, needs, avoid):
     """Return the worker for a task in a round with just these workers."""
-    return pool.Candidates(found, random.Random(1)).pick(needs, avoid)
+    return pool.Candidates(candidates, random.Random(1)).pick(needs, avoid)
 
 
 @pytest.fixture
@@ -47,9 +47,9 @@
         silent,
     ):
         workers.add(worker)
-    assert [one.name for one in workers.usable_workers('p', '', NOW)] == [
-        'good'
-    ]
+    assert [
+        worker.name for worker in workers.usable_workers('p', '', NOW)
+    ] == ['good']
     assert workers.usable_workers('p', 'b', NOW) == []
     assert len(workers.usable_workers('p', 'a', NOW)) == 1
 
@@ -74,7 +74,7 @@
 
 
 def test_a_slow_worker_gets_nothing_while_others_have_room():
-    """A worker became six times slower and is always free therefore."""
+    """A worker became six times slower and is therefore always free."""
     slow = make_worker('slow', cost=6.0)
     others = [make_worker('a', free=10.0), make_worker('b', free=10.0)]
     for _ in range(20):
@@ -84,16 +84,16 @@
 
 def test_a_recovering_worker_gets_one_task_at_a_time():
     others = [make_worker('a', free=0.0), make_worker('b', free=0.0)]
-    trying = make_worker('trying', cost=2.0)
-    assert pick([trying, *others], TASK, NOBODY) is trying
-    trying.placed['job', 0] = pool.PlacedRun(1, TASK)
-    assert pick([trying, *others], TASK, NOBODY) is None
+    recovering = make_worker('trying', cost=2.0)
+    assert pick([recovering, *others], TASK, NOBODY) is recovering
+    recovering.placed['job', 0] = pool.PlacedRun(1, TASK)
+    assert pick([recovering, *others], TASK, NOBODY) is None
 
 
 def test_jobs_that_are_slow_everywhere_exclude_no_worker():
     """Jobs that fail on all workers must not exclude any of them."""
-    found = [make_worker(name, cost=5.0) for name in 'abc']
-    assert pick(found, TASK, NOBODY) is not None
+    candidates = [make_worker(name, cost=5.0) for name in 'abc']
+    assert pick(candidates, TASK, NOBODY) is not None
 
 
 def test_a_worker_where_the_task_failed_is_avoided():
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -31,9 +31,9 @@
             capacity.acquire(TASK)
         effects = publisher.publish(None, True, {'entry': owner}, now)
         count += sum(
-            isinstance(one, core.Send)
-            and isinstance(one.message, messages.Room)
-            for one in effects
+            isinstance(effect, core.Send)
+            and isinstance(effect.message, messages.Room)
+            for effect in effects
         )
     return count / SECONDS
 
@@ -78,18 +78,18 @@
     owners = {'entry': runs.Owner('entry', 1)}
     assumed = types.Needs()
     running, changes, updates = 0, 0, 0
-    off = {'places': 0.0, 'cores': 0.0}
-    longest = dict(off)
+    wrong_seconds = {'places': 0.0, 'cores': 0.0}
+    longest = dict(wrong_seconds)
     for step in range(int(seconds * 1000)):
         now = NOW + step / 1000
-        what = rng.random()
+        draw = rng.random()
         before = running
-        if what < 0.02 and running < places:
+        if draw < 0.02 and running < places:
             running += capacity.acquire(TASK)
             if rng.random() < 0.25:
                 assumed = assumed - TASK
                 publisher.subtract_start('entry', TASK)
-        elif what < 0.04 and running:
+        elif draw < 0.04 and running:
             running -= 1
             capacity.release(TASK)
         changes += running != before
@@ -101,8 +101,10 @@
             'cores': assumed != capacity.free,
         }
         for name, is_wrong in wrong.items():
-            off[name] = off[name] + 0.001 if is_wrong else 0.0
-            longest[name] = max(longest[name], off[name])
+            wrong_seconds[name] = (
+                wrong_seconds[name] + 0.001 if is_wrong else 0.0
+            )
+            longest[name] = max(longest[name], wrong_seconds[name])
     return longest, updates / changes
 
 
@@ -110,7 +112,7 @@
 def test_significant_changes_are_published_soon(seed):
     """An entry that assumes slots that are used sends starts in vain.
 
-    If it doesn't learn of released ones, its callers wait.
+    If it gets no update on released ones, its callers wait.
     """
     longest, _ = simulate(random.Random(seed), 3, 20.0)
     assert longest['places'] <= publishing.MIN_UPDATE_SECONDS + 0.002
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -90,7 +90,7 @@
 def test_a_frozen_entry_causes_no_second_run():
     """An entry is suspended for two seconds while a job's runs continue.
 
-    The agents stop the runs as nobody renews their lease; the caller, whose
+    The agents stop the runs as their lease is not renewed; the caller, whose
     connection is open, gets its answer once the entry continues.
     """
     world = make_world()
@@ -128,17 +128,17 @@
         world.waiting[call] = (node.name, spec)
         event = events.JobArrived(call, spec)
         effects = node.reducer.reduce(event, world.now)
-        sent += [one for one in effects if isinstance(one, core.Send)]
+        sent += [effect for effect in effects if isinstance(effect, core.Send)]
         assert core.WakeAt(world.now) in effects
     assert sent == []
     effects = node.reducer.reduce(core.Tick(), world.now)
     starts = [
-        one.message
-        for one in effects
-        if isinstance(one, core.Send)
-        and isinstance(one.message, messages.StartRuns)
+        effect.message
+        for effect in effects
+        if isinstance(effect, core.Send)
+        and isinstance(effect.message, messages.StartRuns)
     ]
-    assert sum(len(one.runs) for one in starts) == 10
+    assert sum(len(start.runs) for start in starts) == 10
     assert len(starts) == 2
 
 
@@ -201,7 +201,7 @@
     would continue in a zone that operators closed long ago.
     """
     world = make_world(entries=1, agents=1)
-    world.store_away = True
+    world.store_unavailable = True
     world.kill('agent-0', back_after=0.3)
     world.run(3.0)
     world.submit(repeatable_world.make_job('j', 1, expected=0.2))
@@ -335,9 +335,9 @@
     elif kind == 'freeze':
         world.freeze(rng.choice(names), rng.uniform(0.1, 3.0))
     elif kind == 'cut':
-        one = rng.choice(world.entries()).name
-        other = rng.choice(world.agents()).name
-        world.cut(one, other, rng.uniform(0.2, 3.0))
+        entry = rng.choice(world.entries()).name
+        agent = rng.choice(world.agents()).name
+        world.cut(entry, agent, rng.uniform(0.2, 3.0))
     elif kind == 'orders':
         world.loss_rate = rng.choice((0.0, 0.05, 0.3))
     elif kind == 'crash':
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -22,7 +22,7 @@
     allowed = 0
     for _ in range(10000):
         budget.earn(1)
-        allowed += budget.delay(0, 60.0) is not None
+        allowed += budget.spend_token(0, 60.0) is not None
     assert allowed <= presets.ORDINARY.retry_burst + 10000 * 0.1 + 1
 
 
@@ -31,7 +31,7 @@
     strategies.integers(0, 2**32 - 1), strategies.floats(0.0, 2.0)
 )
 def test_no_retry_is_put_off_past_the_deadline(attempt, left):
-    pause = _budget().delay(attempt, left)
+    pause = _budget().spend_token(attempt, left)
     assert pause is None or 0.0 <= pause < left
     assert pause is None or pause <= retries.MAX_SECONDS
 
@@ -42,7 +42,7 @@
     Without jitter all retries would be sent at the same instant.
     """
     budget = _budget()
-    assert len({budget.delay(3, 60.0) for _ in range(8)}) == 8
+    assert len({budget.spend_token(3, 60.0) for _ in range(8)}) == 8
 
 
 def test_the_queue_returns_due_tasks_and_loses_none(make_job):
--- a/tests/test_run_controller.py
+++ b/tests/test_run_controller.py
@@ -18,10 +18,10 @@
 UNKNOWN = workerapi.StartResult.UNKNOWN
 
 
-def make_controller(room=None, on_refused=lambda entry: None):
+def make_controller(capacity=None, on_refused=lambda entry: None):
     """Return the run controller of an agent without a worker."""
     return run_controller.RunController(
-        room or sharing.SharedCapacity(),
+        capacity or sharing.SharedCapacity(),
         health.Health(),
         reports.Reports(),
         on_refused,
@@ -31,20 +31,20 @@
 @pytest.fixture
 def controller():
     """Return a run controller with one run that was just started."""
-    room = sharing.SharedCapacity()
-    controller = make_controller(room)
+    capacity = sharing.SharedCapacity()
+    controller = make_controller(capacity)
     controller.handle_announcement(
         workerapi.WorkerAnnounced('w@1', 1, 1, 'p', CAPACITY, (), False, ''),
         NOW,
     )
-    room.acquire(NEEDS)
+    capacity.acquire(NEEDS)
     owner = runs.Owner('e', 1, lease_until=NOW + 60.0)
     controller.start(owner, SPEC, b'', NOW)
     return controller
 
 
-def of_kind(effects, kind):
-    return [one for one in effects if isinstance(one, kind)]
+def filter_effects(effects, kind):
+    return [effect for effect in effects if isinstance(effect, kind)]
 
 
 def answer_start(controller, result, now, incarnation='w@1'):
@@ -57,7 +57,7 @@
     sent = 1
     for step in range(1, 60):
         effects = controller.enforce_leases(NOW + step * 0.005)
-        sent += len(of_kind(effects, workerapi.StartRun))
+        sent += len(filter_effects(effects, workerapi.StartRun))
     assert sent == run_controller.MAX_START_ATTEMPTS
 
 
@@ -76,7 +76,7 @@
     controller.enforce_leases(NOW + run_controller.START_RETRY_SECONDS + 0.001)
     now = NOW + 0.04
     effects = answer_start(controller, workerapi.StartResult.NO_ROOM, now)
-    assert len(of_kind(effects, workerapi.StopRun)) == 1
+    assert len(filter_effects(effects, workerapi.StopRun)) == 1
     assert 'j.0' in controller.runs
     stopped = workerapi.StopAnswered('w@1', 'j.0', 1, True)
     controller.handle_stop_answer(stopped, now + 0.01)
@@ -98,7 +98,7 @@
 def test_a_new_worker_incarnation_does_not_end_a_run(controller):
     """A worker crashes and restarts under the same name at once.
 
-    The start was in transit and reached the new incarnation. By its clock the
+    The start was in transit and reached the new incarnation.  By its clock the
     lease is far ahead, and is cut to the longest that the worker allows.
     """
     controller.handle_other_incarnation(
@@ -137,7 +137,7 @@
 
 def test_a_worker_is_persisted_once(controller):
     """Otherwise each announcement would cost a write to the store."""
-    assert not of_kind(
+    assert not filter_effects(
         controller.handle_announcement(make_announcement(2), NOW),
         workerapi.PersistWorker,
     )
@@ -148,11 +148,11 @@
     effects = controller.handle_announcement(
         make_announcement(2, draining=True), NOW
     )
-    assert of_kind(effects, workerapi.PersistWorker) == [
+    assert filter_effects(effects, workerapi.PersistWorker) == [
         workerapi.PersistWorker(None)
     ]
     effects = controller.handle_announcement(make_announcement(3), NOW)
-    (effect,) = of_kind(effects, workerapi.PersistWorker)
+    (effect,) = filter_effects(effects, workerapi.PersistWorker)
     assert effect.worker.incarnation == 'w@1'
 
 
@@ -170,7 +170,7 @@
 def test_nothing_starts_beside_a_run_of_an_earlier_incarnation():
     """The agent is killed and restarts before its worker's lease expires.
 
-    Each start extends the lease of all runs there. A run of the former
+    Each start extends the lease of all runs there.  A run of the former
     incarnation whose stop got lost would continue, while its task starts
     elsewhere.
     """
@@ -201,7 +201,7 @@
         effects = controller.handle_lists(
             make_lists(running=[old]), NOW + step * pause
         )
-        stops += len(of_kind(effects, workerapi.StopRun))
+        stops += len(filter_effects(effects, workerapi.StopRun))
     assert stops == 4
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -27,11 +27,13 @@
 
 
 def dialled(effects):
-    return {one.peer for one in effects if isinstance(one, core.Dial)}
+    return {effect.peer for effect in effects if isinstance(effect, core.Dial)}
 
 
 def disconnected(effects):
-    return {one.peer for one in effects if isinstance(one, core.Hangup)}
+    return {
+        effect.peer for effect in effects if isinstance(effect, core.Hangup)
+    }
 
 
 @pytest.mark.parametrize('count', [1, 3, 4])
@@ -44,7 +46,7 @@
     served = collections.Counter()
     for name in AGENTS:
         chosen = make_agent(8, name)[1]
-        assert len({int(one[2:]) % 4 for one in chosen}) == 4
+        assert len({int(entry[2:]) % 4 for entry in chosen}) == 4
         served.update(chosen)
     assert len(served) == 8
     assert 15 <= min(served.values())
@@ -91,8 +93,8 @@
     """Its machine was replaced by one with the same name."""
     agent, first = make_agent(3)
     moved = tuple(
-        events.ListedEntry(one.name, f'new:{one.name}', one.zone)
-        for one in entries(3)
+        events.ListedEntry(entry.name, f'new:{entry.name}', entry.zone)
+        for entry in entries(3)
     )
     assert disconnected(agent.update_entries(moved)) == first
     assert dialled(agent.review(NOW, (), ())) == first
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -7,11 +7,11 @@
 
 
 def make_capacity(cores=64.0):
-    room = sharing.SharedCapacity()
-    room.resize(types.Needs(cores, 4096, 0))
+    capacity = sharing.SharedCapacity()
+    capacity.resize(types.Needs(cores, 4096, 0))
     for name in ('near', 'far'):
-        room.add_entry(name)
-    return room
+        capacity.add_entry(name)
+    return capacity
 
 
 def make_want(slack, count=1):
@@ -19,17 +19,17 @@
     return messages.Want(count, TASK, slack, total)
 
 
-def acquire_all(room):
-    while room.acquire(TASK):
+def acquire_all(capacity):
+    while capacity.acquire(TASK):
         pass
 
 
 def test_capacity_is_acquired_as_long_as_a_run_fits():
-    room = make_capacity()
-    acquire_all(room)
-    assert room.free == types.Needs(4.0, 4096 - 640, 0)
-    room.release(TASK)
-    assert room.acquire(TASK)
+    capacity = make_capacity()
+    acquire_all(capacity)
+    assert capacity.free == types.Needs(4.0, 4096 - 640, 0)
+    capacity.release(TASK)
+    assert capacity.acquire(TASK)
 
 
 def test_released_capacity_is_granted_to_the_most_urgent_entry():
@@ -38,15 +38,15 @@
     If released capacity were open to both, the near one would always be first,
     and callers of the other zone would starve.
     """
-    room = make_capacity()
-    acquire_all(room)
-    room.record_want('near', make_want(0.5), NOW)
-    room.record_want('far', make_want(0.1), NOW)
-    room.release(TASK)
-    (grant,) = room.issue_grants(NOW)
+    capacity = make_capacity()
+    acquire_all(capacity)
+    capacity.record_want('near', make_want(0.5), NOW)
+    capacity.record_want('far', make_want(0.1), NOW)
+    capacity.release(TASK)
+    (grant,) = capacity.issue_grants(NOW)
     assert grant.entry == 'far'
-    assert not TASK.fits(room.free)
-    assert not room.acquire(TASK)
+    assert not TASK.fits(capacity.free)
+    assert not capacity.acquire(TASK)
 
 
 def test_a_grant_is_limited_to_the_requested_capacity():
@@ -55,22 +55,22 @@
     If all its capacity were reserved for the first of them, the other would
     wait for the answer beside an idle worker; with slow answers, permanently.
     """
-    room = make_capacity()
-    room.record_want('near', make_want(0.5, count=2), NOW)
-    room.record_want('far', make_want(0.1), NOW)
-    first, second = room.issue_grants(NOW)
+    capacity = make_capacity()
+    capacity.record_want('near', make_want(0.5, count=2), NOW)
+    capacity.record_want('far', make_want(0.1), NOW)
+    first, second = capacity.issue_grants(NOW)
     assert (first.entry, first.room.cpu) == ('far', 6.0)
     assert (second.entry, second.room.cpu) == ('near', 12.0)
-    assert room.free.cpu == 46.0
+    assert capacity.free.cpu == 46.0
 
 
 def test_the_unused_part_of_a_grant_goes_to_the_next_entry():
-    room = make_capacity(cores=8.0)
-    room.record_want('near', make_want(0.5), NOW)
-    room.record_want('far', make_want(0.1), NOW)
-    (first,) = room.issue_grants(NOW)
-    room.end_grant('far', first.number)
-    (second,) = room.issue_grants(NOW)
+    capacity = make_capacity(cores=8.0)
+    capacity.record_want('near', make_want(0.5), NOW)
+    capacity.record_want('far', make_want(0.1), NOW)
+    (first,) = capacity.issue_grants(NOW)
+    capacity.end_grant('far', first.number)
+    (second,) = capacity.issue_grants(NOW)
     assert (second.entry, second.room.cpu) == ('near', 6.0)
 
 
@@ -79,12 +79,12 @@
 
     Its grant must not keep a worker idle until the entry is back.
     """
-    room = make_capacity()
-    room.record_want('far', make_want(0.1), NOW)
-    assert room.issue_grants(NOW)
-    assert room.next_expiry() == NOW + sharing.GRANT_SECONDS
-    room.record_want('near', make_want(0.5), NOW)
-    (grant,) = room.issue_grants(NOW + sharing.GRANT_SECONDS)
+    capacity = make_capacity()
+    capacity.record_want('far', make_want(0.1), NOW)
+    assert capacity.issue_grants(NOW)
+    assert capacity.next_expiry() == NOW + sharing.GRANT_SECONDS
+    capacity.record_want('near', make_want(0.5), NOW)
+    (grant,) = capacity.issue_grants(NOW + sharing.GRANT_SECONDS)
     assert grant.entry == 'near'
 
 
@@ -94,30 +94,30 @@
     If its grants had expired by then, each of its starts would be refused and
     sent again, which would keep the link saturated.
     """
-    room = make_capacity()
-    room.set_round_trip('far', 0.15)
-    room.record_want('far', make_want(0.1), NOW)
-    assert room.issue_grants(NOW)
-    assert room.next_expiry() == NOW + 0.15 * sharing.GRANT_ROUND_TRIPS
-    room.set_round_trip('far', 5.0)
-    assert room.next_expiry() == NOW + sharing.MAX_GRANT_SECONDS
+    capacity = make_capacity()
+    capacity.set_round_trip('far', 0.15)
+    capacity.record_want('far', make_want(0.1), NOW)
+    assert capacity.issue_grants(NOW)
+    assert capacity.next_expiry() == NOW + 0.15 * sharing.GRANT_ROUND_TRIPS
+    capacity.set_round_trip('far', 5.0)
+    assert capacity.next_expiry() == NOW + sharing.MAX_GRANT_SECONDS
 
 
 def test_a_want_that_is_not_repeated_expires():
-    room = make_capacity()
-    room.record_want('far', make_want(0.1), NOW)
-    assert room.issue_grants(NOW + sharing.WANT_TTL_SECONDS) == []
+    capacity = make_capacity()
+    capacity.record_want('far', make_want(0.1), NOW)
+    assert capacity.issue_grants(NOW + sharing.WANT_TTL_SECONDS) == []
 
 
 def test_an_entry_that_left_holds_no_capacity():
-    room = make_capacity()
-    room.record_want('far', make_want(0.1), NOW)
-    room.issue_grants(NOW)
-    room.remove_entry('far')
-    assert room.free.cpu == 64.0
+    capacity = make_capacity()
+    capacity.record_want('far', make_want(0.1), NOW)
+    capacity.issue_grants(NOW)
+    capacity.remove_entry('far')
+    assert capacity.free.cpu == 64.0
 
 
 def test_no_grant_is_smaller_than_the_smallest_task():
-    room = make_capacity(cores=5.0)
-    room.record_want('far', make_want(0.1), NOW)
-    assert room.issue_grants(NOW) == []
+    capacity = make_capacity(cores=5.0)
+    capacity.record_want('far', make_want(0.1), NOW)
+    assert capacity.issue_grants(NOW) == []
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -27,7 +27,7 @@
     assert not stop.accepts(0.1, NOW + stopping.GIVE_UP_SECONDS)
 
 
-def test_it_serves_until_the_load_balancer_has_noticed():
+def test_a_stopping_process_serves_until_the_load_balancer_removes_it():
     stop = make_stopping()
     soon = NOW + stopping.MIN_SERVE_SECONDS - 0.1
     assert not stop.try_exit(False, soon)
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Detection of stuck runs, each at the time when it is due."""
+"""Detection of stragglers, each at the time when it is due."""
 
 import random
 
@@ -96,7 +96,7 @@
     Such checks took 5% of an entry's time on average under a calm load.
     """
     checks = []
-    placed = job.placed
-    job.placed = lambda: checks.append(1) or placed()
+    placed_indexes = job.placed_indexes
+    job.placed_indexes = lambda: checks.append(1) or placed_indexes()
     find_delay(finder, job, NOW + 1.0)
     assert len(checks) <= 1.0 / stragglers.CHECK_SECONDS + 1
--- a/tests/test_worker_record.py
+++ b/tests/test_worker_record.py
@@ -54,22 +54,22 @@
 
     async def restore(self):
         """Return the events that the next incarnation gets at its start."""
-        fed = []
+        events = []
         client = rows.RowStore(self.store.address)
         record = worker_record.WorkerRecord(client, KEY, random.Random(2))
-        orders = worker.WorkerClient(
-            self.worker.address, clocks.ProcessClock.start(), fed.append
+        worker_client = worker.WorkerClient(
+            self.worker.address, clocks.ProcessClock.start(), events.append
         )
-        await record.restore(orders, fed.append)
+        await record.restore(worker_client, events.append)
         await client.close()
-        await orders.close()
-        return fed
+        await worker_client.close()
+        return events
 
 
 @pytest.fixture(autouse=True)
 def extend_timeouts(monkeypatch):
     # Answers on a busy machine may take longer than on the platform.
-    monkeypatch.setattr(worker, 'ORDER_SECONDS', 30.0)
+    monkeypatch.setattr(worker, 'REQUEST_SECONDS', 30.0)
     monkeypatch.setattr(worker_record, 'GIVE_UP_SECONDS', 0.2)
 
 
@@ -83,12 +83,12 @@
     async def main():
         agent = Incarnations()
         await agent.store_worker(make_announcement(agent.worker))
-        (found,) = await agent.restore()
-        assert found.incarnation == make_announcement(agent.worker).incarnation
-        assert found.pool == 'pool'
-        assert found.capacity == types.Needs(64.0, 262144, 0)
-        assert found.labels == ('a', 'r1-1')
-        assert found.sequence < agent.worker.make_heartbeat(1)['sequence']
+        (event,) = await agent.restore()
+        assert event.incarnation == make_announcement(agent.worker).incarnation
+        assert event.pool == 'pool'
+        assert event.capacity == types.Needs(64.0, 262144, 0)
+        assert event.labels == ('a', 'r1-1')
+        assert event.sequence < agent.worker.make_heartbeat(1)['sequence']
 
     asyncio.run(main())
 
@@ -101,9 +101,9 @@
         before = make_announcement(agent.worker)
         await agent.store_worker(before)
         agent.worker.born += 5_000
-        (found,) = await agent.restore()
-        assert found.born == before.born + 5_000
-        assert found.incarnation != before.incarnation
+        (event,) = await agent.restore()
+        assert event.born == before.born + 5_000
+        assert event.incarnation != before.incarnation
 
     asyncio.run(main())
 
