--- a/src/agatepick/decisions/demand.py
+++ b/src/agatepick/decisions/demand.py
@@ -63,5 +63,5 @@
         has_few_slots = self.average_use < BUSY_SHARE
         if has_few_slots or now - self._placed_at >= HOLD_SECONDS:
             return waiting
-        soon = running * HOLD_SECONDS / self._mean_seconds
-        return max(0, waiting - int(soon))
+        soon_started = running * HOLD_SECONDS / self._mean_seconds
+        return max(0, waiting - int(soon_started))
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -41,8 +41,8 @@
 EXCLUDED_SECONDS = 0.1
 """Time after which a retry may be placed at agents that refused the task."""
 LATEST_START_FACTOR = 1.2
-"""Time before its deadline by which a job must start, as a multiple of the run
-time of its longest task."""
+"""Time before the deadline at which a job should have started, as a multiple
+of its longest run time."""
 NOTES_BY_STANDING = {
     outliers.Standing.EJECTED: 'worker_ejected',
     outliers.Standing.GOOD: 'worker_readmitted',
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -52,8 +52,8 @@
         ``free_memory`` and ``free_accelerators``.
     :ivar on_trial: whether only probes after an ejection may start.
     :ivar last_message_at: instant of the last message from its agent.
-    :ivar demand_sent_at: instant of the last message that told its agent the
-        demand of this entry.
+    :ivar demand_sent_at: instant of the last message to its agent that
+        contained the demand of this entry.
     :ivar indexes: indexes of the classes of task that it serves.
     """
 
--- a/src/agatepick/decisions/presets.py
+++ b/src/agatepick/decisions/presets.py
@@ -1,8 +1,8 @@
 """Presets: the sets of decision settings that operators switch between.
 
 Load pattern: ordinary days, peaks and maintenance need opposite trade-offs.
-Without presets an operator changes single settings under stress, and two
-operators combine theirs by accident.
+Without presets an operator changes single settings under stress, and the
+changes of two operators are mixed.
 
 ``ordinary`` admits jobs that will probably be in time.  ``peak`` is stricter
 at admission, since a wrongly admitted job then misses its own deadline and
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -52,7 +52,7 @@
         self._indexes: dict[placement.Requirement, placement.ClassIndex] = {}
         self._shares: dict[str, float] = {}
         self._canonical: dict[types.Needs, types.Needs] = {}
-        self._next_ask = 0.0
+        self._next_search_at = 0.0
         self.limit = 0
         self.running = 0
         self.slots = 0
@@ -160,13 +160,13 @@
         now: float,
         pause: float,
     ) -> list[str]:
-        """Return agents with spare slots that lack this entry's demand.
+        """Return agents with spare slots but no recent demand of this entry.
 
         :param pause: least seconds between two messages to one agent.
         """
-        if now < self._next_ask:
+        if now < self._next_search_at:
             return []
-        self._next_ask = now + pause / SEARCHES_PER_PAUSE
+        self._next_search_at = now + pause / SEARCHES_PER_PAUSE
         names = []
         for requirement in requirements:
             for worker in self.get_index(requirement).serving.values():
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -56,13 +56,13 @@
 """Interval of checks of the settings file, which may change without SIGHUP."""
 
 
-def main(words: list[str]) -> int:
+def main(args: list[str]) -> int:
     """Run a program by its name until it is stopped.
 
     :returns: exit status.
     """
     programs = {'entry': run_entry, 'agent': run_agent}
-    if len(words) != 1 or words[0] not in programs:
+    if len(args) != 1 or args[0] not in programs:
         print(f'usage: {"|".join(programs)}', file=sys.stderr)
         return exceptions.BadUsage.exit_status
     try:
@@ -72,7 +72,7 @@
         print(exc.show(), file=sys.stderr)
         return exc.exit_status
     logs.setup_bounded(cfg.name, LOG_LINES_PER_SECOND)
-    asyncio.run(programs[words[0]](cfg, path))
+    asyncio.run(programs[args[0]](cfg, path))
     return 0
 
 
@@ -172,9 +172,9 @@
 
 
 def _serve_metrics(
-    cfg: settings.NodeSettings, measured: measures.Measures
+    cfg: settings.NodeSettings, proc_measures: measures.Measures
 ) -> None:
-    app = metrics.make_application(measured.text)
+    app = metrics.make_application(proc_measures.text)
     host = cfg.links.rpartition(':')[0]
     try:
         _serve(app, f'{host}:{METRICS_PORT}')
@@ -213,30 +213,30 @@
     cfg: settings.NodeSettings,
     path: str,
     store: rows.RowStore,
-    requested: asyncio.Event,
+    reload_requested: asyncio.Event,
 ) -> None:
     """Apply changes of the settings file, until cancelled.
 
     Only the store's address can change while the process runs.
 
-    :param requested: is set to reload the file at once.
+    :param reload_requested: event that is set to reload the file at once.
     """
     changed_at = os.stat(path).st_mtime
     while True:
         try:
-            await asyncio.wait_for(requested.wait(), RELOAD_SECONDS)
+            await asyncio.wait_for(reload_requested.wait(), RELOAD_SECONDS)
         except TimeoutError:
             pass
         try:
             modified_at = os.stat(path).st_mtime
-            if modified_at == changed_at and not requested.is_set():
+            if modified_at == changed_at and not reload_requested.is_set():
                 continue
             changed_at = modified_at
             new_cfg = settings.read(path)
         except (OSError, exceptions.BadSettings) as exc:
             logs.warning(LOG, 'settings_bad', reason=exc)
-            requested.clear()
+            reload_requested.clear()
             continue
-        requested.clear()
+        reload_requested.clear()
         store.address = new_cfg.store
         logs.info(LOG, 'settings_reloaded', store=new_cfg.store)
--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -299,10 +299,10 @@
                 job.spec.tasks[index].needs.cpu for index in job.waiting
             )
         workers = self._pool.usable_workers(spec.route.pool, '', now)
-        reference = pool.median_cost(workers)
+        median = pool.median_cost(workers)
         free, share = 0.0, 0.0
         for worker in workers:
-            if worker.room is None or not pool.is_healthy(worker, reference):
+            if worker.room is None or not pool.is_healthy(worker, median):
                 continue
             free += worker.free.cpu
             share += worker.room.capacity.cpu / max(1, worker.room.entries)
--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -64,8 +64,8 @@
         )
         self._serving = serving.Serving(cfg.name)
         # None until the operator's rows are read: an agent that starts while
-        # the store is unavailable can't tell whether its zone is closed, and
-        # would start tasks in a zone that operators closed long ago.
+        # the store is unavailable can't determine whether its zone is closed,
+        # and would start tasks in a zone that operators closed long ago.
         self._closed_zones: frozenset[str] | None = None
         self._stopping_at: float | None = None
         self._renewed_at = 0.0
@@ -316,10 +316,10 @@
         )
 
     def _on_zones(self, event: events.ZonesClosed, now: float) -> list[object]:
-        before = self._cfg.zone in (self._closed_zones or ())
+        was_closed = self._cfg.zone in (self._closed_zones or ())
         closed = self._cfg.zone in event.zones
         self._closed_zones = event.zones
-        if before == closed:
+        if was_closed == closed:
             return []
         return [core.note('zone', zone=self._cfg.zone, closed=closed)]
 
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -73,7 +73,7 @@
             self._end_job,
         )
         self._stragglers = stragglers.Stragglers(self._pool, self._estimator)
-        self._calls: dict[int, owned_jobs.OwnedJob] = {}
+        self._jobs_by_call: dict[int, owned_jobs.OwnedJob] = {}
         self._checked_at = 0.0
         self._placement_due = False
         self._placed_at = 0.0
@@ -114,7 +114,7 @@
             # busy entry handles hundreds of messages in one iteration of its
             # event loop.
             effects.append(core.WakeAt(now))
-        elif self._calls:
+        elif self._jobs_by_call:
             effects.append(core.WakeAt(now + JOB_CHECK_SECONDS))
         return effects
 
@@ -173,15 +173,15 @@
     def _on_job(self, event: events.JobArrived, now: float) -> list[object]:
         self._placement_due = True
         spec = event.job
-        known = self._jobs.get(spec.key)
-        if known is not None and not known.answered:
+        existing = self._jobs.get(spec.key)
+        if existing is not None and not existing.answered:
             # The caller submitted the job again, perhaps because its first
             # connection broke: the job continues, and both requests get its
             # answer.
-            known.calls.append(event.call)
-            self._calls[event.call] = known
+            existing.calls.append(event.call)
+            self._jobs_by_call[event.call] = existing
             return [core.note('job_rejoined', job=spec.key)]
-        if known is not None:
+        if existing is not None:
             return self._refuse_call(event.call, spec, 'ending', 1.0)
         longest = self._estimator.longest(spec)
         if not self._stopping.accepts(longest, now):
@@ -202,7 +202,7 @@
             self._admission.compute_latest_start(spec, now),
             longest,
         )
-        self._calls[event.call] = job
+        self._jobs_by_call[event.call] = job
         self._jobs.add(job)
         job.queue_ready_tasks()
         self._waiting.add(job)
@@ -250,7 +250,7 @@
     def _on_caller_left(
         self, event: events.CallerLeft, now: float
     ) -> list[object]:
-        job = self._calls.pop(event.call, None)
+        job = self._jobs_by_call.pop(event.call, None)
         if job is None:
             return []
         job.calls.remove(event.call)
@@ -271,8 +271,8 @@
         )
 
     def _on_routes(self, event: events.RoutesRead, now: float) -> list[object]:
-        before = self.routes
-        if before is not None and event.table.version <= before.version:
+        current = self.routes
+        if current is not None and event.table.version <= current.version:
             return []
         self.routes = event.table
         return [
@@ -293,7 +293,7 @@
         job.answered = True
         job.waiting.clear()
         for call in job.calls:
-            self._calls.pop(call, None)
+            self._jobs_by_call.pop(call, None)
         effects: list[object] = [
             core.note(
                 'job_ended',
@@ -445,7 +445,7 @@
 
     def _on_stop(self, event: core.StopRequested, now: float) -> list[object]:
         self._stopping.request(now)
-        return [core.note('stopping', jobs=len(self._calls))]
+        return [core.note('stopping', jobs=len(self._jobs_by_call))]
 
     def _finish(self, now: float) -> list[object]:
         effects: list[object] = []
@@ -456,7 +456,7 @@
                     verdict = jobs.Verdict.NOT_RUN
                 answer = jobs.Answer(verdict, 'stopping', 1.0)
                 effects += self._end_job(job, answer, now)
-        if self._stopping.try_exit(bool(self._calls), now):
+        if self._stopping.try_exit(bool(self._jobs_by_call), now):
             effects.append(core.Exit())
         return effects
 
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -33,8 +33,8 @@
         for task in job.tasks:
             by_step[task.step] = max(by_step[task.step], self.mean(job, task))
         ends: list[float] = []
-        for step, before in enumerate(job.after):
-            start = max((ends[other] for other in before), default=0.0)
+        for step, earlier_steps in enumerate(job.after):
+            start = max((ends[other] for other in earlier_steps), default=0.0)
             ends.append(start + by_step[step])
         return max(ends, default=0.0)
 
--- a/src/agatepick/repeatable/health.py
+++ b/src/agatepick/repeatable/health.py
@@ -3,7 +3,7 @@
 Load pattern: a worker becomes slow, hangs or fails its tasks, while its
 announcements look normal.  As tasks are placed where capacity is free, such a
 worker is always free and attracts more work the worse it performs.  Each entry
-alone would need a dozen of its own runs to detect that; the agent sees the
+alone would need a dozen of its own runs to detect that; the agent records the
 runs of all entries.
 
 Slowness and success rate are moving averages.  A run that exceeds its expected
--- a/src/agatepick/repeatable/payloads.py
+++ b/src/agatepick/repeatable/payloads.py
@@ -8,7 +8,8 @@
 saturated permanently.
 
 Both ends add the same payloads in the same order and keep the same number of
-them, so the entry knows the contents of the agent's cache without messages.
+them, so the entry can derive the contents of the agent's cache from its own,
+without messages.
 """
 
 from agatepick import types
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -108,17 +108,21 @@
                     backing_off.append(index)
                     continue
                 task = job.spec.tasks[index]
-                kind = (job.spec.route.pool, task.label)
-                if kind not in candidates:
-                    candidates[kind] = self._pool.candidates(*kind, now)
+                pool_and_label = (job.spec.route.pool, task.label)
+                if pool_and_label not in candidates:
+                    candidates[pool_and_label] = self._pool.candidates(
+                        *pool_and_label, now
+                    )
                 # If fewer cores weren't free, more cores aren't either.
-                if task.needs.cpu >= min_unplaced_cpu.get(kind, float('inf')):
+                if task.needs.cpu >= min_unplaced_cpu.get(
+                    pool_and_label, float('inf')
+                ):
                     unplaced.append(index)
                     continue
-                worker = self._choose(job, index, candidates[kind])
+                worker = self._choose(job, index, candidates[pool_and_label])
                 if worker is None:
                     if not job.records[index].avoid:
-                        min_unplaced_cpu[kind] = task.needs.cpu
+                        min_unplaced_cpu[pool_and_label] = task.needs.cpu
                     unplaced.append(index)
                     continue
                 self._assign(job, index, worker, now)
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -191,14 +191,12 @@
 
     def __init__(self, workers: list[Worker], rng: random.Random) -> None:
         self._rng = rng
-        reference = median_cost(workers)
+        median = median_cost(workers)
         self.workers = [
-            worker for worker in workers if _accepts_work(worker, reference)
+            worker for worker in workers if _accepts_work(worker, median)
         ]
         self._on_probation = {
-            worker.name
-            for worker in workers
-            if not is_healthy(worker, reference)
+            worker.name for worker in workers if not is_healthy(worker, median)
         }
 
     def pick(
@@ -239,14 +237,14 @@
     return statistics.median(worker.cost for worker in workers)
 
 
-def is_healthy(worker: Worker, reference: float) -> bool:
+def is_healthy(worker: Worker, median: float) -> bool:
     """Return whether a worker's cost is close to that of the others."""
-    return worker.cost < PROBATION_COST * max(reference, 1.0)
+    return worker.cost < PROBATION_COST * max(median, 1.0)
 
 
-def _accepts_work(worker: Worker, reference: float) -> bool:
-    if is_healthy(worker, reference):
+def _accepts_work(worker: Worker, median: float) -> bool:
+    if is_healthy(worker, median):
         return True
-    if worker.cost >= EXCLUDED_COST * max(reference, 1.0):
+    if worker.cost >= EXCLUDED_COST * max(median, 1.0):
         return False
     return not worker.placed
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -74,8 +74,8 @@
         self._health = health_record
         self._worker: workerapi.WorkerAnnounced | None = None
         self._open = False
-        self._entries = 0
-        self._agents = 1
+        self._entry_count = 0
+        self._max_agents = 1
         self._cost = 1.0
         self._task_size = types.Needs()
         self._free = types.Needs()
@@ -124,8 +124,8 @@
         agent_counts = [
             owner.agents for owner in owners.values() if owner.connected
         ]
-        self._entries = len(agent_counts)
-        self._agents = max(agent_counts, default=1)
+        self._entry_count = len(agent_counts)
+        self._max_agents = max(agent_counts, default=1)
         cost = self._health.cost(now)
         if abs(cost - self._cost) >= MIN_COST_CHANGE:
             self._cost = cost
@@ -154,7 +154,7 @@
             self._change_count,
             self._worker,
             self._open,
-            self._entries,
+            self._entry_count,
             self._cost,
         )
         deferred_due = (
@@ -187,7 +187,7 @@
             # after a restart callers wait for just that.
             return 0.0
         pause = max(
-            MIN_UPDATE_SECONDS, UPDATE_SECONDS_PER_AGENT * self._agents
+            MIN_UPDATE_SECONDS, UPDATE_SECONDS_PER_AGENT * self._max_agents
         )
         if not self._is_unchanged(last_update) or self._changes_decisions(
             assumed.free
@@ -211,7 +211,7 @@
     def _is_unchanged(self, last_update: messages.Room) -> bool:
         """Return whether all but the free capacity equals the last update."""
         if (
-            last_update.entries != self._entries
+            last_update.entries != self._entry_count
             or last_update.cost != self._cost
         ):
             return False
@@ -252,7 +252,7 @@
             free,
             grant,
             owner.taken,
-            self._entries,
+            self._entry_count,
             self._cost,
         )
 
@@ -260,7 +260,9 @@
         effects: list[object] = []
         for grant in self._capacity.issue_grants(now):
             owner = owners[grant.entry]
-            update = self._build_update(owner, grant.room, grant.number)
-            self._assumed[owner.name] = _AssumedState(update, now, grant.room)
+            update = self._build_update(owner, grant.capacity, grant.number)
+            self._assumed[owner.name] = _AssumedState(
+                update, now, grant.capacity
+            )
             effects.append(core.Send(grant.entry, update))
         return effects
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -25,7 +25,7 @@
 the workers that its part of the load needs, and if one entry is lost, the
 agent still serves the others."""
 
-AWAY_SECONDS = 2.0
+DISCONNECTED_SECONDS = 2.0
 """Time without a connection after which an entry is replaced.  The connection
 of a silent entry is closed after 1.2 s, and a killed process is back in about
 1 s."""
@@ -46,7 +46,7 @@
         self._entries: dict[types.PeerName, events.ListedEntry] = {}
         self._ranking: list[types.PeerName] = []
         self._dialled: set[types.PeerName] = set()
-        self._away_since: dict[types.PeerName, float] = {}
+        self._disconnected_since: dict[types.PeerName, float] = {}
         self._leaving_since: dict[types.PeerName, float] = {}
 
     def update_entries(
@@ -77,9 +77,9 @@
         """
         for name in self._dialled:
             if name in connected:
-                self._away_since.pop(name, None)
+                self._disconnected_since.pop(name, None)
             else:
-                self._away_since.setdefault(name, now)
+                self._disconnected_since.setdefault(name, now)
         served = self._choose_entries(now)
         effects: list[object] = []
         for name in served:
@@ -103,7 +103,11 @@
             if reachable == SERVED_ENTRIES:
                 break
             served.append(name)
-            reachable += now < self._away_since.get(name, now) + AWAY_SECONDS
+            reachable += (
+                now
+                < self._disconnected_since.get(name, now)
+                + DISCONNECTED_SECONDS
+            )
         return served
 
     def _rank_entries(self) -> list[types.PeerName]:
@@ -125,7 +129,7 @@
     def _dial(self, name: types.PeerName, now: float) -> list[object]:
         address = self._entries[name].address
         self._dialled.add(name)
-        self._away_since[name] = now
+        self._disconnected_since[name] = now
         return [
             core.Dial(name, address),
             core.note('entry_served', peer=name, address=address),
@@ -133,6 +137,6 @@
 
     def _hang_up(self, name: types.PeerName) -> list[object]:
         self._dialled.discard(name)
-        self._away_since.pop(name, None)
+        self._disconnected_since.pop(name, None)
         self._leaving_since.pop(name, None)
         return [core.Hangup(name)]
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -7,11 +7,11 @@
 were leased in parts, a remainder of each part that is too small for a task
 would stay idle.
 
-Capacity that no entry waits for is therefore open to all, and an entry uses it
-without asking.  An entry that finds none sends a request with the urgency of
-its first task; released capacity is then reserved for the most urgent entry
-alone, as much as its tasks need, until its answer arrives.  The part that it
-doesn't use is granted to the next entry.
+Capacity that no entry waits for is therefore open to all, and an entry uses
+it without a request.  An entry that finds none sends a request with the
+urgency of its first task; released capacity is then reserved for the most
+urgent entry alone, as much as its tasks need, until its answer arrives.  The
+part that it doesn't use is granted to the next entry.
 """
 
 import dataclasses
@@ -42,16 +42,16 @@
     """
 
     want: messages.Want | None = None
-    wanted_since: float = 0.0
+    want_received_at: float = 0.0
     grant: int = 0
-    granted: types.Needs = types.Needs()
+    granted_capacity: types.Needs = types.Needs()
     granted_at: float = 0.0
     grant_seconds: float = GRANT_SECONDS
 
     def latest_start(self) -> float:
         """Return the latest start of its first task."""
         slack = self.want.slack if self.want is not None else 0.0
-        return self.wanted_since + slack
+        return self.want_received_at + slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
     entry: types.PeerName
     number: int
-    room: types.Needs
+    capacity: types.Needs
 
 
 class SharedCapacity:
@@ -82,7 +82,7 @@
         free = self._capacity - self._used
         for share in self._shares.values():
             if share.grant:
-                free = free - share.granted
+                free = free - share.granted_capacity
         return free
 
     def resize(self, capacity: types.Needs) -> None:
@@ -107,7 +107,7 @@
         share = self._shares.get(entry)
         if share is not None:
             share.want = want if want.count else None
-            share.wanted_since = now
+            share.want_received_at = now
 
     def set_round_trip(self, entry: types.PeerName, trip: float) -> None:
         """Set how long grants to an entry are valid, by its round trip.
@@ -175,26 +175,26 @@
         return min(ends, default=None)
 
     def _grant(
-        self, name: types.PeerName, room: types.Needs, now: float
+        self, name: types.PeerName, capacity: types.Needs, now: float
     ) -> Grant:
         share = self._shares[name]
         assert share.want is not None
-        room = room.at_most(share.want.total)
+        capacity = capacity.at_most(share.want.total)
         self._last_grant_number += 1
         self.change_count += 1
         share.grant = self._last_grant_number
-        share.granted = room
+        share.granted_capacity = capacity
         share.granted_at = now
         # The answer contains a new request if tasks still wait.
         share.want = None
-        return Grant(name, share.grant, room)
+        return Grant(name, share.grant, capacity)
 
     def _expire(self, now: float) -> None:
         for share in self._shares.values():
             if share.grant and now >= share.granted_at + share.grant_seconds:
                 share.grant = 0
                 self.change_count += 1
-            if share.want and now >= share.wanted_since + WANT_TTL_SECONDS:
+            if share.want and now >= share.want_received_at + WANT_TTL_SECONDS:
                 share.want = None
 
 
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -51,7 +51,7 @@
         if self._requested_at is None:
             return True
         if self.exiting:
-            # The caller would get an error without knowing whether the job
+            # The caller would get an error that doesn't show whether the job
             # ran.
             return False
         remaining = self._requested_at + GIVE_UP_SECONDS - now
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -86,9 +86,9 @@
         limit = STRAGGLER_RATIO
         if not job.run_seconds.get(job.spec.tasks[index].step):
             limit *= NO_SIBLING_FACTOR
-        may_take = limit * self._expected(job, index)
+        allowed_seconds = limit * self._expected(job, index)
         placed_at = job.records[index].placed_at
-        return placed_at + STRAGGLER_SPARE_SECONDS + may_take
+        return placed_at + STRAGGLER_SPARE_SECONDS + allowed_seconds
 
     def _expected(self, job: owned_jobs.OwnedJob, index: int) -> float:
         seconds = placing.expected_run_seconds(self._estimator, job, index)
--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -36,7 +36,7 @@
     :param width: mean number of tasks of a job.
     :param seconds: mean run time of a task at a fast worker.
     :param worth: value of one job of mean size that is answered in time.
-    :param payload: bytes of a job's payload.
+    :param payload: bytes of the payload that each task of a job receives.
     """
 
     name: str
@@ -295,7 +295,7 @@
         since = max(self.now, self.busy_until[name])
         self.busy_until[name] = since + seconds / self.processor
 
-    def seconds(self, task):
+    def get_run_seconds(self, task):
         return self.true_seconds[task]
 
     def earned(self, since=0.0, until=math.inf):
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -102,7 +102,7 @@
             return result.NO_ROOM
         self.world.check_start(self, name)
         self.highest_runs[name] = run
-        seconds = self.world.seconds(name) * self.slowness
+        seconds = self.world.get_run_seconds(name) * self.slowness
         self.runs[name] = (run, self.world.now + seconds, until)
         return result.STARTED
 
@@ -287,7 +287,7 @@
                 del self.waiting[call]
                 self.feed(name, events.CallerLeft(call))
 
-    def seconds(self, task):
+    def get_run_seconds(self, task):
         """Return the true run time of a task."""
         return 0.05 + (sum(task.encode()) % 40) / 100.0
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -188,8 +188,8 @@
     """The observations and the violations of the guarantees.
 
     :ivar done: number of completed runs by task.
-    :ivar closed: instant of its closing by zone out of service.
-    :ivar removed_prefixes: instant of its removal by prefix of a queue.
+    :ivar closed: instants at which zones were closed, by zone.
+    :ivar removed_prefixes: instants at which queues were removed, by prefix.
     :ivar faults: instants of injected faults.
     :ivar answered: number of jobs by the status of their last answer.
     """
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -65,8 +65,8 @@
 
     Entries compete for the last slots, and each refused start is sent again
     with its job's payload until an entry's link is saturated.  Answers to
-    grants then arrive after the grants have expired, capacity is reserved for
-    nobody while starts are refused, and that keeps the link saturated.  From
+    grants then arrive after the grants have expired, capacity is reserved in
+    vain while starts are refused, and that keeps the link saturated.  From
     the third second after the burst callers got 0.32 to 0.57 of their value, a
     third of all starts were refused, and it didn't end.
     """
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -60,7 +60,7 @@
     return placing.Placing(workers, estimating.Estimator())
 
 
-def sent_messages(effects, kind):
+def collect_messages(effects, kind):
     """Return the messages of a kind by receiver."""
     by_receiver = collections.defaultdict(list)
     for effect in effects:
@@ -83,8 +83,8 @@
         make_job('k', NOW + 0.2, pool_name='r'),
     ]
     effects = placer.place(waiting, NOW)
-    (to_a,) = sent_messages(effects, messages.Want)['a']
-    (to_b,) = sent_messages(effects, messages.Want)['b']
+    (to_a,) = collect_messages(effects, messages.Want)['a']
+    (to_b,) = collect_messages(effects, messages.Want)['b']
     assert to_a.slack == pytest.approx(0.1)
     assert to_b.slack == pytest.approx(0.2)
 
@@ -103,12 +103,12 @@
     requested = []
     for step in range(20):
         effects = placer.place([late], NOW + step * 0.02)
-        requested.append('a' in sent_messages(effects, messages.Want))
+        requested.append('a' in collect_messages(effects, messages.Want))
     assert requested.count(True) == 2
     now = NOW + 0.4
     urgent = make_job('urgent', now + 0.1)
     effects = placer.place([urgent, late], now)
-    assert sent_messages(effects, messages.Want)['a'][0].count == 2
+    assert collect_messages(effects, messages.Want)['a'][0].count == 2
 
 
 def test_the_answer_to_a_grant_contains_the_remaining_want(workers, placer):
@@ -124,12 +124,12 @@
     room = messages.Room(1, True, 'p', (), TASK + TASK, TASK, grant=7, taken=0)
     placer.store_room(worker, room)
     effects = placer.place([job], NOW + 0.01)
-    (starts,) = sent_messages(effects, messages.StartRuns)['a']
+    (starts,) = collect_messages(effects, messages.StartRuns)['a']
     assert (starts.grant, len(starts.runs)) == (7, 1)
     assert starts.want.count == 1
     room = dataclasses.replace(room, taken=1)
     placer.store_room(worker, room)
-    (starts,) = sent_messages(
+    (starts,) = collect_messages(
         placer.place([job], NOW + 0.02), messages.StartRuns
     )['a']
     assert starts.want == messages.NO_WANT
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -437,7 +437,7 @@
 
 
 def test_a_late_answer_does_not_set_the_worker_s_clock_back():
-    """A late answer makes the worker's clock appear slower than it is.
+    """A late answer makes the worker's clock appear to be behind.
 
     Leases computed from it alone would be too short, and runs would be ended.
     """
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -8,7 +8,7 @@
 
 NOW = 50.0
 TASK = types.Needs(6.0, 64, 0)
-NOBODY: frozenset = frozenset()
+NONE_AVOIDED: frozenset = frozenset()
 
 
 def make_worker(name, free=64.0, cost=1.0, **room):
@@ -57,8 +57,8 @@
 def test_a_task_goes_where_it_fits():
     full = make_worker('full', free=3.0)
     empty = make_worker('empty')
-    assert pick([full, empty], TASK, NOBODY) is empty
-    assert pick([full], TASK, NOBODY) is None
+    assert pick([full, empty], TASK, NONE_AVOIDED) is empty
+    assert pick([full], TASK, NONE_AVOIDED) is None
 
 
 def test_starts_in_transit_reduce_the_free_capacity():
@@ -78,22 +78,22 @@
     slow = make_worker('slow', cost=6.0)
     others = [make_worker('a', free=10.0), make_worker('b', free=10.0)]
     for _ in range(20):
-        choice = pick([slow, *others], TASK, NOBODY)
+        choice = pick([slow, *others], TASK, NONE_AVOIDED)
         assert choice is not slow
 
 
 def test_a_recovering_worker_gets_one_task_at_a_time():
     others = [make_worker('a', free=0.0), make_worker('b', free=0.0)]
     recovering = make_worker('trying', cost=2.0)
-    assert pick([recovering, *others], TASK, NOBODY) is recovering
+    assert pick([recovering, *others], TASK, NONE_AVOIDED) is recovering
     recovering.placed['job', 0] = pool.PlacedRun(1, TASK)
-    assert pick([recovering, *others], TASK, NOBODY) is None
+    assert pick([recovering, *others], TASK, NONE_AVOIDED) is None
 
 
 def test_jobs_that_are_slow_everywhere_exclude_no_worker():
     """Jobs that fail on all workers must not exclude any of them."""
     candidates = [make_worker(name, cost=5.0) for name in 'abc']
-    assert pick(candidates, TASK, NOBODY) is not None
+    assert pick(candidates, TASK, NONE_AVOIDED) is not None
 
 
 def test_a_worker_where_the_task_failed_is_avoided():
@@ -106,11 +106,11 @@
     """Another entry may have taken its last slot since the last update."""
     nearly_full = make_worker('fast', free=7.0)
     roomy = make_worker('slow', free=40.0, cost=1.3)
-    assert pick([nearly_full, roomy], TASK, NOBODY) is roomy
-    assert pick([nearly_full], TASK, NOBODY) is nearly_full
+    assert pick([nearly_full, roomy], TASK, NONE_AVOIDED) is roomy
+    assert pick([nearly_full], TASK, NONE_AVOIDED) is nearly_full
 
 
 def test_of_workers_with_room_the_faster_is_taken():
     fast = make_worker('fast', free=20.0)
     slow = make_worker('slow', free=64.0, cost=1.3)
-    assert pick([slow, fast], TASK, NOBODY) is fast
+    assert pick([slow, fast], TASK, NONE_AVOIDED) is fast
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -151,7 +151,7 @@
     world = make_world()
     world.loss_rate = 1.0
     spec = repeatable_world.make_job('j', 2, expected=0.1)
-    longest = max(world.seconds(task.name) for task in spec.tasks)
+    longest = max(world.get_run_seconds(task.name) for task in spec.tasks)
     world.submit(spec)
     world.run(0.01)
     world.loss_rate = 0.0
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -59,8 +59,8 @@
     capacity.record_want('near', make_want(0.5, count=2), NOW)
     capacity.record_want('far', make_want(0.1), NOW)
     first, second = capacity.issue_grants(NOW)
-    assert (first.entry, first.room.cpu) == ('far', 6.0)
-    assert (second.entry, second.room.cpu) == ('near', 12.0)
+    assert (first.entry, first.capacity.cpu) == ('far', 6.0)
+    assert (second.entry, second.capacity.cpu) == ('near', 12.0)
     assert capacity.free.cpu == 46.0
 
 
@@ -71,7 +71,7 @@
     (first,) = capacity.issue_grants(NOW)
     capacity.end_grant('far', first.number)
     (second,) = capacity.issue_grants(NOW)
-    assert (second.entry, second.room.cpu) == ('near', 6.0)
+    assert (second.entry, second.capacity.cpu) == ('near', 6.0)
 
 
 def test_an_unanswered_grant_expires():
