--- a/tests/soak.py
+++ b/tests/soak.py
@@ -205,7 +205,7 @@
         self.answered = collections.Counter()
 
     def record_violation(self, guarantee, detail):
-        self.broken.append(Violation(guarantee, detail))
+        self.violations.append(Violation(guarantee, detail))
 
     def record_start(self, worker, task, run):
         if task in self.running:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,6 +14,6 @@
     seed 26 an agent was killed while the store refused all calls and the
     agent's zone was closed; after its restart it started a task there.
     """
-    broken, answered = soak.run_seed(seed, seconds, tmp_path)
-    assert broken == []
+    violations, answered = soak.run_seed(seed, seconds, tmp_path)
+    assert violations == []
     assert answered[200] > 0
