--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -150,7 +150,15 @@
 
 
 class World:
-    """All processes, workers and callers; faults are methods."""
+    """All processes, workers and callers; faults are methods.
+
+    :ivar double_runs: starts of tasks that already had a run.
+    :ivar false_refusals: keys of jobs that were refused as not run although a
+        task had started.
+    :ivar started_jobs: keys of jobs of which a task has started.
+    :ivar unrefused_jobs: keys of jobs with a request whose outcome was not the
+        answer that the job was not run.
+    """
 
     def __init__(self, entries=2, agents=3, seed=0, listed=False):
         """Create and start all processes.
@@ -168,8 +176,8 @@
         self.double_runs = []
         self.false_refusals = []
         self.answers = {}
-        self.ever_started = set()
-        self.not_refused = set()
+        self.started_jobs = set()
+        self.unrefused_jobs = set()
         self.calls = itertools.count(1)
         self.waiting = {}
         self.loss_rate = 0.0
@@ -249,7 +257,7 @@
         for call, (owner, spec) in list(self.waiting.items()):
             if owner == name:
                 del self.waiting[call]
-                self.not_refused.add(spec.key)
+                self.unrefused_jobs.add(spec.key)
                 self.schedule(RESEND_SECONDS, self.submit, spec)
         self.schedule(back_after, self.start, name)
 
@@ -293,7 +301,7 @@
 
     def check_start(self, worker, name):
         key = name.rpartition('.')[0]
-        self.ever_started.add(key)
+        self.started_jobs.add(key)
         for other in self.workers.values():
             other.expire()
             if name in other.runs:
@@ -457,12 +465,12 @@
         spec = waiting[1]
         verdict = effect.answer.verdict
         if verdict is not jobs.Verdict.NOT_RUN:
-            self.not_refused.add(spec.key)
+            self.unrefused_jobs.add(spec.key)
         if verdict is jobs.Verdict.GIVEN_UP:
             self.schedule(RESEND_SECONDS, self.submit, spec)
             return
-        started = spec.key in self.ever_started
-        if started and spec.key not in self.not_refused:
+        started = spec.key in self.started_jobs
+        if started and spec.key not in self.unrefused_jobs:
             self.false_refusals.append(spec.key)
         self.answers[spec.key] = effect.answer
 
