--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -52,8 +52,8 @@
         ``free_memory`` and ``free_accelerators``.
     :ivar on_trial: whether only probes after an ejection may start.
     :ivar last_message_at: instant of the last message from its agent.
-    :ivar demand_sent_at: instant of the last message that told its agent the
-        demand of this entry.
+    :ivar demand_sent_at: instant of the last message to its agent that
+        contained the demand of this entry.
     :ivar indexes: indexes of the classes of task that it serves.
     """
 
@@ -181,7 +181,7 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """Return the worker with the lowest score."""
+        """Return the best worker by the criteria of this module."""
         needs_none = not requirement.needs.accelerators
         best = workers[0]
         best_score = float('inf')
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -27,8 +27,9 @@
 
 ROLE_AGENT = 'agent'
 
-WATCH_SECONDS = 0.05
-"""Pause between checks for stuck runs and for jobs that waited too long."""
+JOB_CHECK_SECONDS = 0.05
+"""Pause between checks for expired leases, stragglers and jobs that waited too
+long."""
 
 PLACE_SECONDS = 0.05
 """Longest pause between placement rounds while tasks wait, even if neither a
@@ -72,8 +73,8 @@
             self._end_job,
         )
         self._stragglers = stragglers.Stragglers(self._pool, self._estimator)
-        self._calls: dict[int, owned_jobs.OwnedJob] = {}
-        self._watched_at = 0.0
+        self._jobs_by_call: dict[int, owned_jobs.OwnedJob] = {}
+        self._checked_at = 0.0
         self._placement_due = False
         self._placed_at = 0.0
         self._disconnected_at: dict[types.PeerName, float] = {}
@@ -113,8 +114,8 @@
             # busy entry handles hundreds of messages in one iteration of its
             # event loop.
             effects.append(core.WakeAt(now))
-        elif self._calls:
-            effects.append(core.WakeAt(now + WATCH_SECONDS))
+        elif self._jobs_by_call:
+            effects.append(core.WakeAt(now + JOB_CHECK_SECONDS))
         return effects
 
     def _may_place(self) -> bool:
@@ -172,15 +173,15 @@
     def _on_job(self, event: events.JobArrived, now: float) -> list[object]:
         self._placement_due = True
         spec = event.job
-        known = self._jobs.get(spec.key)
-        if known is not None and not known.answered:
+        existing = self._jobs.get(spec.key)
+        if existing is not None and not existing.answered:
             # The caller submitted the job again, perhaps because its first
             # connection broke: the job continues, and both requests get its
             # answer.
-            known.calls.append(event.call)
-            self._calls[event.call] = known
+            existing.calls.append(event.call)
+            self._jobs_by_call[event.call] = existing
             return [core.note('job_rejoined', job=spec.key)]
-        if known is not None:
+        if existing is not None:
             return self._refuse_call(event.call, spec, 'ending', 1.0)
         longest = self._estimator.longest(spec)
         if not self._stopping.accepts(longest, now):
@@ -201,7 +202,7 @@
             self._admission.compute_latest_start(spec, now),
             longest,
         )
-        self._calls[event.call] = job
+        self._jobs_by_call[event.call] = job
         self._jobs.add(job)
         job.queue_ready_tasks()
         self._waiting.add(job)
@@ -249,7 +250,7 @@
     def _on_caller_left(
         self, event: events.CallerLeft, now: float
     ) -> list[object]:
-        job = self._calls.pop(event.call, None)
+        job = self._jobs_by_call.pop(event.call, None)
         if job is None:
             return []
         job.calls.remove(event.call)
@@ -270,8 +271,8 @@
         )
 
     def _on_routes(self, event: events.RoutesRead, now: float) -> list[object]:
-        before = self.routes
-        if before is not None and event.table.version <= before.version:
+        current = self.routes
+        if current is not None and event.table.version <= current.version:
             return []
         self.routes = event.table
         return [
@@ -292,7 +293,7 @@
         job.answered = True
         job.waiting.clear()
         for call in job.calls:
-            self._calls.pop(call, None)
+            self._jobs_by_call.pop(call, None)
         effects: list[object] = [
             core.note(
                 'job_ended',
@@ -308,8 +309,8 @@
             ),
             *[events.Reply(call, answer) for call in job.calls],
         ]
-        effects += owned_jobs.stop_runs(job, job.placed())
-        self._jobs.forget(job)
+        effects += owned_jobs.stop_runs(job, job.placed_indexes())
+        self._jobs.remove_if_ended(job)
         return effects
 
     # Agents
@@ -391,23 +392,26 @@
     # Time
 
     def _on_tick(self, event: core.Tick, now: float) -> list[object]:
-        for name, at in list(self._disconnected_at.items()):
+        for name, disconnected_at in list(self._disconnected_at.items()):
             worker = self._pool.get(name)
             if worker is None or worker.connected:
                 del self._disconnected_at[name]
-            elif now > at + FORGET_AGENT_SECONDS and not worker.placed:
+            elif (
+                now > disconnected_at + FORGET_AGENT_SECONDS
+                and not worker.placed
+            ):
                 del self._disconnected_at[name]
                 self._pool.remove(name)
-        effects = self._watch(now)
+        effects = self._check_leases_and_jobs(now)
         due = self._placement_due or now >= self._placed_at + PLACE_SECONDS
         if due and self._may_place():
             effects += self._place(now)
         return effects + self._finish(now)
 
-    def _watch(self, now: float) -> list[object]:
-        if now < self._watched_at + WATCH_SECONDS:
+    def _check_leases_and_jobs(self, now: float) -> list[object]:
+        if now < self._checked_at + JOB_CHECK_SECONDS:
             return []
-        self._watched_at = now
+        self._checked_at = now
         effects: list[object] = []
         self._admission.update_reachability(now)
         for worker in [*self._pool, *self._former_workers]:
@@ -416,13 +420,13 @@
                     worker, 'agent_silent', now
                 )
         self._former_workers = [
-            one for one in self._former_workers if one.placed
+            worker for worker in self._former_workers if worker.placed
         ]
         for job in self._jobs.open_jobs():
-            effects += self._watch_job(job, now)
+            effects += self._check_job(job, now)
         return effects
 
-    def _watch_job(self, job: owned_jobs.OwnedJob, now: float) -> list[object]:
+    def _check_job(self, job: owned_jobs.OwnedJob, now: float) -> list[object]:
         if now >= job.spec.deadline:
             answer = jobs.Answer(jobs.Verdict.GIVEN_UP, 'deadline')
             if not job.started:
@@ -435,13 +439,13 @@
                 jobs.Verdict.NOT_RUN, 'waited_too_long', after
             )
             return self._end_job(job, answer, now)
-        stuck = self._stragglers.find(job, now)
-        stops = owned_jobs.stop_runs(job, [one.index for one in stuck])
-        return [*[one.note for one in stuck], *stops]
+        slow_runs = self._stragglers.find(job, now)
+        stops = owned_jobs.stop_runs(job, [run.index for run in slow_runs])
+        return [*[run.note for run in slow_runs], *stops]
 
     def _on_stop(self, event: core.StopRequested, now: float) -> list[object]:
         self._stopping.request(now)
-        return [core.note('stopping', jobs=len(self._calls))]
+        return [core.note('stopping', jobs=len(self._jobs_by_call))]
 
     def _finish(self, now: float) -> list[object]:
         effects: list[object] = []
@@ -452,7 +456,7 @@
                     verdict = jobs.Verdict.NOT_RUN
                 answer = jobs.Answer(verdict, 'stopping', 1.0)
                 effects += self._end_job(job, answer, now)
-        if self._stopping.try_exit(bool(self._calls), now):
+        if self._stopping.try_exit(bool(self._jobs_by_call), now):
             effects.append(core.Exit())
         return effects
 
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -1,7 +1,7 @@
 """Estimates of run times per task and job.
 
 Load pattern: callers' estimates are wrong by a factor in either direction, and
-the tasks of one job resemble one another far more than those of two jobs. A
+the tasks of one job resemble one another far more than those of two jobs.  A
 run's estimate is therefore the median of the job's tasks that have ended, if
 there are any, and otherwise the learnt run time of its queue.
 """
@@ -33,8 +33,8 @@
         for task in job.tasks:
             by_step[task.step] = max(by_step[task.step], self.mean(job, task))
         ends: list[float] = []
-        for step, before in enumerate(job.after):
-            start = max((ends[one] for one in before), default=0.0)
+        for step, earlier_steps in enumerate(job.after):
+            start = max((ends[other] for other in earlier_steps), default=0.0)
             ends.append(start + by_step[step])
         return max(ends, default=0.0)
 
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -1,7 +1,7 @@
 """Graceful stop of an entry.
 
 Without it, callers continue to use their open connections to a process that
-was asked to stop, and requests in progress are cut off with it. A stopping
+was asked to stop, and requests in progress are cut off with it.  A stopping
 entry isn't ready any more, accepts only jobs that end in time, answers all of
 them, and exits well before the platform kills it.
 """
@@ -51,7 +51,7 @@
         if self._requested_at is None:
             return True
         if self.exiting:
-            # The caller would get an error without knowing whether the job
+            # The caller would get an error that doesn't show whether the job
             # ran.
             return False
         remaining = self._requested_at + GIVE_UP_SECONDS - now
