--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -236,7 +236,7 @@
         message: messages.Starts,
         now: float,
     ) -> list[object]:
-        owner = ledger.Owner(message.owner, message.owner_incarnation)
+        owner = ledger.EntryId(message.owner, message.owner_incarnation)
         if owner != entry.owner:
             # The message is a delayed one of an earlier incarnation of the
             # entry; no caller waits for its answer any more.
--- a/src/agatepick/agentside/entries.py
+++ b/src/agatepick/agentside/entries.py
@@ -24,7 +24,7 @@
     :param joined: whether the entry may get credits.
     """
 
-    owner: ledger.Owner
+    owner: ledger.EntryId
     clock: clocks.OffsetEstimate = dataclasses.field(
         default_factory=clocks.OffsetEstimate
     )
@@ -46,14 +46,14 @@
         """Return the entry that is connected under a name, or ``None``."""
         return self._connected.get(name)
 
-    def is_connected(self, owner: ledger.Owner) -> bool:
+    def is_connected(self, owner: ledger.EntryId) -> bool:
         """Return whether this incarnation of an entry is connected."""
         entry = self._connected.get(owner.name)
         return entry is not None and entry.owner == owner
 
     def add(self, hello: messages.Hello) -> ConnectedEntry:
         """Add an entry that has connected, and return it."""
-        owner = ledger.Owner(hello.name, hello.incarnation)
+        owner = ledger.EntryId(hello.name, hello.incarnation)
         self._connected[hello.name] = ConnectedEntry(owner)
         return self._connected[hello.name]
 
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Owner:
+class EntryId:
     """One incarnation of an entry."""
 
     name: types.PeerName
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Job:
-    owner: Owner
+    owner: EntryId
     touched_at: float
     stopped: bool = False
     running: int = 0
@@ -124,7 +124,7 @@
     def start(
         self,
         start: messages.StartTask,
-        owner: Owner,
+        owner: EntryId,
         now: float,
     ) -> None:
         """Record the start of an attempt that :meth:`find_report` allowed."""
@@ -137,7 +137,7 @@
     def refuse(
         self,
         ref: messages.TaskRef | messages.StartTask,
-        owner: Owner,
+        owner: EntryId,
         reason: str,
         now: float,
     ) -> messages.TaskReport:
@@ -187,7 +187,7 @@
         self._store_body(task, body)
         return _build_report(job_key, index, task, body)
 
-    def stop(self, job: types.JobKey, owner: Owner, now: float) -> list[int]:
+    def stop(self, job: types.JobKey, owner: EntryId, now: float) -> list[int]:
         """Prevent further starts of a job and return its running indexes."""
         if job not in self._jobs:
             ref = messages.TaskRef(job, 0, 0)
@@ -209,7 +209,7 @@
             if task.state is running
         ]
 
-    def owner(self, job: types.JobKey) -> Owner | None:
+    def owner(self, job: types.JobKey) -> EntryId | None:
         """Return the entry that sent the first message about a job."""
         record = self._jobs.get(job)
         return record.owner if record is not None else None
@@ -219,7 +219,7 @@
         return self._tasks >= self._max_tasks
 
     def iter_started(
-        self, owner: Owner
+        self, owner: EntryId
     ) -> collections.abc.Iterator[messages.TaskReport]:
         """Yield reports on every task that was started for an owner.
 
@@ -266,7 +266,7 @@
         job = self._jobs.get(ref.job)
         return job is not None and ref.index in job.tasks
 
-    def _touch(self, key: types.JobKey, owner: Owner, now: float) -> _Job:
+    def _touch(self, key: types.JobKey, owner: EntryId, now: float) -> _Job:
         job = self._jobs.pop(key, None) or _Job(owner, now)
         job.touched_at = now
         # The job moves to the end; ``delete_expired`` deletes from the front.
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -34,10 +34,10 @@
 
     def __init__(self, delay: float):
         self._delay = delay
-        self._queues: dict[ledger.Owner, _Queue] = {}
-        self._due_at: dict[ledger.Owner, float] = {}
+        self._queues: dict[ledger.EntryId, _Queue] = {}
+        self._due_at: dict[ledger.EntryId, float] = {}
 
-    def add(self, owner: ledger.Owner, report: messages.TaskReport) -> None:
+    def add(self, owner: ledger.EntryId, report: messages.TaskReport) -> None:
         """Queue a report for an owner."""
         queue = self._queues.get(owner)
         if queue is None:
@@ -45,16 +45,16 @@
         queue.reports.append(report)
         self._due_at.setdefault(owner, queue.sent_at + self._delay)
 
-    def make_due(self, owner: ledger.Owner) -> None:
+    def make_due(self, owner: ledger.EntryId) -> None:
         """Make an owner's queued reports due at the next :meth:`list_due`."""
         if owner in self._due_at:
             self._due_at[owner] = 0.0
 
-    def has_reports(self, owner: ledger.Owner) -> bool:
+    def has_reports(self, owner: ledger.EntryId) -> bool:
         """Return whether any report is queued for an owner."""
         return owner in self._due_at
 
-    def list_due(self, now: float) -> list[ledger.Owner]:
+    def list_due(self, now: float) -> list[ledger.EntryId]:
         """Return the owners whose reports are due."""
         return [owner for owner, at in self._due_at.items() if at <= now]
 
@@ -63,7 +63,7 @@
         return min(self._due_at.values(), default=None)
 
     def pop(
-        self, owner: ledger.Owner, now: float
+        self, owner: ledger.EntryId, now: float
     ) -> list[tuple[messages.TaskReport, ...]]:
         """Remove an owner's reports and return them in batches."""
         self._due_at.pop(owner, None)
@@ -72,7 +72,7 @@
         reports, queue.reports = queue.reports, []
         return list(split_batches(reports))
 
-    def discard(self, owner: ledger.Owner) -> bool:
+    def discard(self, owner: ledger.EntryId) -> bool:
         """Delete an owner's queue and return whether it had reports."""
         self._queues.pop(owner, None)
         return self._due_at.pop(owner, None) is not None
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -37,8 +37,8 @@
         self._entries = peers
         self._successors = members
         self._outbox = outbox.Outbox(delay)
-        self._undelivered: set[ledger.Owner] = set()
-        self._offer_to: set[ledger.Owner] = set()
+        self._undelivered: set[ledger.EntryId] = set()
+        self._offer_to: set[ledger.EntryId] = set()
 
     def join(self, entry: entries.ConnectedEntry) -> None:
         """Start to give an entry credits."""
@@ -67,7 +67,7 @@
             for owner in self._undelivered
         )
 
-    def clear_undelivered(self, owner: ledger.Owner) -> None:
+    def clear_undelivered(self, owner: ledger.EntryId) -> None:
         """Clear an owner's undelivered reports after its ``Settle``."""
         self._undelivered.discard(owner)
 
@@ -76,7 +76,7 @@
         return self._outbox.next_at()
 
     def report_now(
-        self, owner: ledger.Owner, report: messages.TaskReport
+        self, owner: ledger.EntryId, report: messages.TaskReport
     ) -> None:
         """Report to an owner that sent a request, without delay."""
         self._queue_report(owner, report)
@@ -139,7 +139,7 @@
         return effects
 
     def _queue_report(
-        self, owner: ledger.Owner, report: messages.TaskReport
+        self, owner: ledger.EntryId, report: messages.TaskReport
     ) -> None:
         if self._entries.is_connected(owner):
             self._outbox.add(owner, report)
@@ -148,7 +148,7 @@
 
     def _build_offer(
         self,
-        owner: ledger.Owner,
+        owner: ledger.EntryId,
         upstream_state: running.UpstreamState,
         draining: bool,
     ) -> messages.Offer:
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -25,7 +25,7 @@
     job: types.JobKey
     index: int
     attempt: int
-    entry: ledger.Owner
+    entry: ledger.EntryId
     needs: types.Needs
     session: str
     lost: bool = False
@@ -137,7 +137,7 @@
         return total.fits(self._announced.capacity)
 
     def start(
-        self, task: messages.StartTask, owner: ledger.Owner
+        self, task: messages.StartTask, owner: ledger.EntryId
     ) -> upstream.RunTask:
         """Add a task and return the effect that runs it.
 
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -38,8 +38,8 @@
 
     def __init__(self) -> None:
         self._slots = 0
-        self._leases: dict[ledger.Owner, _Lease] = {}
-        self._unleased_running: dict[ledger.Owner, int] = {}
+        self._leases: dict[ledger.EntryId, _Lease] = {}
+        self._unleased_running: dict[ledger.EntryId, int] = {}
         self._stale = False
 
     @property
@@ -58,12 +58,12 @@
         """Number of free slots; negative while tasks run on removed slots."""
         return self._slots - self.running
 
-    def credits(self, entry: ledger.Owner) -> int:
+    def credits(self, entry: ledger.EntryId) -> int:
         """Return the slots leased to an entry, running tasks included."""
         lease = self._leases.get(entry)
         return lease.credits if lease is not None else 0
 
-    def has_running(self, entry: ledger.Owner) -> bool:
+    def has_running(self, entry: ledger.EntryId) -> bool:
         """Return whether any task of an entry holds a slot."""
         lease = self._leases.get(entry)
         if lease is not None:
@@ -75,14 +75,14 @@
         self._stale |= slots != self._slots
         self._slots = slots
 
-    def join(self, entry: ledger.Owner) -> None:
+    def join(self, entry: ledger.EntryId) -> None:
         """Add an entry that may get credits."""
         if entry not in self._leases:
             running = self._unleased_running.pop(entry, 0)
             self._leases[entry] = _Lease(running=running)
             self._stale = True
 
-    def leave(self, entry: ledger.Owner) -> None:
+    def leave(self, entry: ledger.EntryId) -> None:
         """Withdraw an entry's credits; its tasks keep their slots."""
         lease = self._leases.pop(entry, None)
         if lease is not None:
@@ -90,13 +90,13 @@
             if lease.running:
                 self._unleased_running[entry] = lease.running
 
-    def set_demand(self, entry: ledger.Owner, waiting: int) -> None:
+    def set_demand(self, entry: ledger.EntryId, waiting: int) -> None:
         """Set the number of tasks that an entry can't place."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.waiting = waiting
 
-    def acquire(self, entry: ledger.Owner) -> None:
+    def acquire(self, entry: ledger.EntryId) -> None:
         """Acquire a slot for a task of an entry."""
         lease = self._leases.get(entry)
         if lease is not None:
@@ -106,7 +106,7 @@
                 self._unleased_running.get(entry, 0) + 1
             )
 
-    def release(self, entry: ledger.Owner) -> None:
+    def release(self, entry: ledger.EntryId) -> None:
         """Release the slot of a task of an entry."""
         lease = self._leases.get(entry)
         if lease is not None:
@@ -116,7 +116,7 @@
         if not self._unleased_running[entry]:
             del self._unleased_running[entry]
 
-    def rebalance(self) -> list[ledger.Owner]:
+    def rebalance(self) -> list[ledger.EntryId]:
         """Recompute the leases if they are out of date or demand isn't met.
 
         :returns: the entries whose credits changed.
@@ -135,7 +135,7 @@
                 changed.append(name)
         return changed
 
-    def _shares(self) -> dict[ledger.Owner, int]:
+    def _shares(self) -> dict[ledger.EntryId, int]:
         # Running tasks keep their slots even above their entry's fair share.
         shares = {name: lease.running for name, lease in self._leases.items()}
         remaining = (
@@ -151,8 +151,8 @@
 
 
 def _fill_lowest(
-    shares: dict[ledger.Owner, int],
-    limits: dict[ledger.Owner, int],
+    shares: dict[ledger.EntryId, int],
+    limits: dict[ledger.EntryId, int],
     remaining: int,
 ) -> int:
     """Add ``remaining`` slots one by one to the lowest share below its limit.
--- a/src/agatepick/bench/bench_ledger.py
+++ b/src/agatepick/bench/bench_ledger.py
@@ -22,7 +22,7 @@
 SLOTS = 8
 BODY = b'{"seconds": 0.1}'
 ANSWER_BYTES = 100
-OWNER = ledger.Owner('entry', 1)
+OWNER = ledger.EntryId('entry', 1)
 START_TIME = 1_800_000_000.0
 
 
--- a/src/agatepick/bench/bench_violations.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -74,7 +74,10 @@
 
 
 def describe_second_starts(evidence: bench_evidence.Evidence) -> str:
-    """List the first few tasks with several starts, with their runs."""
+    """List the first few tasks with several starts, with their runs.
+
+    The list lets a person trace these tasks.
+    """
     repeated_tasks = [
         pair
         for pair, count in count_starts(evidence.runs).items()
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -50,7 +50,7 @@
 PRUNE_LENGTH = 4096
 """Length from which on the heap of deadlines is pruned of ended jobs."""
 
-Pending = queues.Pending
+QueuedTask = queues.QueuedTask
 Refusal = admission.Refusal
 AgentInfo = workers.AgentInfo
 
@@ -76,7 +76,7 @@
 
     agent: str
     incarnation: int
-    tasks: tuple[Pending, ...]
+    tasks: tuple[QueuedTask, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -189,7 +189,7 @@
         self._prune_deadlines()
 
     def schedule_retry(
-        self, task: Pending, refused_by: str, now: float
+        self, task: QueuedTask, refused_by: str, now: float
     ) -> bool:
         """Schedule a retry of a refused task.
 
@@ -205,7 +205,7 @@
         requirement = self._workers.classify(task.job, spec)
         if excluded >= self._workers.get_pool([requirement]):
             excluded = frozenset()
-        retry = Pending(task.job, task.index, task.attempt + 1, excluded)
+        retry = QueuedTask(task.job, task.index, task.attempt + 1, excluded)
         self._retries.push(retry, now + pause)
         return True
 
@@ -217,15 +217,15 @@
             return dropped
         return tuple(sorted([*dropped, *[task.index for task in retried]]))
 
-    def expire(self, now: float) -> tuple[Pending, ...]:
+    def expire(self, now: float) -> tuple[QueuedTask, ...]:
         """Remove and return the queued tasks whose deadline has passed."""
-        expired: list[Pending] = []
+        expired: list[QueuedTask] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             key = heapq.heappop(self._deadlines)[2]
             waiting = self._queue.get(key)
             if waiting is not None and waiting.job.deadline <= now:
                 indices = self._queue.drop(key)
-                expired += [Pending(waiting.job, i, 0) for i in indices]
+                expired += [QueuedTask(waiting.job, i, 0) for i in indices]
         expired += self._retries.remove(lambda task: task.job.deadline <= now)
         return tuple(expired)
 
@@ -244,7 +244,7 @@
         if not self.count_waiting():
             self._demand.record_placement(now)
             return []
-        chosen: dict[str, list[Pending]] = {}
+        chosen: dict[str, list[QueuedTask]] = {}
         if self._retries:
             self._place_retries(chosen, now)
         self._place_queue(chosen, now)
@@ -386,7 +386,7 @@
         return admission.Load(before, limit, free)
 
     def _place_retries(
-        self, chosen: dict[str, list[Pending]], now: float
+        self, chosen: dict[str, list[QueuedTask]], now: float
     ) -> None:
         for due, task in self._retries.pop_due(now):
             spec = task.job.tasks[task.index]
@@ -405,7 +405,7 @@
                 self._bind(chosen, worker, task, spec)
 
     def _place_queue(
-        self, chosen: dict[str, list[Pending]], now: float
+        self, chosen: dict[str, list[QueuedTask]], now: float
     ) -> None:
         throttled: set[str] = set()
         while True:
@@ -425,7 +425,7 @@
 
     def _place_group(
         self,
-        chosen: dict[str, list[Pending]],
+        chosen: dict[str, list[QueuedTask]],
         waiting: queues.WaitingJob,
         requirement: placement.Requirement,
         limit: int,
@@ -443,7 +443,7 @@
             worker = self._pick(index, job, spec, frozenset(), racks)
             if worker is None:
                 return False
-            task = Pending(job, self._queue.pop_task(waiting, group), 0)
+            task = QueuedTask(job, self._queue.pop_task(waiting, group), 0)
             self._bind(chosen, worker, task, spec)
             racks[worker.rack] = racks.get(worker.rack, 0) + 1
             limit -= 1
@@ -463,9 +463,9 @@
 
     def _bind(
         self,
-        chosen: dict[str, list[Pending]],
+        chosen: dict[str, list[QueuedTask]],
         worker: placement.Worker,
-        task: Pending,
+        task: QueuedTask,
         spec: types.TaskSpec,
     ) -> None:
         self._workers.fill_slot(worker)
@@ -476,7 +476,7 @@
         chosen.setdefault(worker.name, []).append(task)
 
     def _make_placement(
-        self, name: str, tasks: list[Pending], now: float
+        self, name: str, tasks: list[QueuedTask], now: float
     ) -> Placement:
         self._budget.earn(len(tasks))
         incarnation = self._workers.record_start(name, now)
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pending:
+class QueuedTask:
     """One queued task.
 
     :param index: index of the task in its job.
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -62,7 +62,7 @@
         return pause
 
 
-_Entry = tuple[float, int, queues.Pending]
+_Entry = tuple[float, int, queues.QueuedTask]
 """Instant at which the retry is due, order of arrival, the task."""
 
 
@@ -76,15 +76,15 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def __iter__(self) -> typing.Iterator[queues.Pending]:
+    def __iter__(self) -> typing.Iterator[queues.QueuedTask]:
         return (task for _, _, task in self._heap)
 
-    def push(self, task: queues.Pending, due: float) -> None:
+    def push(self, task: queues.QueuedTask, due: float) -> None:
         """Add a task whose retry is due at an instant."""
         self._sequence += 1
         heapq.heappush(self._heap, (due, self._sequence, task))
 
-    def pop_due(self, now: float) -> list[tuple[float, queues.Pending]]:
+    def pop_due(self, now: float) -> list[tuple[float, queues.QueuedTask]]:
         """Remove and return the due tasks, each with its instant."""
         tasks = []
         while self._heap and self._heap[0][0] <= now:
@@ -97,8 +97,8 @@
         return self._heap[0][0] if self._heap else None
 
     def remove(
-        self, predicate: typing.Callable[[queues.Pending], bool]
-    ) -> list[queues.Pending]:
+        self, predicate: typing.Callable[[queues.QueuedTask], bool]
+    ) -> list[queues.QueuedTask]:
         """Remove and return the tasks that match a predicate."""
         removed = [task for task in self if predicate(task)]
         if removed:
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -328,7 +328,7 @@
         self.zone_work.count_end(agent)
         if record.answer is not None:
             return []
-        task = dispatch.Pending(job.spec, report.index, record.attempt)
+        task = dispatch.QueuedTask(job.spec, report.index, record.attempt)
         if not job.cancelled and self._dispatch.schedule_retry(
             task, agent, now
         ):
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -49,7 +49,7 @@
 
 def _build_start_task(
     placement: dispatch.Placement,
-    pending: dispatch.Pending,
+    pending: dispatch.QueuedTask,
     all_jobs: jobs.Jobs,
 ) -> messages.StartTask:
     job = all_jobs.get(pending.job.key)
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -29,8 +29,8 @@
         self._skew = skew
         self._version = -1
         self._members: tuple[messages.Member, ...] = ()
-        self._removed_at: dict[ledger.Owner, float] = {}
-        self._in_force: frozenset[ledger.Owner] = frozenset()
+        self._removed_at: dict[ledger.EntryId, float] = {}
+        self._in_force: frozenset[ledger.EntryId] = frozenset()
         self._changed = False
 
     def update_members(self, message: messages.Members) -> bool:
@@ -40,7 +40,7 @@
         self._version = message.version
         self._members = message.entries
         self._removed_at = {
-            _owner(member): member.removed_at
+            _get_entry_id(member): member.removed_at
             for member in sorted(
                 message.entries, key=lambda member: member.removed_at
             )
@@ -66,28 +66,30 @@
         """Return the members that are listed."""
         return [member for member in self._members if not member.removed_at]
 
-    def is_removed(self, owner: ledger.Owner) -> bool:
+    def is_removed(self, owner: ledger.EntryId) -> bool:
         """Return whether an entry's removal is in force."""
         return owner in self._in_force
 
     def get_current_owner(
-        self, job: types.JobKey, owner: ledger.Owner
-    ) -> ledger.Owner | None:
+        self, job: types.JobKey, owner: ledger.EntryId
+    ) -> ledger.EntryId | None:
         """Return the entry to report a job to; ``None`` if there is none."""
         if owner not in self._in_force:
             return owner
         successor = ownership.find_owner(job, self._members, self._skew)
-        return _owner(successor) if successor is not None else None
+        return _get_entry_id(successor) if successor is not None else None
 
     def iter_orphans(
-        self, successor: ledger.Owner, task_ledger: ledger.Ledger
+        self, successor: ledger.EntryId, task_ledger: ledger.Ledger
     ) -> collections.abc.Iterator[messages.Orphans]:
         """Yield the messages for a successor on tasks of removed entries.
 
         The messages are in the order of the removals: the last one about an
         entry arrives after all messages about its own predecessors.
         """
-        if successor not in {_owner(member) for member in self.listed()}:
+        if successor not in {
+            _get_entry_id(member) for member in self.listed()
+        }:
             return
         for removed in self._removed_at:
             if removed not in self._in_force:
@@ -105,5 +107,5 @@
             yield dataclasses.replace(message, last=True)
 
 
-def _owner(member: messages.Member) -> ledger.Owner:
-    return ledger.Owner(member.name, member.incarnation)
+def _get_entry_id(member: messages.Member) -> ledger.EntryId:
+    return ledger.EntryId(member.name, member.incarnation)
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -67,7 +67,7 @@
         self._reported: dict[types.JobKey, ReportedTasks] = {}
         self._next_expiry_at = 0.0
         self._agents_done: dict[
-            ledger.Owner, set[tuple[types.PeerName, int]]
+            ledger.EntryId, set[tuple[types.PeerName, int]]
         ] = {}
 
     def __len__(self) -> int:
@@ -86,7 +86,7 @@
             tasks = self._reported.setdefault(report.job, {})
             tasks[report.index] = ReportedTask(agent, incarnation, report)
         if message.last:
-            owner = ledger.Owner(message.owner, message.owner_incarnation)
+            owner = ledger.EntryId(message.owner, message.owner_incarnation)
             self._agents_done.setdefault(owner, set()).add(
                 (agent, incarnation)
             )
@@ -142,7 +142,7 @@
         return all(
             connected
             <= self._agents_done.get(
-                ledger.Owner(member.name, member.incarnation), set()
+                ledger.EntryId(member.name, member.incarnation), set()
             )
             for member in removed
         )
--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -9,8 +9,8 @@
 jobs need beyond those that are free, and from the rate at which cores are
 released: this entry's share of the workers divided by the mean run time, or
 the recent release rate of its own runs if that is higher.  A job that would
-start too late is refused at once; where nothing is queued, no job is refused.
-The accepted wait is adjusted by the outcome of admitted jobs
+start too late is refused at once; where nothing is queued before it, it never
+is.  The accepted wait is adjusted by the outcome of admitted jobs
 (:class:`Margin`).  An admitted job whose latest start passes before any of its
 tasks started is refused as well: the prediction was wrong, and an early answer
 lets its caller try elsewhere.
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -200,7 +200,7 @@
             del self._by_key[job.spec.key]
 
     def open_jobs(self) -> list[OwnedJob]:
-        """Return the jobs whose callers wait for an answer."""
+        """Return the jobs whose callers wait for an answer, each once."""
         return [job for job in self._by_key.values() if not job.answered]
 
 
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -86,7 +86,7 @@
         self._next_update_at: float | None = None
 
     def forget(self, entry: types.PeerName) -> None:
-        """Drop the state of an entry that reconnected."""
+        """Drop the state of an entry that reconnected and assumes nothing."""
         self._assumed.pop(entry, None)
         self._change_count += 1
 
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -28,10 +28,10 @@
 """Pause before a run that no entry owns is stopped once more."""
 
 START_RETRY_SECONDS = 0.03
-"""Pause before an unanswered start is sent again.  A worker that receives the
-same start twice runs it once, so a retry only saves time: giving up a start
-and placing its task elsewhere cost 0.15 s, more than the slack of short urgent
-jobs."""
+"""Pause before an unanswered start is sent again.  A worker runs the same run
+once however often it receives the start, so a retry only saves time: giving up
+a start and placing its task elsewhere cost 0.15 s, more than the slack of
+short urgent jobs."""
 
 MAX_START_ATTEMPTS = 3
 """Largest number of times that one run's start is sent."""
@@ -276,7 +276,7 @@
     def handle_start_answer(
         self, event: workerapi.StartAnswered, now: float
     ) -> list[object]:
-        """Handle the answer to a start, or its timeout."""
+        """Handle the answer to a start, or the failure to get one."""
         run = self._find_run(event.incarnation, event.ref)
         if run is None:
             return []
@@ -335,7 +335,7 @@
     def handle_stop_answer(
         self, event: workerapi.StopAnswered, now: float
     ) -> list[object]:
-        """Handle the answer to a stop, or its timeout."""
+        """Handle the answer to a stop, or the failure to get one."""
         run = self.runs.get(event.name)
         if run is None or run.ref.run != event.run:
             return []
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -158,7 +158,7 @@
             contexts.peer_server,
             contexts.peer_client,
             dependencies.latency,
-            self.timeline.hybrid_clock,
+            self.timeline.hybrid,
         )
         self.shell.use_links(self.links)
         self.shell.handle(core.Send, self._send)
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -138,7 +138,7 @@
     """
 
     def __init__(self, process: str, capacity: int, clock: types.Clock):
-        self.hybrid_clock = HybridClock(clock)
+        self.hybrid = HybridClock(clock)
         self._process = process
         self._clock = clock
         self._records: collections.deque[_Record] = collections.deque(
@@ -164,7 +164,7 @@
 
     def _append(self, note: core.Note | TaskNote) -> None:
         self._records.append(
-            _Record(self.hybrid_clock.stamp(), self._clock.now(), note)
+            _Record(self.hybrid.stamp(), self._clock.now(), note)
         )
 
     def events(
--- a/tests/local_cluster.py
+++ b/tests/local_cluster.py
@@ -98,7 +98,7 @@
         serves = status.ready and leased and status.dispatch.slots
         return serves and listed and all_agents
 
-    def listed(self, process):
+    def list_entries(self, process):
         """Return the entries listed in the configuration in force."""
         now = process.dependencies.clock.now()
         return process.entry.configuration.in_force(now).listed()
@@ -115,7 +115,7 @@
         )
         return resp.code, json.loads(resp.body or b'null')
 
-    def starts(self) -> int:
+    def count_starts(self) -> int:
         """Return the number of starts counted by the workers."""
         return sum(sum(worker.starts.values()) for worker in self.workers)
 
@@ -139,7 +139,7 @@
         await local_cluster.table.stop()
 
 
-def job(tasks: int, seconds: float = 0.01, **fields):
+def make_job_body(tasks: int, seconds: float = 0.01, **fields):
     """Return the body of a job with identical tasks."""
     payload = {'seconds': seconds}
     task_bodies = [
--- a/tests/test_bench_violations.py
+++ b/tests/test_bench_violations.py
@@ -86,7 +86,8 @@
 ):
     """A task starts at 0.5 s in a zone whose departure is in force at 0.4 s.
 
-    An operator who switches off the departed zone would kill the task.
+    The operator believes the zone empty and switches it off, which kills the
+    task.
     """
     departure = bench_evidence.ZoneDeparture('talca', 0.1, 0.2, 0.4, 9.0)
     late_starts = make_bench_evidence(None, departures=(departure,))
--- a/tests/test_httpupstream.py
+++ b/tests/test_httpupstream.py
@@ -44,14 +44,14 @@
                 ended = [one for one in self.events if isinstance(one, kind)]
                 if len(ended) >= count:
                     return [(one.state.value, one.reason) for one in ended]
-                await self.events.until(len(self.events) + 1)
+                await self.events.wait_for_count(len(self.events) + 1)
 
 
 def play(scenario):
     async def main():
         pair = AgentAndWorker()
         await pair.worker.start()
-        await pair.events.until(1)
+        await pair.events.wait_for_count(1)
         try:
             await scenario(pair)
         finally:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -3,7 +3,7 @@
 from agatepick import types
 from tests import agents
 
-OWNER = ledger.Owner('e', 1)
+OWNER = ledger.EntryId('e', 1)
 NOW = agents.NOW
 FINISHED = types.TaskState.FINISHED
 
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -32,7 +32,7 @@
 async def submit(cluster, process):
     """Submit a job through a process and return its answer."""
     key = {'Idempotency-Key': str(uuid_utils.uuid7())}
-    body = local_cluster.job(5)
+    body = local_cluster.make_job_body(5)
     return await cluster.call(process, 'POST', '/v1/jobs', body, **key)
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,7 @@
     async def main():
         async with local_cluster.cluster() as cluster:
             for entry in cluster.entries:
-                body = local_cluster.job(10)
+                body = local_cluster.make_job_body(10)
                 code, answer = await cluster.call(
                     entry, 'POST', '/v1/jobs', body
                 )
@@ -23,7 +23,7 @@
                     task['id']: task['outcome'] for task in answer['tasks']
                 }
                 assert outcomes == {f't{i}': 'finished' for i in range(10)}
-            assert cluster.starts() == 20
+            assert cluster.count_starts() == 20
 
     asyncio.run(main())
 
@@ -38,7 +38,7 @@
     async def main():
         async with local_cluster.cluster() as cluster:
             key = {'Idempotency-Key': new_key()}
-            body = local_cluster.job(3, 0.2)
+            body = local_cluster.make_job_body(3, 0.2)
             answers = await asyncio.gather(
                 *[
                     cluster.call(entry, 'POST', '/v1/jobs', body, **key)
@@ -47,7 +47,7 @@
             )
             assert [code for code, _ in answers] == [200, 200]
             assert answers[0][1] == answers[1][1]
-            assert cluster.starts() == 3
+            assert cluster.count_starts() == 3
 
     asyncio.run(main())
 
@@ -64,10 +64,13 @@
             entry = cluster.entries[0]
             sent = asyncio.create_task(
                 cluster.call(
-                    entry, 'POST', '/v1/jobs', local_cluster.job(2, 30.0)
+                    entry,
+                    'POST',
+                    '/v1/jobs',
+                    local_cluster.make_job_body(2, 30.0),
                 )
             )
-            while cluster.starts() < 2:
+            while cluster.count_starts() < 2:
                 await asyncio.sleep(0.01)
             cluster.agents[0].kill()
             cluster.workers[0].crash()
@@ -78,7 +81,7 @@
                 'unknown',
                 'unknown',
             ]
-            assert cluster.starts() == 2
+            assert cluster.count_starts() == 2
 
     asyncio.run(main())
 
@@ -96,7 +99,10 @@
             sent = [
                 asyncio.create_task(
                     cluster.call(
-                        entry, 'POST', '/v1/jobs', local_cluster.job(2, 0.3)
+                        entry,
+                        'POST',
+                        '/v1/jobs',
+                        local_cluster.make_job_body(2, 0.3),
                     )
                 )
                 for entry in (first, second) * 4
@@ -105,7 +111,7 @@
             stopping = asyncio.create_task(first.stop())
             await asyncio.sleep(0.05)
             late = await cluster.call(
-                second, 'POST', '/v1/jobs', local_cluster.job(2)
+                second, 'POST', '/v1/jobs', local_cluster.make_job_body(2)
             )
             codes = [code for code, _ in await asyncio.gather(*sent)]
             assert codes == [200] * 8, [t.result() for t in sent]
@@ -129,7 +135,7 @@
             assert code == 404
             assert answer['code'] == 'unknown_job'
             code, _ = await cluster.call(
-                entry, 'POST', '/v1/jobs', local_cluster.job(1)
+                entry, 'POST', '/v1/jobs', local_cluster.make_job_body(1)
             )
             assert code == 200
 
@@ -147,7 +153,7 @@
         async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             wait = {'Prefer': 'respond-async'}
-            body = local_cluster.job(2, 30.0)
+            body = local_cluster.make_job_body(2, 30.0)
             code, answer = await cluster.call(
                 first, 'POST', '/v1/jobs', body, **wait
             )
@@ -183,12 +189,12 @@
             context = commands.CommandContext(
                 (f'http://{entry.http_address}',), 'x' * 16
             )
-            body = local_cluster.job(1, 5.0, zones=['z1'])
+            body = local_cluster.make_job_body(1, 5.0, zones=['z1'])
             sent = asyncio.create_task(
                 cluster.call(entry, 'POST', '/v1/jobs', body)
             )
             async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
-                while not cluster.starts():
+                while not cluster.count_starts():
                     await asyncio.sleep(0.01)
             output = await commands.drain_zone(context, 'z1', None)
             assert cluster.workers[0].running == 0
--- a/tests/test_repeatable_admission.py
+++ b/tests/test_repeatable_admission.py
@@ -33,7 +33,8 @@
     """A small machine's round trips take 30 ms, and a burst cut the share.
 
     If the share also limited the round trip, each job would be refused, none
-    would start, and the share would stay low although workers are idle.
+    would start, and the share would stay low permanently although workers are
+    idle.
     """
     load = admission.Load(needed=0.0, free=60.0, rate=10.0, trip=0.03)
     assert admission.starts_in_time(
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -47,7 +47,7 @@
 
 def test_the_queue_returns_due_tasks_and_loses_none(make_job):
     queue = retries.RetryQueue()
-    tasks = [queues.Pending(make_job(), 0, 1) for _ in range(4)]
+    tasks = [queues.QueuedTask(make_job(), 0, 1) for _ in range(4)]
     for due, task in zip((3.0, 1.0, 2.0, 9.0), tasks, strict=True):
         queue.push(task, due)
     assert queue.pop_due(2.5) == [(1.0, tasks[1]), (2.0, tasks[2])]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -4,7 +4,7 @@
 from agatepick.agentside import ledger
 from agatepick.agentside import slots
 
-A, B, C = (ledger.Owner(name, 1) for name in 'abc')
+A, B, C = (ledger.EntryId(name, 1) for name in 'abc')
 
 
 def make_slots(*owners, total=8):
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -27,7 +27,7 @@
         self.append(event)
         self._changed.set()
 
-    async def until(self, count):
+    async def wait_for_count(self, count):
         async with asyncio.timeout(10):
             while len(self) < count:
                 self._changed.clear()
@@ -49,7 +49,7 @@
         local_upstream.run(make_run_task(0))
         local_upstream.run(make_run_task(0))
         local_upstream.run(make_run_task(1, b'{"fail": true}'))
-        await events.until(3)
+        await events.wait_for_count(3)
         states = {(event.index, event.state.value) for event in events}
         assert states == {(0, 'finished'), (1, 'failed')}
         assert worker.starts == {('j', 0): 2, ('j', 1): 1}
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -158,12 +158,12 @@
         async with local_cluster.cluster() as cluster:
             first, second = cluster.entries
             key = {'Idempotency-Key': await _create_key_owned_by(first)}
-            body = local_cluster.job(4, 0.3)
+            body = local_cluster.make_job_body(4, 0.3)
             lost = asyncio.create_task(
                 cluster.call(first, 'POST', '/v1/jobs', body, **key)
             )
             async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
-                while cluster.starts() < 4:
+                while cluster.count_starts() < 4:
                     await asyncio.sleep(0.01)
             first.kill()
             lost.cancel()
@@ -178,7 +178,7 @@
             assert code == 200, answer
             states = {one['outcome'] for one in answer['tasks']}
             assert states == {'finished'}
-            assert cluster.starts() == 4
+            assert cluster.count_starts() == 4
 
     asyncio.run(main())
 
@@ -194,7 +194,7 @@
             first, second = cluster.entries
             keys = []
             stopping = asyncio.create_task(first.stop())
-            while len(cluster.listed(second)) > 1:
+            while len(cluster.list_entries(second)) > 1:
                 keys.append(str(uuid_utils.uuid7()))
                 await asyncio.sleep(0.1)
             keys += [str(uuid_utils.uuid7()) for _ in range(10)]
@@ -204,7 +204,7 @@
                         second,
                         'POST',
                         '/v1/jobs',
-                        local_cluster.job(1),
+                        local_cluster.make_job_body(1),
                         **{'Idempotency-Key': key},
                     )
                     for key in keys[-15:]
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -17,9 +17,9 @@
     entry = timeline.Timeline('entry-1', 10, conftest.FixedClock(100.2))
     agent = timeline.Timeline('agent-1', 10, conftest.FixedClock(100.0))
     entry.add(core.note('task.sent', job='j', task='a'))
-    agent.hybrid_clock.merge(entry.hybrid_clock.stamp())
+    agent.hybrid.merge(entry.hybrid.stamp())
     agent.add(core.note('task.started', job='j', task='a'))
-    entry.hybrid_clock.merge(agent.hybrid_clock.stamp())
+    entry.hybrid.merge(agent.hybrid.stamp())
     entry.add(core.note('task.ended', job='j', task='a'))
     parts = [agent.events(), entry.events()]
     names = [event.event for event in timeline.merge(parts)]
@@ -33,7 +33,7 @@
     """
     clock = conftest.FixedClock(100.0)
     process_timeline = timeline.Timeline('entry-1', 10, clock)
-    process_timeline.hybrid_clock.merge(
+    process_timeline.hybrid.merge(
         int(100.0 + 365 * 86400) * timeline.MICROSECONDS
     )
     process_timeline.add(core.note('any'))
@@ -70,7 +70,10 @@
     async def main():
         async with local_cluster.cluster(agents=1) as cluster:
             code, answer = await cluster.call(
-                cluster.entries[0], 'POST', '/v1/jobs', local_cluster.job(3)
+                cluster.entries[0],
+                'POST',
+                '/v1/jobs',
+                local_cluster.make_job_body(3),
             )
             assert code == 200
             processes = [*cluster.entries, *cluster.agents]
