--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -189,7 +189,8 @@
         try:
             return await self._http.fetch(req, raise_error=False)
         except ConnectionRefusedError as exc:
-            # The balancer's state was stale; no request was in progress.
+            # The balancer chose an entry that no longer listens; no request
+            # was in progress.
             self.request_errors.add(f'refused {type(exc).__name__}')
             return None
         except (OSError, tornado.httpclient.HTTPError) as exc:
@@ -206,7 +207,7 @@
             'urgent': job.urgent,
             'tasks': [
                 {
-                    'id': bench_violations.task_id(position),
+                    'id': bench_violations.make_task_id(position),
                     'kind': task.kind,
                     'payload': standin_upstream.Payload(task.seconds),
                     'needs': {'cpu': task.cpu},
--- a/src/agatepick/bench/bench_violations.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -74,8 +74,11 @@
 
 
 def describe_second_starts(evidence: bench_evidence.Evidence) -> str:
-    """List the first few tasks with several starts, with their runs."""
-    doubled = [
+    """List the first few tasks with several starts, with their runs.
+
+    The list lets a person trace these tasks.
+    """
+    repeated_tasks = [
         pair
         for pair, count in count_starts(evidence.runs).items()
         if count > 1
@@ -87,7 +90,7 @@
             for run in evidence.runs
             if (run.key, run.task) == (key, task)
         )
-        for key, task in doubled[:MAX_LISTED_TASKS]
+        for key, task in repeated_tasks[:MAX_LISTED_TASKS]
     )
 
 
@@ -128,17 +131,19 @@
     if answer is None:
         return 0
     if answer.status is types.JobStatus.NOT_RUN:
-        claimed = {task_id(position) for position in range(len(plan.tasks))}
+        not_run_ids = {
+            make_task_id(position) for position in range(len(plan.tasks))
+        }
     else:
-        claimed = {
+        not_run_ids = {
             task.id
             for task in answer.tasks
             if task.outcome is types.Outcome.NOT_RUN
         }
-    return sum(starts.get((reply.key, task), 0) > 0 for task in claimed)
+    return sum(starts.get((reply.key, task), 0) > 0 for task in not_run_ids)
 
 
-def task_id(position: int) -> str:
+def make_task_id(position: int) -> str:
     """Return the caller's id of a task by its index in the job."""
     return f'{TASK_PREFIX}{position}'
 
@@ -153,8 +158,10 @@
         types.JobStatus.NOT_RUN,
     ):
         return False
-    wanted = [task_id(position) for position in range(len(plan.tasks))]
-    if sorted(task.id for task in answer.tasks) != sorted(wanted):
+    expected_ids = [
+        make_task_id(position) for position in range(len(plan.tasks))
+    ]
+    if sorted(task.id for task in answer.tasks) != sorted(expected_ids):
         return True
     finished = all(
         task.outcome is types.Outcome.FINISHED for task in answer.tasks
@@ -180,13 +187,13 @@
         task.outcome is types.Outcome.FINISHED
         and (
             starts.get((reply.key, task.id), 0) == 0
-            or expected_body(reply.key, task.id) != task.body
+            or make_expected_body(reply.key, task.id) != task.body
         )
         for task in answer.tasks
     )
 
 
-def expected_body(key: types.JobKey, task: str) -> bytes:
+def make_expected_body(key: types.JobKey, task: str) -> bytes:
     """Return the body with which the stand-in upstream answers a task."""
     index = int(task.removeprefix(TASK_PREFIX))
     return msgspec.json.encode({'job': key, 'index': index})
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -1,6 +1,6 @@
 """The queue of an entry, and the slots at agents that it may fill.
 
-Combines the decisions under load: admission, fair queueing, quotas, worker
+It combines the decisions under load: admission, fair queueing, quotas, worker
 selection, outlier detection, retry budget and run-time estimates.  Tasks
 wait here and are bound to a slot only when one is free (late binding), so
 that a straggler or a wrong estimate holds up one slot, not a queue behind it.
@@ -41,7 +41,8 @@
 EXCLUDED_SECONDS = 0.1
 """Time after which a retry may be placed at agents that refused the task."""
 LATEST_START_FACTOR = 1.2
-"""Multiple of the longest run time that a job needs before its deadline."""
+"""Time before the deadline at which a job should have started, as a multiple
+of its longest run time."""
 NOTES_BY_STANDING = {
     outliers.Standing.EJECTED: 'worker_ejected',
     outliers.Standing.GOOD: 'worker_readmitted',
@@ -49,7 +50,7 @@
 PRUNE_LENGTH = 4096
 """Length from which on the heap of deadlines is pruned of ended jobs."""
 
-Pending = queues.Pending
+QueuedTask = queues.QueuedTask
 Refusal = admission.Refusal
 AgentInfo = workers.AgentInfo
 
@@ -75,7 +76,7 @@
 
     agent: str
     incarnation: int
-    tasks: tuple[Pending, ...]
+    tasks: tuple[QueuedTask, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -124,7 +125,7 @@
         self._retries = retries.RetryQueue()
         self._deadlines: list[tuple[float, int, str]] = []
         self._sequence = 0
-        self._sized: sizing.SizedJob | None = None
+        self._last_sized: sizing.SizedJob | None = None
         self._blocked: set[placement.Requirement] = set()
         self._demand = demand.SlotDemand()
         self._notes: list[core.Note] = []
@@ -172,7 +173,7 @@
     def enqueue(self, job: types.JobSpec, now: float) -> None:
         """Queue all tasks of a job."""
         sized = self._estimate(job)
-        self._sized = None
+        self._last_sized = None
         cost = sized.estimate.work / max(1, len(job.tasks))
         groups = {
             requirement: collections.deque(indices)
@@ -188,15 +189,15 @@
         self._prune_deadlines()
 
     def schedule_retry(
-        self, task: Pending, refused_by: str, now: float
+        self, task: QueuedTask, refused_by: str, now: float
     ) -> bool:
         """Schedule a retry of a refused task.
 
         :returns: ``False`` if the retry budget or the deadline forbids it.
         """
         self._release_needs(refused_by, task.job, task.index)
-        left = task.job.deadline - now
-        pause = self._budget.delay(task.attempt, left)
+        remaining = task.job.deadline - now
+        pause = self._budget.spend_token(task.attempt, remaining)
         if pause is None:
             return False
         excluded = task.excluded | {refused_by}
@@ -204,7 +205,7 @@
         requirement = self._workers.classify(task.job, spec)
         if excluded >= self._workers.get_pool([requirement]):
             excluded = frozenset()
-        retry = Pending(task.job, task.index, task.attempt + 1, excluded)
+        retry = QueuedTask(task.job, task.index, task.attempt + 1, excluded)
         self._retries.push(retry, now + pause)
         return True
 
@@ -216,15 +217,15 @@
             return dropped
         return tuple(sorted([*dropped, *[task.index for task in retried]]))
 
-    def expire(self, now: float) -> tuple[Pending, ...]:
+    def expire(self, now: float) -> tuple[QueuedTask, ...]:
         """Remove and return the queued tasks whose deadline has passed."""
-        expired: list[Pending] = []
+        expired: list[QueuedTask] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             key = heapq.heappop(self._deadlines)[2]
             waiting = self._queue.get(key)
             if waiting is not None and waiting.job.deadline <= now:
                 indices = self._queue.drop(key)
-                expired += [Pending(waiting.job, i, 0) for i in indices]
+                expired += [QueuedTask(waiting.job, i, 0) for i in indices]
         expired += self._retries.remove(lambda task: task.job.deadline <= now)
         return tuple(expired)
 
@@ -243,7 +244,7 @@
         if not self.count_waiting():
             self._demand.record_placement(now)
             return []
-        chosen: dict[str, list[Pending]] = {}
+        chosen: dict[str, list[QueuedTask]] = {}
         if self._retries:
             self._place_retries(chosen, now)
         self._place_queue(chosen, now)
@@ -346,15 +347,15 @@
             self._notes.append(core.note(name, agent=agent))
 
     def _estimate(self, job: types.JobSpec) -> sizing.SizedJob:
-        # Caches the estimate, as enqueue directly follows admit for a job.
-        if self._sized is None or self._sized.job is not job:
-            self._sized = sizing.estimate_job(
+        # The estimate is cached, as enqueue directly follows admit for a job.
+        if self._last_sized is None or self._last_sized.job is not job:
+            self._last_sized = sizing.estimate_job(
                 job,
                 self._workers.classify,
                 self._run_times,
                 self._preset.confidence,
             )
-        return self._sized
+        return self._last_sized
 
     def _compute_latest_start(self, sized: sizing.SizedJob) -> float:
         estimate = sized.estimate
@@ -385,7 +386,7 @@
         return admission.Load(before, limit, free)
 
     def _place_retries(
-        self, chosen: dict[str, list[Pending]], now: float
+        self, chosen: dict[str, list[QueuedTask]], now: float
     ) -> None:
         for due, task in self._retries.pop_due(now):
             spec = task.job.tasks[task.index]
@@ -404,14 +405,14 @@
                 self._bind(chosen, worker, task, spec)
 
     def _place_queue(
-        self, chosen: dict[str, list[Pending]], now: float
+        self, chosen: dict[str, list[QueuedTask]], now: float
     ) -> None:
         throttled: set[str] = set()
         while True:
-            found = self._queue.find_next(self._blocked, throttled, now)
-            if found is None:
+            next_group = self._queue.find_next(self._blocked, throttled, now)
+            if next_group is None:
                 return
-            waiting, requirement = found
+            waiting, requirement = next_group
             free_quota = self._get_free_quota(waiting.job.team, now)
             if free_quota <= 0:
                 throttled.add(waiting.job.team)
@@ -424,7 +425,7 @@
 
     def _place_group(
         self,
-        chosen: dict[str, list[Pending]],
+        chosen: dict[str, list[QueuedTask]],
         waiting: queues.WaitingJob,
         requirement: placement.Requirement,
         limit: int,
@@ -442,7 +443,7 @@
             worker = self._pick(index, job, spec, frozenset(), racks)
             if worker is None:
                 return False
-            task = Pending(job, self._queue.pop_task(waiting, group), 0)
+            task = QueuedTask(job, self._queue.pop_task(waiting, group), 0)
             self._bind(chosen, worker, task, spec)
             racks[worker.rack] = racks.get(worker.rack, 0) + 1
             limit -= 1
@@ -462,9 +463,9 @@
 
     def _bind(
         self,
-        chosen: dict[str, list[Pending]],
+        chosen: dict[str, list[QueuedTask]],
         worker: placement.Worker,
-        task: Pending,
+        task: QueuedTask,
         spec: types.TaskSpec,
     ) -> None:
         self._workers.fill_slot(worker)
@@ -475,7 +476,7 @@
         chosen.setdefault(worker.name, []).append(task)
 
     def _make_placement(
-        self, name: str, tasks: list[Pending], now: float
+        self, name: str, tasks: list[QueuedTask], now: float
     ) -> Placement:
         self._budget.earn(len(tasks))
         incarnation = self._workers.record_start(name, now)
@@ -509,14 +510,14 @@
         """Rebuild the heap if most of its jobs no longer wait."""
         if len(self._deadlines) < PRUNE_LENGTH:
             return
-        kept = [
+        waiting_entries = [
             entry
             for entry in self._deadlines
             if self._queue.get(entry[2]) is not None
         ]
-        if len(kept) * 2 < len(self._deadlines):
-            heapq.heapify(kept)
-            self._deadlines = kept
+        if len(waiting_entries) * 2 < len(self._deadlines):
+            heapq.heapify(waiting_entries)
+            self._deadlines = waiting_entries
 
 
 _NO_NEEDS = types.Needs()
--- a/src/agatepick/decisions/presets.py
+++ b/src/agatepick/decisions/presets.py
@@ -1,16 +1,16 @@
 """Presets: the sets of decision settings that operators switch between.
 
 Load pattern: ordinary days, peaks and maintenance need opposite trade-offs.
-Without presets an operator changes single settings under stress, and two
-operators combine theirs by accident.
+Without presets an operator changes single settings under stress, and the
+changes of two operators are mixed.
 
 ``ordinary`` admits jobs that will probably be in time.  ``peak`` is stricter
 at admission, since a wrongly admitted job then misses its own deadline and
 makes the next job miss its deadline too; it also retries less, because
 callers submit refused jobs again.  ``maintenance`` expects workers and zones
 to come and go: it retries more, ejects more, and reserves more of the time
-to the deadline.  With a reserve of a tenth or more, admitted work is in time
-at 150% load even if run times aren't declared.
+to the deadline.  A tenth is the smallest reserve with which admitted work is
+in time at 150% load when run times aren't declared.
 
 A change of preset applies at once to decisions about new work.  Admitted
 jobs stay admitted, and running tasks continue; the number of retry tokens is
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -46,23 +46,23 @@
         tokens = self._tokens + number * self._preset.retry_share
         self._tokens = min(tokens, self._preset.retry_burst)
 
-    def delay(self, attempt: int, left: float) -> float | None:
+    def spend_token(self, attempt: int, remaining: float) -> float | None:
         """Spend a token on a retry and return the delay before it.
 
         :param attempt: number of the refused attempt, from 0.
-        :param left: seconds until the deadline.
+        :param remaining: seconds until the deadline.
         :returns: seconds, or ``None`` if no retry is allowed.
         """
         if self._tokens < 1.0:
             return None
         pause = self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempt + 1))
-        if pause >= left:
+        if pause >= remaining:
             return None
         self._tokens -= 1.0
         return pause
 
 
-_Entry = tuple[float, int, queues.Pending]
+_Entry = tuple[float, int, queues.QueuedTask]
 """Instant at which the retry is due, order of arrival, the task."""
 
 
@@ -76,15 +76,15 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def __iter__(self) -> typing.Iterator[queues.Pending]:
+    def __iter__(self) -> typing.Iterator[queues.QueuedTask]:
         return (task for _, _, task in self._heap)
 
-    def push(self, task: queues.Pending, due: float) -> None:
+    def push(self, task: queues.QueuedTask, due: float) -> None:
         """Add a task whose retry is due at an instant."""
         self._sequence += 1
         heapq.heappush(self._heap, (due, self._sequence, task))
 
-    def pop_due(self, now: float) -> list[tuple[float, queues.Pending]]:
+    def pop_due(self, now: float) -> list[tuple[float, queues.QueuedTask]]:
         """Remove and return the due tasks, each with its instant."""
         tasks = []
         while self._heap and self._heap[0][0] <= now:
@@ -97,11 +97,13 @@
         return self._heap[0][0] if self._heap else None
 
     def remove(
-        self, predicate: typing.Callable[[queues.Pending], bool]
-    ) -> list[queues.Pending]:
+        self, predicate: typing.Callable[[queues.QueuedTask], bool]
+    ) -> list[queues.QueuedTask]:
         """Remove and return the tasks that match a predicate."""
         removed = [task for task in self if predicate(task)]
         if removed:
-            self._heap = [one for one in self._heap if not predicate(one[2])]
+            self._heap = [
+                entry for entry in self._heap if not predicate(entry[2])
+            ]
             heapq.heapify(self._heap)
         return removed
--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -5,15 +5,15 @@
 callers wait in vain, and the workers spend their time on answers that come too
 late.
 
-Jobs wait for cores. The wait is predicted from the cores that all earlier jobs
-need beyond those that are free, and from the rate at which cores are released:
-this entry's share of the workers divided by the mean run time, or the recent
-release rate of its own runs if that is higher. A job that would start too late
-is refused at once; where nothing is queued, no job is refused. The accepted
-wait is adjusted by the outcome of admitted jobs (:class:`Margin`). An admitted
-job whose latest start passes before any of its tasks started is refused as
-well: the prediction was wrong, and an early answer lets its caller try
-elsewhere.
+Jobs wait for cores.  The wait is predicted from the cores that all earlier
+jobs need beyond those that are free, and from the rate at which cores are
+released: this entry's share of the workers divided by the mean run time, or
+the recent release rate of its own runs if that is higher.  A job that would
+start too late is refused at once; where nothing is queued before it, it never
+is.  The accepted wait is adjusted by the outcome of admitted jobs
+(:class:`Margin`).  An admitted job whose latest start passes before any of its
+tasks started is refused as well: the prediction was wrong, and an early answer
+lets its caller try elsewhere.
 """
 
 import dataclasses
@@ -42,7 +42,7 @@
 
 MAX_WAIT_SHARE = 0.7
 """Largest share of a job's slack that its predicted wait may take up, while
-queued jobs start in time. The job's own run time is known to within a
+queued jobs start in time.  The job's own run time is known to within a
 third."""
 
 MIN_WAIT_SHARE = 0.05
@@ -52,7 +52,7 @@
 SHARE_INCREASE_FACTOR = 1.02
 SHARE_DECREASE_FACTOR = 0.7
 """Factors on the share after a job that started in time, and after one that
-started late. They balance at one late start in nineteen, whatever the share
+started late.  They balance at one late start in nineteen, whatever the share
 is: fewer late starts would cost many refusals, and to callers a refusal is
 worse than a late answer."""
 
@@ -81,7 +81,7 @@
         self._cores = 0.0
         self._seconds = 0.0
         self._count = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, cores: float, seconds: float, now: float) -> None:
         """Record a run that ended.
@@ -93,7 +93,7 @@
         self._cores = self._cores * decay + cores
         self._seconds = self._seconds * decay + seconds
         self._count = self._count * decay + 1.0
-        self._at = now
+        self._updated_at = now
 
     def cores_per_second(self, now: float) -> float:
         """Return the recent rate of released cores per second."""
@@ -108,7 +108,9 @@
         return max(self._seconds / self._count, MIN_RUN_SECONDS)
 
     def _decay_factor(self, now: float) -> float:
-        return math.exp(-max(0.0, now - self._at) / RATE_TIME_CONSTANT_SECONDS)
+        return math.exp(
+            -max(0.0, now - self._updated_at) / RATE_TIME_CONSTANT_SECONDS
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -118,7 +120,7 @@
     :param needed: cores of the tasks that start before it.
     :param free: cores that are free for them now.
     :param rate: cores that are released per second.
-    :param trip: round trip of a message to an agent in seconds. It is long
+    :param trip: round trip of a message to an agent in seconds.  It is long
         while the entry's link or processor is saturated, when more jobs would
         only make all of them wait longer.
     """
@@ -141,7 +143,7 @@
     """Return whether a job starts soon enough.
 
     :param slack: seconds until its latest start.
-    :param share: share of the slack that the wait for cores may take up. The
+    :param share: share of the slack that the wait for cores may take up.  The
         round trip isn't part of that limit: an entry with a low share and slow
         round trips would admit no job, and the share could never recover.
     """
@@ -153,9 +155,9 @@
 class Margin:
     """Share of its slack that an admitted job may wait, adjusted by outcome.
 
-    Load pattern: more work than the workers can do, for seconds. A job's wait
+    Load pattern: more work than the workers can do, for seconds.  A job's wait
     is predicted from the queue before it, but more urgent jobs arrive later
-    and overtake it, and its own tasks need several slots. The additional wait
+    and overtake it, and its own tasks need several slots.  The additional wait
     depends on the load and on the mix of jobs, so it is learnt from outcomes:
     each job that waited until it started too late lowers the share, so that
     later callers are refused at once instead of late.
@@ -176,9 +178,9 @@
 
 def retry_after(load: Load, slack: float, rng: random.Random) -> float:
     """Return the seconds until the wait is short enough, randomly spread."""
-    late = max(load.wait() - slack, MIN_RETRY_SECONDS)
+    delay = max(load.wait() - slack, MIN_RETRY_SECONDS)
     spread = rng.uniform(0.0, RETRY_SPREAD_SECONDS)
-    return min(late + spread, MAX_RETRY_SECONDS)
+    return min(delay + spread, MAX_RETRY_SECONDS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -238,7 +240,7 @@
         if now > self._last_reachable_at + NO_AGENT_SECONDS:
             return Refusal('cut_off', self.pick_retry_delay())
         slack = self.compute_latest_start(spec, now) - now
-        load = self._load(spec, now + slack, now)
+        load = self._compute_load(spec, now + slack, now)
         if load.rate and not starts_in_time(load, slack, self._margin.share):
             after = retry_after(load, slack, self._rng)
             return Refusal('overloaded', after, load)
@@ -247,7 +249,7 @@
     def record_start(self, arrived_at: float, in_time: bool) -> None:
         """Record whether an admitted job started in time.
 
-        A job that never started counts as late. Jobs that arrived before any
+        A job that never started counts as late.  Jobs that arrived before any
         worker was reachable don't count: after a power loss they would make an
         entry without load refuse other jobs.
         """
@@ -284,21 +286,23 @@
             for task in spec.tasks
         )
 
-    def _load(self, spec: jobs.Job, latest: float, now: float) -> Load:
+    def _compute_load(
+        self, spec: jobs.Job, latest_start: float, now: float
+    ) -> Load:
         # The job's own cores aren't counted: otherwise wide urgent jobs would
         # be refused although they could get all cores that are released.
         needed = 0.0
         for job in self._waiting.in_order():
-            if not job.started and job.latest_start > latest:
+            if not job.started and job.latest_start > latest_start:
                 break
             needed += sum(
                 job.spec.tasks[index].needs.cpu for index in job.waiting
             )
         workers = self._pool.usable_workers(spec.route.pool, '', now)
-        reference = pool.median_cost(workers)
+        median = pool.median_cost(workers)
         free, share = 0.0, 0.0
         for worker in workers:
-            if worker.room is None or not pool.is_healthy(worker, reference):
+            if worker.room is None or not pool.is_healthy(worker, median):
                 continue
             free += worker.free.cpu
             share += worker.room.capacity.cpu / max(1, worker.room.entries)
@@ -311,6 +315,8 @@
             else 0.0
         )
         trip = (
-            statistics.median(one.trip for one in workers) if workers else 0.0
+            statistics.median(worker.trip for worker in workers)
+            if workers
+            else 0.0
         )
         return Load(needed, free, rate, trip)
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -1,9 +1,9 @@
 """Timing of an agent's requests for its worker's lists.
 
-Load pattern: one request in twenty gets no answer, for seconds. If the agent
+Load pattern: one request in twenty gets no answer, for seconds.  If the agent
 waited for the lost list before it requested another, it would receive no ends
 of runs for a quarter of a second, several times a second: short urgent jobs
-would all be late although the worker is healthy. An overdue list is therefore
+would all be late although the worker is healthy.  An overdue list is therefore
 requested once more while the first one may still arrive, and the silence of a
 worker is measured by time, not by a number of failures.
 
@@ -30,7 +30,7 @@
 row, which are hardly ever lost if one request in twenty is."""
 
 SILENT_SECONDS = 0.6
-"""Silence after which a worker's lease is no longer extended. The lease lasts
+"""Silence after which a worker's lease is no longer extended.  The lease lasts
 as long: with a shorter time lost answers alone would end all its runs."""
 
 PROBE_SECONDS = 0.5
@@ -44,7 +44,7 @@
 """Delays after failed requests, while the worker may still be healthy."""
 
 
-class Watching:
+class ListRequests:
     """Requests for the lists of one incarnation of a worker."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether the next request is due."""
-        limit = 1 if self.silent(now) else MAX_PENDING
+        limit = 1 if self.is_silent(now) else MAX_PENDING
         return now >= self._next_request_at and self._pending < limit
 
     def record_request(self, wait: float, now: float) -> None:
@@ -90,7 +90,7 @@
         """Record that a request failed."""
         self._pending = max(0, self._pending - 1)
         pause = self._backoff.record_failure()
-        if self.silent(now):
+        if self.is_silent(now):
             pause = PROBE_SECONDS
         if self._pending:
             # The answers to other requests may still arrive.
@@ -108,7 +108,7 @@
         """Return whether no more runs should be started."""
         return self._silence(now) >= BLOCK_STARTS_SECONDS
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Return whether the worker's lease should expire."""
         return self._silence(now) >= SILENT_SECONDS
 
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -2,7 +2,7 @@
 
 Jobs wait in order of their latest start, the instant at which a job must start
 to end within its objective: short urgent jobs overtake long ones that can
-still wait, and a long one advances as its latest start approaches. Jobs that
+still wait, and a long one advances as its latest start approaches.  Jobs that
 have started precede all that have not: a job is answered only when its last
 task ends, and the work of its first tasks is wasted if that is late.
 """
@@ -58,7 +58,7 @@
         objective.
     :ivar objective_ends_at: end of its objective, by its expected run time.
     :ivar started_at: instant at which its first task was sent to a worker.
-    :ivar check_at: instant of the next check for stuck runs.
+    :ivar check_at: instant of the next check for stragglers.
     :ivar calls: requests that wait for its answer; more than one if a caller
         submitted the job again.
     :ivar open_tasks: number of tasks that haven't finished.
@@ -114,7 +114,9 @@
             if record.state is not TaskState.BLOCKED:
                 continue
             step = self.spec.tasks[index].step
-            if any(self._open_by_step[one] for one in self.spec.after[step]):
+            if any(
+                self._open_by_step[other] for other in self.spec.after[step]
+            ):
                 continue
             record.state = TaskState.WAITING
             self.waiting.append(index)
@@ -154,18 +156,20 @@
     def started_late(self) -> bool:
         """Return whether queueing alone made a finished job too late.
 
-        The job's objective follows from its actual run times. A job with a
+        The job's objective follows from its actual run times.  A job with a
         lost or moved run returns false, since its delay isn't due to the
         queue.
         """
         last_sent_at = self.last_start()
-        if last_sent_at is None or any(one.run > 1 for one in self.records):
+        if last_sent_at is None or any(
+            record.run > 1 for record in self.records
+        ):
             return False
         return last_sent_at > self.arrived_at + self.spec.route.slack(
             self.slowest()
         )
 
-    def placed(self) -> list[int]:
+    def placed_indexes(self) -> list[int]:
         """Return the indexes of tasks with a run that may be going on."""
         return [
             index
@@ -188,15 +192,15 @@
         """Add an admitted job."""
         self._by_key[job.spec.key] = job
 
-    def forget(self, job: OwnedJob) -> None:
+    def remove_if_ended(self, job: OwnedJob) -> None:
         """Remove a job if it is answered and all its runs have ended."""
-        if not job.answered or job.placed():
+        if not job.answered or job.placed_indexes():
             return
         if self._by_key.get(job.spec.key) is job:
             del self._by_key[job.spec.key]
 
     def open_jobs(self) -> list[OwnedJob]:
-        """Return the jobs whose callers wait for an answer."""
+        """Return the jobs whose callers wait for an answer, each once."""
         return [job for job in self._by_key.values() if not job.answered]
 
 
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -1,9 +1,9 @@
 """Updates to entries on the worker and its free capacity.
 
-Load pattern: many short tasks. Each start and each end changes the free
+Load pattern: many short tasks.  Each start and each end changes the free
 capacity; if every change were sent to every entry, an entry would mostly read
 updates, and one with a small processor would have no time for its callers at
-peak load. An update is therefore sent only when the capacity that an entry
+peak load.  An update is therefore sent only when the capacity that an entry
 assumes differs enough from the actual one: by one task where few fit, by more
 where many do.
 """
@@ -74,8 +74,8 @@
         self._health = health_record
         self._worker: workerapi.WorkerAnnounced | None = None
         self._open = False
-        self._entries = 0
-        self._agents = 1
+        self._entry_count = 0
+        self._max_agents = 1
         self._cost = 1.0
         self._task_size = types.Needs()
         self._free = types.Needs()
@@ -86,7 +86,7 @@
         self._next_update_at: float | None = None
 
     def forget(self, entry: types.PeerName) -> None:
-        """Drop the state of an entry that reconnected."""
+        """Drop the state of an entry that reconnected and assumes nothing."""
         self._assumed.pop(entry, None)
         self._change_count += 1
 
@@ -121,9 +121,11 @@
         """Grant released capacity, and send the entries due updates."""
         self._worker = worker
         self._open = is_open
-        agent_counts = [one.agents for one in owners.values() if one.connected]
-        self._entries = len(agent_counts)
-        self._agents = max(agent_counts, default=1)
+        agent_counts = [
+            owner.agents for owner in owners.values() if owner.connected
+        ]
+        self._entry_count = len(agent_counts)
+        self._max_agents = max(agent_counts, default=1)
         cost = self._health.cost(now)
         if abs(cost - self._cost) >= MIN_COST_CHANGE:
             self._cost = cost
@@ -152,7 +154,7 @@
             self._change_count,
             self._worker,
             self._open,
-            self._entries,
+            self._entry_count,
             self._cost,
         )
         deferred_due = (
@@ -185,7 +187,7 @@
             # after a restart callers wait for just that.
             return 0.0
         pause = max(
-            MIN_UPDATE_SECONDS, UPDATE_SECONDS_PER_AGENT * self._agents
+            MIN_UPDATE_SECONDS, UPDATE_SECONDS_PER_AGENT * self._max_agents
         )
         if not self._is_unchanged(last_update) or self._changes_decisions(
             assumed.free
@@ -209,7 +211,7 @@
     def _is_unchanged(self, last_update: messages.Room) -> bool:
         """Return whether all but the free capacity equals the last update."""
         if (
-            last_update.entries != self._entries
+            last_update.entries != self._entry_count
             or last_update.cost != self._cost
         ):
             return False
@@ -250,7 +252,7 @@
             free,
             grant,
             owner.taken,
-            self._entries,
+            self._entry_count,
             self._cost,
         )
 
@@ -258,7 +260,9 @@
         effects: list[object] = []
         for grant in self._capacity.issue_grants(now):
             owner = owners[grant.entry]
-            update = self._build_update(owner, grant.room, grant.number)
-            self._assumed[owner.name] = _AssumedState(update, now, grant.room)
+            update = self._build_update(owner, grant.capacity, grant.number)
+            self._assumed[owner.name] = _AssumedState(
+                update, now, grant.capacity
+            )
             effects.append(core.Send(grant.entry, update))
         return effects
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -219,8 +219,8 @@
 def _get_zones(fields: dict[str, str]) -> tuple[str, str]:
     """Return the zones named by an event's ``zone`` and ``about`` fields."""
     subject = fields.get('about', '')
-    named = subject.removeprefix('zone:') if ':' in subject else ''
-    return fields.get('zone', ''), named
+    subject_zone = subject.removeprefix('zone:') if ':' in subject else ''
+    return fields.get('zone', ''), subject_zone
 
 
 def merge(parts: typing.Iterable[list[Event]]) -> list[Event]:
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -11,11 +11,14 @@
 JOB = {'team': 'talca', 'tasks': [{'id': 'a', 'kind': 'slot'}]}
 
 
-def served(front):
+def list_routes(front):
     """Return the path templates that a server handles, with methods."""
-    built = front(lambda event: None)
+    openapi_front = front(lambda event: None)
     methods_by_path = {}
-    for route in [*callers.routes(built), *operators.routes(built)]:
+    for route in [
+        *callers.routes(openapi_front),
+        *operators.routes(openapi_front),
+    ]:
         names = iter(['id'] if '/jobs/' in route.regex.pattern else ['name'])
         pattern = route.regex.pattern.rstrip('$')
         path = re.sub(r'\(.*\)', lambda _: '{%s}' % next(names), pattern)
@@ -27,7 +30,9 @@
 
 def test_the_file_names_the_routes_that_are_served(front):
     paths = json.loads(openapi.FILE.read_text())['paths']
-    assert {path: set(item) for path, item in paths.items()} == served(front)
+    assert {path: set(item) for path, item in paths.items()} == list_routes(
+        front
+    )
 
 
 def test_the_file_matches_the_generated_document():
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -22,7 +22,7 @@
     entry.hybrid.merge(agent.hybrid.stamp())
     entry.add(core.note('task.ended', job='j', task='a'))
     parts = [agent.events(), entry.events()]
-    names = [one.event for one in timeline.merge(parts)]
+    names = [event.event for event in timeline.merge(parts)]
     assert names == ['task.sent', 'task.started', 'task.ended']
 
 
@@ -70,17 +70,20 @@
     async def main():
         async with local_cluster.cluster(agents=1) as cluster:
             code, answer = await cluster.call(
-                cluster.entries[0], 'POST', '/v1/jobs', local_cluster.job(3)
+                cluster.entries[0],
+                'POST',
+                '/v1/jobs',
+                local_cluster.make_job_body(3),
             )
             assert code == 200
             processes = [*cluster.entries, *cluster.agents]
             parts = [
                 timeline.parse(
-                    b'\n'.join(one.timeline.lines(answer['job'], '1'))
+                    b'\n'.join(process.timeline.lines(answer['job'], '1'))
                 )
-                for one in processes
+                for process in processes
             ]
-            return [one.event for one in timeline.merge(parts)]
+            return [event.event for event in timeline.merge(parts)]
 
     assert asyncio.run(main()) == [
         'task_sent',
