--- a/src/agatepick/decisions/admission.py
+++ b/src/agatepick/decisions/admission.py
@@ -7,14 +7,14 @@
 
 The prediction adds up the work that starts before the job and the job's own
 work, and divides it by the slots that this entry can use; tasks that fit
-into free slots start at once and don't wait.  The run time of the job's
-longest task is added, at the preset's quantile of the maximum over its last
-tasks.  A job that would end too late is refused at once, with the seconds
-after which the queue will be short enough.  A job that fits no worker, or
-whose longest task would more likely than not miss the deadline even on idle
-workers, is refused permanently.  The preset reserves a tenth to a fifth of the
-time to the deadline, because one task in a hundred takes longer than its
-kind's quantile.
+into free slots start at once and don't wait.  To this it adds the longest run
+time among the last tasks of the job, estimated at the quantile that the
+preset sets.  A job that would end too late is refused at once, with the
+seconds after which the queue will be short enough.  A job that fits no worker,
+or whose longest task would more likely than not miss the deadline even on idle
+workers, is refused permanently.  Each preset leaves a tenth to a fifth of the
+time to the deadline unused, because one task in a hundred takes longer than
+the quantile estimated for its kind.
 """
 
 import dataclasses
@@ -23,8 +23,11 @@
 
 MIN_RETRY_AFTER = 0.1
 MAX_RETRY_AFTER = 30.0
+"""Bounds of the retry time in the refusal of an overload, in seconds."""
 ZONE_RETRY_AFTER = 5.0
+"""Retry time while all zones of a job are out of service, in seconds."""
 NO_WORKERS_RETRY_AFTER = 1.0
+"""Retry time while the entry has no worker, in seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,7 +36,8 @@
 
     :param code: machine-readable reason, such as ``overloaded``.
     :param reason: human-readable reason.
-    :param retry_after: seconds; 0 if a retry can't succeed.
+    :param retry_after: seconds after which the caller may submit the job
+        again; 0 if a retry can't succeed.
     """
 
     code: str
@@ -43,9 +47,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """The load that a new job would find.
+    """The load on an entry at the arrival of a new job.
 
-    :param work_before: expected seconds of tasks that start before the job.
+    :param work_before: sum of the expected run times of the tasks that start
+        before the job, in seconds.
     :param slots: slots that this entry can use.
     :param free: number of these slots that are free.
     """
@@ -61,8 +66,9 @@
 
     :param tasks: number of its tasks.
     :param work: sum of the expected run times of all its tasks.
-    :param median: run time of its longest task at the median.
-    :param longest: run time of its longest task at the preset's quantile.
+    :param median: median of the run time of its longest task.
+    :param longest: run time that none of its tasks exceeds with the
+        probability that the preset sets.
     """
 
     tasks: int
--- a/src/agatepick/decisions/backoff.py
+++ b/src/agatepick/decisions/backoff.py
@@ -13,7 +13,8 @@
 """Factor from one delay to the next."""
 
 MIN_JITTER_FACTOR = 0.5
-"""Lower bound of the random factor by which a delay is shortened."""
+"""Lower bound of the random factor that a delay is multiplied by; the upper
+bound is 1."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,10 +42,10 @@
 
 
 class Backoff:
-    """A counter of one peer's consecutive failures.
+    """The delays between attempts at one peer, by its consecutive failures.
 
-    :param rng: source of jitter, for peers that have many clients, which
-        would otherwise all retry at the same instant.
+    :param rng: source of random jitter.  It is needed for a peer that has
+        many clients, which would otherwise all retry at the same instant.
     """
 
     def __init__(
--- a/src/agatepick/decisions/demand.py
+++ b/src/agatepick/decisions/demand.py
@@ -1,13 +1,14 @@
 """The number of slots that an entry requests from agents.
 
-Load pattern: entries' queues build up and drain within a second, at
+Load pattern: the queues of the entries build up and drain within a second, at
 different times.  If each queued task moved a slot from one entry to another,
-and soon back, one message in nine would only move slots.  A queue that the
-entry's own slots can start within :data:`HOLD_SECONDS` therefore requests
-none.  This applies only to an entry that has filled three tenths of all
-slots on average: with fewer, slots would idle elsewhere, and a job would
-take twice its time.  Doubling the hold time halves the offers once more, but
-raises the mean response above 1.05 times the ideal at 80% load, as slots
+and soon back, one message in nine would only move slots.  An entry therefore
+requests no slots for queued tasks that its own slots can start within
+:data:`HOLD_SECONDS`.  This applies only to an entry that has filled three
+tenths of all slots on average: if one with fewer slots requested none, slots
+would idle elsewhere, and a job would take twice as long.  Doubling the hold
+time halves the number of messages that only move slots, but raises the mean
+response time at 80% load above 1.05 times that of an ideal scheduler, as slots
 idle at one entry while tasks wait at the other.
 """
 
@@ -16,13 +17,16 @@
 from agatepick.decisions import estimates
 
 HOLD_SECONDS = 0.5
-"""Length of queue, in time, that the entry's own slots are left to drain."""
+"""A busy entry requests no slots for the tasks that its own slots can start
+within this time."""
 BUSY_SHARE = 0.3
-"""Average part of all slots from which on an entry counts as busy."""
+"""An entry counts as busy if it fills at least this part of all slots on
+average."""
 MEAN_WEIGHT = 0.02
-"""Weight of one run time in the moving mean over all kinds."""
-BUSY_SECONDS = 10.0
-"""Time constant of the average share of slots in use; several jobs long."""
+"""Weight of one run time in the moving mean over all kinds of task."""
+USE_TIME_CONSTANT_SECONDS = 10.0
+"""Time constant of the average part of the slots that an entry fills.  It is
+longer than several jobs take."""
 
 
 class SlotDemand:
@@ -39,14 +43,19 @@
         self._mean_seconds = estimates.DEFAULT_SECONDS
 
     def record_use(self, running: int, slots: int, now: float) -> None:
-        """Record the running tasks and usable slots from ``now`` on."""
-        decay = math.exp(-max(0.0, now - self._updated_at) / BUSY_SECONDS)
+        """Record the number of running tasks and of usable slots at ``now``.
+
+        Both numbers apply until the next call.
+        """
+        decay = math.exp(
+            -max(0.0, now - self._updated_at) / USE_TIME_CONSTANT_SECONDS
+        )
         self.average_use = decay * self.average_use + (1.0 - decay) * self._use
         self._use = running / max(1, slots)
         self._updated_at = now
 
     def record_placement(self, now: float) -> None:
-        """Record that tasks were placed, or that none waits."""
+        """Record that tasks were placed, or that no task waits."""
         self._placed_at = now
 
     def record_run_time(self, seconds: float) -> None:
@@ -57,8 +66,12 @@
     def compute(self, waiting: int, running: int, now: float) -> int:
         """Return the number of tasks to request slots for.
 
-        If the entry is busy, tasks that its own slots will soon start don't
-        count, unless none was placed for :data:`HOLD_SECONDS`.
+        If the entry is busy, tasks that its own slots will start within
+        :data:`HOLD_SECONDS` don't count, unless no task was placed for that
+        time.
+
+        :param waiting: number of queued tasks.
+        :param running: number of slots that the entry fills.
         """
         has_few_slots = self.average_use < BUSY_SHARE
         if has_few_slots or now - self._placed_at >= HOLD_SECONDS:
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -1,16 +1,18 @@
 """The queue of an entry, and the slots at agents that it may fill.
 
-It combines the decisions under load: admission, fair queueing, quotas, worker
-selection, outlier detection, retry budget and run-time estimates.  Tasks
-wait here and are bound to a slot only when one is free (late binding), so
-that a straggler or a wrong estimate holds up one slot, not a queue behind it.
+This module combines the decisions under load: admission, fair queueing,
+quotas, worker selection, outlier detection, retry budget and run-time
+estimates.  Tasks wait in the entry and are bound to a slot only when one is
+free (late binding), so that a straggler or a wrong estimate holds up one slot
+but no queue behind it.
 
 Load pattern of :meth:`Dispatch.get_slot_requests`: work arrives at an entry
 whose share of the slots went to other entries while it was idle.  Agents
 learn an entry's demand from start messages, so an entry sends requests only
-to agents with which it has exchanged no message for :data:`ASK_SECONDS`.
-Without these requests it would wait for ever; more frequent ones would make
-up more than 2% of all messages.
+to agents with which it has exchanged no message for
+:data:`ASK_INTERVAL_SECONDS`.  Without these requests an entry that has no slot
+left would wait for ever; more frequent ones would make up more than 2% of all
+messages.
 """
 
 import collections
@@ -34,21 +36,23 @@
 from agatepick.net import messages
 from agatepick import types
 
-ASK_SECONDS = 0.25
+ASK_INTERVAL_SECONDS = 0.25
 """Least time between two messages that request slots from one agent."""
 IDLE_SHARE = 0.5
 """Part of all slots that admission expects an idle entry to obtain."""
 EXCLUDED_SECONDS = 0.1
-"""Time after which a retry may be placed at agents that refused the task."""
+"""Time after a retry was due from which on the task may be placed at agents
+that refused it."""
 LATEST_START_FACTOR = 1.2
-"""Time before the deadline at which a job should have started, as a multiple
-of its longest run time."""
+"""A job should start at least this multiple of its longest task's run time
+before its deadline."""
 NOTES_BY_STANDING = {
     outliers.Standing.EJECTED: 'worker_ejected',
     outliers.Standing.GOOD: 'worker_readmitted',
 }
+"""Name of the timeline note about an agent's new standing."""
 PRUNE_LENGTH = 4096
-"""Length from which on the heap of deadlines is pruned of ended jobs."""
+"""Length of the heap of deadlines from which on ended jobs are removed."""
 
 Pending = queues.Pending
 Refusal = admission.Refusal
@@ -59,20 +63,23 @@
 class DispatchSettings:
     """The settings of one entry's dispatch.
 
-    :param name: the entry's own name.
+    :param entry_name: name of the entry.
     :param preset: a name in :data:`agatepick.decisions.presets.BY_NAME`.
     :param policy: a name in
         :data:`agatepick.decisions.placement.POLICIES`.
     """
 
-    name: str = 'entry'
+    entry_name: str = 'entry'
     preset: str = presets.DEFAULT
     policy: str = placement.DEFAULT_POLICY
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """The tasks to start at one agent."""
+    """The tasks to start at one agent.
+
+    :param incarnation: incarnation of the agent whose slots are filled.
+    """
 
     agent: str
     incarnation: int
@@ -107,7 +114,7 @@
     ) -> 'Dispatch':
         """Return a dispatch without agents.
 
-        :param rng: its only source of randomness.
+        :param rng: only source of randomness of the dispatch.
         """
         return cls(cfg, rng)
 
@@ -121,7 +128,7 @@
         self._queue = queues.FairQueue()
         self._queue.urgent_run = self._preset.urgent_run
         self._budget = retries.RetryBudget(self._preset, rng)
-        self.quotas = quotas.Quotas(cfg.name)
+        self.quotas = quotas.Quotas(cfg.entry_name)
         self._retries = retries.RetryQueue()
         self._deadlines: list[tuple[float, int, str]] = []
         self._sequence = 0
@@ -140,11 +147,18 @@
     def apply_offer(
         self, info: AgentInfo, offer: messages.Offer, now: float
     ) -> None:
-        """Apply an agent's offer: its upstream and the slots leased here."""
+        """Apply an agent's offer.
+
+        It describes the agent's upstream and contains the number of slots
+        that are leased to this entry.
+        """
         self._workers.apply_offer(info, offer, now)
 
     def set_credits(self, agent: str, credits: int, now: float) -> None:
-        """Set the number of slots leased here, filled ones included."""
+        """Set the number of an agent's slots that are leased to this entry.
+
+        :param credits: number of slots, filled ones included.
+        """
         self._workers.set_credits(agent, credits, now)
 
     def mark_disconnected(self, agent: str) -> None:
@@ -184,8 +198,8 @@
         waiting = queues.WaitingJob(job, cost, groups, pool, latest)
         self._queue.add(waiting, now)
         self._sequence += 1
-        entry = (job.deadline, self._sequence, job.key)
-        heapq.heappush(self._deadlines, entry)
+        item = (job.deadline, self._sequence, job.key)
+        heapq.heappush(self._deadlines, item)
         self._prune_deadlines()
 
     def schedule_retry(
@@ -197,8 +211,8 @@
         """
         self._release_needs(refused_by, task.job, task.index)
         remaining = task.job.deadline - now
-        pause = self._budget.spend_token(task.attempt, remaining)
-        if pause is None:
+        delay = self._budget.spend_token(task.attempt, remaining)
+        if delay is None:
             return False
         excluded = task.excluded | {refused_by}
         spec = task.job.tasks[task.index]
@@ -206,7 +220,7 @@
         if excluded >= self._workers.get_pool([requirement]):
             excluded = frozenset()
         retry = Pending(task.job, task.index, task.attempt + 1, excluded)
-        self._retries.push(retry, now + pause)
+        self._retries.push(retry, now + delay)
         return True
 
     def drop(self, key: str) -> tuple[int, ...]:
@@ -284,12 +298,16 @@
             self.quotas.remove_running(team)
 
     def get_slot_requests(self, now: float) -> list[tuple[str, int]]:
-        """Return the agents to request slots from, each with the demand."""
+        """Return the agents to request slots from.
+
+        :returns: name of each agent, with the number of waiting tasks that
+            this entry requests slots for.
+        """
         want = self.compute_demand(now)
         if not self._blocked or not want:
             return []
         names = self._workers.select_agents_to_ask(
-            self._blocked, now, ASK_SECONDS
+            self._blocked, now, ASK_INTERVAL_SECONDS
         )
         return [(name, want) for name in names]
 
@@ -311,15 +329,15 @@
             wakes.append(self._deadlines[0][0])
         due = self._retries.next_due()
         if due is not None:
-            wakes.append(max(due, now + retries.BASE_SECONDS))
+            wakes.append(max(due, now + retries.FIRST_RETRY_DELAY_SECONDS))
         if self._blocked:
-            wakes.append(now + ASK_SECONDS)
+            wakes.append(now + ASK_INTERVAL_SECONDS)
         trial = self._outliers.next_wake()
         if trial is not None and self.count_waiting():
             # Only a round of placements starts a trial, and none takes place
             # without a lease: an instant in the past would wake the entry
             # again at once.
-            wakes.append(max(trial, now + retries.BASE_SECONDS))
+            wakes.append(max(trial, now + retries.FIRST_RETRY_DELAY_SECONDS))
         return min(wakes, default=None)
 
     def status(self, now: float) -> DispatchStatus:
@@ -495,11 +513,11 @@
         return self.quotas.get_free(team, now)
 
     def _pop_stale_deadlines(self) -> None:
-        """Drop the earliest deadlines of jobs that no longer wait.
+        """Remove deadlines of jobs that no longer wait from the heap's top.
 
-        The deadline of a job that ended before it would stay first in the
-        heap after it has passed, and wake the entry again and again without
-        a pause.
+        Otherwise the deadline of a job that ended in time would, once it has
+        passed, stay first in the heap and wake the entry again and again
+        without a pause.
         """
         while self._deadlines:
             if self._queue.get(self._deadlines[0][2]) is not None:
@@ -510,14 +528,14 @@
         """Rebuild the heap if most of its jobs no longer wait."""
         if len(self._deadlines) < PRUNE_LENGTH:
             return
-        waiting_entries = [
-            entry
-            for entry in self._deadlines
-            if self._queue.get(entry[2]) is not None
+        waiting_items = [
+            item
+            for item in self._deadlines
+            if self._queue.get(item[2]) is not None
         ]
-        if len(waiting_entries) * 2 < len(self._deadlines):
-            heapq.heapify(waiting_entries)
-            self._deadlines = waiting_entries
+        if len(waiting_items) * 2 < len(self._deadlines):
+            heapq.heapify(waiting_items)
+            self._deadlines = waiting_items
 
 
 _NO_NEEDS = types.Needs()
--- a/src/agatepick/decisions/estimates.py
+++ b/src/agatepick/decisions/estimates.py
@@ -6,9 +6,10 @@
 one.
 
 Each kind has two histograms: of run times, and of the ratios of run times to
-declared ones.  The one whose logarithm varies less predicts the next task:
-consistent declarations are used, even if all are off by the same factor, and
-inconsistent ones are ignored.  Buckets are a quarter of an octave wide, so a
+declared ones.  The histogram whose values vary less, on a logarithmic scale,
+predicts the next task's run time: consistent declarations are used, even if
+all are off by the same factor, and inconsistent ones are ignored.  Buckets are
+a quarter of an octave wide, so a
 quantile is within 19% of the true value, which is finer than the variation
 between runs.  Counts are halved at :data:`WINDOW` observations, so that after
 a change of an upstream new run times outweigh old ones within about as many
@@ -24,19 +25,22 @@
 WINDOW = 512
 """Observations after which all counts of a histogram are halved."""
 PRIOR_WEIGHT = 4.0
-"""Observations that a declared run time weighs as much as."""
+"""Number of observations that have the same weight as a declared run time."""
 DEFAULT_SECONDS = 0.3
 """Assumed run time of a kind without observed or declared run times."""
 MIN_VALUE = 0.001
 MAX_VALUE = 3600.0
-"""Bounds to which values are clamped, in seconds or as a ratio."""
+"""Bounds of an observed value: a run time in seconds, or the ratio of a run
+time to the declared one.  Values beyond them are clamped."""
 BUCKETS_PER_OCTAVE = 4
 MAX_KINDS = 512
-"""Kinds with a history: callers choose the names, so memory needs a bound."""
+"""Largest number of kinds with a history.  Callers choose the names of kinds,
+so memory needs a bound."""
 REFRESH_OBSERVATIONS = 16
-"""Observations after which cached quantiles are computed anew."""
+"""Number of observations after which cached quantiles are recomputed."""
 SPREAD_WEIGHT = 0.05
-"""Weight of one observation in the moving averages of centre and spread."""
+"""Weight of one observation in the moving averages of the logarithms of a
+histogram's values and of their deviations."""
 
 _BUCKETS = int(BUCKETS_PER_OCTAVE * math.log2(MAX_VALUE / MIN_VALUE)) + 1
 
@@ -148,7 +152,7 @@
             history.ratios.add(seconds / task.expected_seconds)
 
     def mean(self, task: types.TaskSpec) -> float:
-        """Return the expected run time of a task."""
+        """Return the expected run time of a task, in seconds."""
         declared = task.expected_seconds
         history = self._kinds.get(task.kind)
         if history is None:
@@ -158,10 +162,12 @@
         return history.seconds.mean(declared or DEFAULT_SECONDS)
 
     def quantile(self, task: types.TaskSpec, share: float) -> float:
-        """Return the run time that a share of such tasks doesn't exceed.
+        """Return the run time, in seconds, at a quantile of similar tasks.
 
-        The declared run time is returned until :data:`PRIOR_WEIGHT` tasks
-        were observed.
+        The declared run time is returned until :data:`PRIOR_WEIGHT` tasks of
+        the kind were observed.
+
+        :param share: part of the tasks that take no longer, 0 to 1.
         """
         declared = task.expected_seconds
         history = self._kinds.get(task.kind)
@@ -172,7 +178,7 @@
         return history.seconds.quantile(share)
 
     def medians(self) -> tuple[tuple[str, float], ...]:
-        """Return the median run time of each observed kind."""
+        """Return the median run time in seconds of each observed kind."""
         return tuple(
             (kind, history.seconds.quantile(0.5))
             for kind, history in sorted(self._kinds.items())
--- a/src/agatepick/decisions/outliers.py
+++ b/src/agatepick/decisions/outliers.py
@@ -7,12 +7,12 @@
 
 An agent is ejected when its success rate, a moving average in which an
 outcome weighs :data:`OUTCOME_WEIGHT`, is below :data:`MIN_SUCCESS_RATE` and
-below the average of the others by at least :data:`MIN_RATE_GAP`.  From a
-clean record that takes 7 failures in a row, fewer than a worker's 8 slots
-hold; a worker that fails one task in five, as the others do, isn't an
-outlier and stays.  The comparison with the others prevents the ejection of
-workers for faults of a caller.  Never more than the preset's share of the
-agents is ejected, since the others must take over the load.
+below the average of the other agents by at least :data:`MIN_RATE_GAP`.  An
+agent without earlier failures is ejected after 7 in a row, fewer than the
+tasks that fill a worker's 8 slots; one that fails one task in five, as the
+others do, isn't an outlier and stays.  The comparison with the others prevents
+the ejection of workers for faults of a caller.  Never more than the preset's
+share of the agents is ejected, since the others must take over the load.
 
 An ejected agent gets no work for :data:`EJECTED_SECONDS`, doubled with each
 consecutive ejection up to :data:`MAX_EJECTED_SECONDS`.  Then it is on trial:
@@ -31,7 +31,7 @@
 
 
 class Standing(enum.Enum):
-    """The eligibility of an agent for work."""
+    """The states of an agent that decide whether it gets tasks."""
 
     GOOD = 'good'
     EJECTED = 'ejected'
@@ -58,7 +58,10 @@
 
 
 class Outliers:
-    """The success rates of all agents, and the ejected agents."""
+    """The success rates of all agents, and the ejected agents.
+
+    :param max_ejected_share: part of the agents that may be ejected, 0 to 1.
+    """
 
     def __init__(self, max_ejected_share: float) -> None:
         self.max_ejected_share = max_ejected_share
@@ -89,7 +92,11 @@
         return tuple(sorted(self._ejected))
 
     def record(self, agent: str, ok: bool, now: float) -> bool:
-        """Record an outcome and return whether the standing changed."""
+        """Record the outcome of one task of an agent.
+
+        :param ok: whether the task succeeded.
+        :returns: whether the agent's standing changed.
+        """
         record = self._records.get(agent)
         if record is None:
             return False
@@ -117,7 +124,7 @@
         return tuple(due)
 
     def next_wake(self) -> float | None:
-        """Return the instant at which the next ejection expires."""
+        """Return the instant at which the next ejection expires, if any."""
         ends = [
             self._records[agent].ejected_until
             for agent in self._ejected
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -199,7 +199,7 @@
 
 
 class RandomWorker:
-    """A baseline: a random worker with slots left by this entry's tasks."""
+    """A baseline: a random worker that this entry's tasks don't fill."""
 
     leased = False
 
@@ -209,7 +209,7 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """Return the first worker, as the list starts at a random one."""
+        """Return the first worker, which is a random one."""
         return workers[0]
 
 
@@ -224,7 +224,7 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """Return the first of the workers with the fewest such tasks."""
+        """Return the worker with the fewest tasks; of several, the first."""
         return min(workers, key=_get_own_load)
 
 
@@ -281,7 +281,10 @@
         self.update(worker)
 
     def update(self, worker: Worker) -> None:
-        """Update whether a worker has a free slot, by its counters."""
+        """Update the index after a worker's ``running`` or ``limit`` changed.
+
+        The worker has a free slot while ``running`` is below ``limit``.
+        """
         if worker.running < worker.limit:
             if worker.name not in self._free_positions:
                 self._free_positions[worker.name] = len(self.free)
@@ -310,6 +313,7 @@
         Workers on trial are excluded for urgent tasks.
 
         :param excluded: names of agents that refused the task.
+        :param urgent: whether the task is urgent.
         :param racks: number of placed tasks of the same job, by rack.
         """
         if not self.free:
--- a/src/agatepick/decisions/presets.py
+++ b/src/agatepick/decisions/presets.py
@@ -24,11 +24,12 @@
 class Preset:
     """The settings of all decisions under load.
 
-    :param confidence: quantile of run times that admission uses.
+    :param confidence: quantile of run times that admission uses, 0 to 1.
     :param spare_share: part of the time to the deadline that admission
         leaves unused.
-    :param retry_share: retries allowed for each started task.
-    :param retry_burst: largest number of accumulated retries.
+    :param retry_share: number of retries that each started task adds to the
+        retry budget.
+    :param retry_burst: largest number of retries in the budget.
     :param max_ejected_share: part of the agents that may be ejected.
     :param urgent_run: consecutive starts of urgent tasks after which a
         waiting ordinary task is started.
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -9,11 +9,12 @@
 of urgent tasks a waiting ordinary task is started, so that callers who mark
 all jobs as urgent can't starve the others.  Inside a level jobs are ranked by
 start-time fair queueing: a job's start tag is the later of the level's
-virtual time and the end tag of its team's previous job, and its end tag adds
-its expected work.  Teams below their fair share thus keep the order of
-arrival, which is best for response, while a team with a backlog queues
-behind itself.  Deficit round robin is as fair, but interleaves the jobs of
-all teams, so that all of them end late.  A job's own work, times
+virtual time and the end tag of its team's previous job, and its end tag is its
+start tag plus its expected work.  Jobs of teams below their fair share thus
+start in the order of arrival, which gives the shortest response times, while a
+team with a backlog queues behind its own jobs.  Deficit round robin is as
+fair, but interleaves the jobs of all teams, so that all of them end late.  A
+job's own work, times
 :data:`SIZE_WEIGHT`, is added to its rank: short jobs pass long ones, but only
 until the virtual time has grown by the long one's work.  With twice that
 weight heavy teams' small jobs would pass light teams' large ones.
@@ -21,11 +22,12 @@
 An admitted job must not miss its deadline because later jobs of lighter
 teams are ranked before it.  Two rules prevent this.  The work that admission
 expects before a new job includes what other teams will submit ahead of it at
-their rates of the last :data:`RATE_SECONDS`.  And jobs whose latest start
-time has passed start before the ranked ones, in order of their latest start.
+their rates of the last :data:`RATE_TIME_CONSTANT_SECONDS`.  And jobs whose
+latest start time has passed start before the ranked ones, in order of their
+latest start.
 
-A job's tasks stay together, longest first, as the job is answered when its
-last task has ended.
+The tasks of a job stay together in the order, the longest first, as the job is
+answered when its last task has ended.
 """
 
 import collections
@@ -39,13 +41,14 @@
 
 SIZE_WEIGHT = 1.0
 MAX_COMPARED_JOBS = 512
-"""Waiting jobs up to which the rank of a new job is compared with each."""
+"""Largest number of waiting jobs whose ranks are compared with a new job's."""
 
-RATE_SECONDS = 10.0
+RATE_TIME_CONSTANT_SECONDS = 10.0
 """Time constant of a team's rate of work.  With a shorter one a burst counts
 as a lasting rate, and work that would be in time is refused."""
 MAX_RATES = 1024
-"""Teams with a rate: callers choose the names, so memory needs a bound."""
+"""Number of teams with a rate from which on old rates are deleted.  Callers
+choose the names of teams, so memory needs a bound."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +73,7 @@
     :ivar start: start tag in the virtual time of its level.
     :ivar groups: indices of its tasks by class, in order of their start.
     :ivar racks: number of tasks placed so far, by rack.
-    :ivar cost: expected seconds of one task, on average.
+    :ivar cost: mean of the expected run times of its tasks, in seconds.
     :ivar pool: names of the agents that serve any of its classes.
     :ivar latest_start: instant by which it should start to be in time.
     :ivar count: number of tasks that wait.
@@ -108,7 +111,10 @@
 
 
 class _WorkRate:
-    """The exponentially decaying average rate at which a team adds work."""
+    """The exponentially decaying average rate at which a team adds work.
+
+    Work is the sum of expected run times, in seconds.
+    """
 
     __slots__ = ('work', 'updated_at')
 
@@ -121,10 +127,12 @@
         self.updated_at = now
 
     def get_per_second(self, now: float) -> float:
-        return self.work * self._get_decay(now) / RATE_SECONDS
+        return self.work * self._get_decay(now) / RATE_TIME_CONSTANT_SECONDS
 
     def _get_decay(self, now: float) -> float:
-        return math.exp(-max(0.0, now - self.updated_at) / RATE_SECONDS)
+        return math.exp(
+            -max(0.0, now - self.updated_at) / RATE_TIME_CONSTANT_SECONDS
+        )
 
 
 _Ranked = tuple[float, int, int, WaitingJob]
@@ -167,7 +175,10 @@
     ) -> float:
         """Return the work that other teams will add ahead of a rank.
 
-        :param seconds: period in which they go on at their present rates.
+        :param rank: rank of a job of ``team``.
+        :param seconds: period for which the other teams are expected to add
+            work at their present rates.
+        :returns: sum of expected run times, in seconds.
         """
         if rank <= self.virtual_time:
             return 0.0
@@ -185,7 +196,7 @@
             self.rates = {
                 team: rate
                 for team, rate in self.rates.items()
-                if rate.updated_at >= now - RATE_SECONDS
+                if rate.updated_at >= now - RATE_TIME_CONSTANT_SECONDS
             }
 
     def reset_virtual_time(self) -> None:
@@ -223,10 +234,10 @@
         self._sequence += 1
         for order, requirement in enumerate(waiting.groups):
             heap = level.heaps.setdefault(requirement, [])
-            entry = (waiting.rank, self._sequence, order, waiting)
-            heapq.heappush(heap, entry)
-            due_entry = (waiting.latest_start, self._sequence, order, waiting)
-            heapq.heappush(level.by_latest_start, due_entry)
+            ranked = (waiting.rank, self._sequence, order, waiting)
+            heapq.heappush(heap, ranked)
+            timed = (waiting.latest_start, self._sequence, order, waiting)
+            heapq.heappush(level.by_latest_start, timed)
 
     def find_next(
         self,
@@ -234,7 +245,7 @@
         throttled_teams: typing.Container[str],
         now: float,
     ) -> tuple[WaitingJob, placement.Requirement] | None:
-        """Return the job, and its class of task, that starts next.
+        """Return the job whose task starts next, and the task's class.
 
         :param blocked: classes for which no worker is free.
         :param throttled_teams: teams whose quota is used up.
@@ -244,9 +255,13 @@
         if self._urgent_streak >= self.urgent_run and second.count:
             first, second = second, first
         for level in (first, second):
-            next_group = _find_due(level, blocked, throttled_teams, now)
+            next_group = _find_past_latest_start(
+                level, blocked, throttled_teams, now
+            )
             if next_group is None:
-                next_group = self._find_first(level, blocked, throttled_teams)
+                next_group = self._find_first_ranked(
+                    level, blocked, throttled_teams
+                )
             if next_group is not None:
                 return next_group
         return None
@@ -288,11 +303,12 @@
     ) -> float:
         """Return the expected work that starts before a new job, in seconds.
 
-        Jobs for other workers don't count.  If more than
-        :data:`MAX_COMPARED_JOBS` jobs wait, those that would start later
-        count as well.
+        Jobs that none of the new job's workers serves aren't counted.  If
+        more than :data:`MAX_COMPARED_JOBS` jobs wait, those that would start
+        later count as well.
 
-        :param work: expected seconds of the new job's tasks.
+        :param work: sum of the expected run times of the new job's tasks, in
+            seconds.
         :param pool: names of the workers that serve the new job.
         :param slots: number of slots of these workers.
         """
@@ -312,7 +328,10 @@
         return before + level.estimate_overtaking(job.team, rank, wait, now)
 
     def sum_team_work(self, team: str) -> float:
-        """Return the expected seconds of a team's waiting tasks."""
+        """Return the sum of a team's waiting tasks' expected run times.
+
+        :returns: seconds.
+        """
         return sum(
             waiting.cost * waiting.count
             for waiting in self._jobs.values()
@@ -354,7 +373,7 @@
             level.by_latest_start.clear()
             level.reset_virtual_time()
 
-    def _find_first(
+    def _find_first_ranked(
         self,
         level: _Level,
         blocked: typing.Container[placement.Requirement],
@@ -365,9 +384,11 @@
         for requirement in list(level.heaps):
             if requirement in blocked:
                 continue
-            head = _find_head(level.heaps, requirement, throttled_teams)
-            if head is not None and (best is None or head < best):
-                best = head
+            candidate = _find_first_in_heap(
+                level.heaps, requirement, throttled_teams
+            )
+            if candidate is not None and (best is None or candidate < best):
+                best = candidate
                 best_class = requirement
         if best is None or best_class is None:
             return None
@@ -380,13 +401,17 @@
     return waiting.rank <= rank
 
 
-def _find_due(
+def _find_past_latest_start(
     level: _Level,
     blocked: typing.Container[placement.Requirement],
     throttled_teams: typing.Container[str],
     now: float,
 ) -> tuple[WaitingJob, placement.Requirement] | None:
-    """Return the job with the earliest latest start, if that has passed."""
+    """Return the job with the earliest latest start time, if that has passed.
+
+    :returns: the job and the class of its next task; ``None`` if no latest
+        start time has passed or that task can't start.
+    """
     heap = level.by_latest_start
     while heap and heap[0][0] <= now:
         _, _, order, waiting = heap[0]
@@ -400,14 +425,14 @@
     return None
 
 
-def _find_head(
+def _find_first_in_heap(
     heaps: dict[placement.Requirement, list[_Ranked]],
     requirement: placement.Requirement,
     throttled_teams: typing.Container[str],
 ) -> _Ranked | None:
-    """Return the first entry of a heap that may start.
+    """Return the first item of a class's heap whose job may start a task.
 
-    Entries without tasks are dropped from its top.
+    Jobs without waiting tasks of the class are removed from the heap's top.
     """
     heap = heaps[requirement]
     while heap and not heap[0][3].groups[requirement]:
@@ -419,10 +444,10 @@
         return heap[0]
     return min(
         (
-            entry
-            for entry in heap
-            if entry[3].groups[requirement]
-            and entry[3].job.team not in throttled_teams
+            item
+            for item in heap
+            if item[3].groups[requirement]
+            and item[3].job.team not in throttled_teams
         ),
         default=None,
     )
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -5,22 +5,24 @@
 those tasks to end; a quota keeps slots free for the others.
 
 Each entry has a static share of a quota.  The team's coordinator, the entry
-that rendezvous hashing selects, lends out what other entries don't use:
+that rendezvous hashing selects, lends out what other entries don't use.
+Entries send it asks, and it answers each with a grant:
 
-* An ask may carry a promise: until that instant the entry stays within its
-  grant, and after the grant's end within the smaller of grant and share.
+* An ask may carry a promise, which is an instant: until then the entry stays
+  within its grant, and after the grant's end within the smaller of grant and
+  share.
 * The coordinator grants an amount until an instant no later than the first
   end of the promises on which the grant is based.  What an entry may run
   without a promise is its static share, which stays reserved for it.
-* A grant counts for as long as the entry may hold it: until an ask names a
-  later one.
+* The coordinator reserves the amount of a grant for as long as the entry may
+  hold the grant: until an ask of the entry names a later one.
 
 The loss of a coordinator therefore doesn't lift a quota: loans end with the
 promises, and the static shares add up to the quota.  Nor does it block a
 quota: an entry promises only while its last ask was answered, and returns to
 its static share when the promise ends.  When entries join or leave, shares
-and grants stay as they were for one lease; a new entry has no share until
-then.
+and grants stay as they were for the length of one lease; a new entry has no
+share until that has passed.
 
 The lease is 4 s: about the time until a change of the configuration is in
 force, and an idle entry's promises cost one message in 2 s for each team
@@ -43,7 +45,7 @@
 ASK_INTERVAL_SECONDS = 0.1
 CLOCK_MARGIN_SECONDS = 0.25
 MAX_HELD_GRANTS = 8
-"""Unconfirmed grants of one entry up to which they aren't merged."""
+"""Number of unconfirmed grants of one entry at which they are merged."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -94,7 +96,11 @@
     held: tuple[messages.QuotaGrant, ...]
 
     def get_loan_end(self) -> float:
-        """Return the end of the promise less the clock margins."""
+        """Return the instant until which others may use the entry's share.
+
+        It is earlier than the end of the promise by the clock margins of the
+        two entries.
+        """
         return self.promise - 2 * CLOCK_MARGIN_SECONDS
 
     def get_reserved(self, share: int, now: float) -> int:
@@ -115,7 +121,8 @@
     def drop_superseded(self, until: float) -> tuple[messages.QuotaGrant, ...]:
         """Return the grants that the entry may hold after it confirmed one.
 
-        :data:`MAX_HELD_GRANTS` unconfirmed grants are merged into one.
+        Once there are :data:`MAX_HELD_GRANTS` unconfirmed grants, they are
+        merged into one.
 
         :param until: end of the confirmed grant; earlier grants are dropped.
         """
@@ -130,7 +137,7 @@
 
 
 class Lender:
-    """The coordinator's side, which lends each quota to the entries."""
+    """The loans of an entry that is the coordinator of teams' quotas."""
 
     def __init__(self) -> None:
         self._loans: dict[str, dict[str, _Loan]] = {}
@@ -145,7 +152,10 @@
     def lend(
         self, layout: Layout, peer: str, ask: messages.QuotaAsk, now: float
     ) -> messages.QuotaGrant:
-        """Return the grant for an ask."""
+        """Return the grant for an ask.
+
+        :param peer: name of the entry that sent the ask.
+        """
         team = ask.team
         loans = self._loans.setdefault(team, {})
         others = [name for name in layout.entries if name != peer]
@@ -196,8 +206,8 @@
             else:
                 pool -= layout.get_share(team, name)
         amount = 0
-        for place, (want, name) in enumerate(sorted(wants)):
-            equal_part = max(0, pool) // (len(wants) - place)
+        for position, (want, name) in enumerate(sorted(wants)):
+            equal_part = max(0, pool) // (len(wants) - position)
             allotted = min(want, equal_part)
             pool -= allotted
             if name == peer:
@@ -210,7 +220,7 @@
 
     :ivar running: tasks that this entry runs.
     :ivar want: tasks that wait or run here.
-    :ivar promise: end of this entry's newest promise.
+    :ivar promise: end of this entry's newest promise; 0 if there is none.
     :ivar last_ask_at: instant of the last ask.
     :ivar last_want: ``want`` of the last ask.
     :ivar answered: whether the last ask was answered.
@@ -237,7 +247,10 @@
 
 
 class Quotas:
-    """One entry's part in all team quotas, as holder and coordinator."""
+    """One entry's part in all team quotas, as borrower and coordinator.
+
+    :param name: name of the entry.
+    """
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -266,9 +279,11 @@
         return team in self._layout.quotas
 
     def get_limit(self, team: str, now: float) -> int:
-        """Return how many tasks of a team with a quota may run here."""
+        """Return how many tasks of a team with a quota this entry may run."""
         layout = (
-            self._previous_layout if self._is_settling(now) else self._layout
+            self._previous_layout
+            if self._uses_previous_layout(now)
+            else self._layout
         )
         quota = self._layout.quotas[team]
         share = min(layout.get_share(team, self._name), quota)
@@ -282,7 +297,10 @@
         return share
 
     def get_free(self, team: str, now: float) -> int:
-        """Return how many tasks of a team with a quota may start now."""
+        """Return how many more tasks of a team with a quota may start now.
+
+        :returns: negative if the limit has fallen below the running tasks.
+        """
         state = self._teams.get(team)
         running = state.running if state else 0
         return self.get_limit(team, now) - running
@@ -307,7 +325,10 @@
 
     def on_tick(self, now: float) -> list[object]:
         """Return the asks that are due, which renew promises."""
-        if self._is_settling(now) or self._name not in self._layout.entries:
+        if (
+            self._uses_previous_layout(now)
+            or self._name not in self._layout.entries
+        ):
             return []
         effects: list[object] = []
         for team in self._layout.quotas:
@@ -337,7 +358,7 @@
             state = self._teams[team] = _TeamState(team)
         return state
 
-    def _is_settling(self, now: float) -> bool:
+    def _uses_previous_layout(self, now: float) -> bool:
         return now < self._changed_at + LEASE_SECONDS + CLOCK_MARGIN_SECONDS
 
     def _is_ask_due(self, team: str, state: _TeamState, now: float) -> bool:
@@ -379,6 +400,6 @@
         layout = self._layout
         if team not in layout.quotas or peer not in layout.entries:
             return False
-        if self._is_settling(now):
+        if self._uses_previous_layout(now):
             return False
         return layout.get_coordinator(team) == self._name
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -1,13 +1,15 @@
 """Retries of refused starts, limited by a budget.
 
-Load pattern: a zone leaves or an agent drains, and the starts on their way
-there are all refused at the same time.  Without a budget each refusal becomes
-another start, and under saturation the system spends its time on starts that
-are refused; without jitter all retries arrive at the same instant.
+Load pattern: a zone is taken out of service or an agent drains, and all starts
+that are on their way to the agents are refused at the same time.  Without a
+budget each refusal becomes another start, and under saturation the system
+spends its time on starts that are refused; without jitter all retries arrive
+at the same instant.
 
 Only a start that an agent refused is retried, so no task starts twice.  Each
-start earns a share of a retry, a tenth in the ordinary preset: refusals above
-that rate are a lasting condition, which retries can't repair.  Unused retries
+start adds a part of a retry to the budget, a tenth in the ordinary preset:
+refusals above that rate are a lasting condition, which retries can't repair.
+Unused retries
 accumulate up to a burst of 200, which covers two refusals of each of the 80
 slots of a whole system.  The first retry is sent within 10 ms, to another
 agent; each later one waits up to twice as long, at most half a second, since
@@ -22,10 +24,13 @@
 from agatepick.decisions import presets
 from agatepick.decisions import queues
 
-BASE_SECONDS = 0.01
-MAX_SECONDS = 0.5
-RETRY_DELAYS = backoff.BackoffDelays(first=BASE_SECONDS, most=MAX_SECONDS)
-"""Upper bounds of the random delays before the retries of one task."""
+FIRST_RETRY_DELAY_SECONDS = 0.01
+MAX_RETRY_DELAY_SECONDS = 0.5
+RETRY_DELAYS = backoff.BackoffDelays(
+    first=FIRST_RETRY_DELAY_SECONDS, most=MAX_RETRY_DELAY_SECONDS
+)
+"""Upper bounds of the random delays before the retries of one task, in
+seconds."""
 
 
 class RetryBudget:
@@ -42,7 +47,7 @@
         self._tokens = min(self._tokens, preset.retry_burst)
 
     def earn(self, number: int) -> None:
-        """Add the tokens that a number of placed tasks earn."""
+        """Add the tokens for a number of placed tasks."""
         tokens = self._tokens + number * self._preset.retry_share
         self._tokens = min(tokens, self._preset.retry_burst)
 
@@ -55,14 +60,14 @@
         """
         if self._tokens < 1.0:
             return None
-        pause = self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempt + 1))
-        if pause >= remaining:
+        delay = self._rng.uniform(0.0, RETRY_DELAYS.get_delay(attempt + 1))
+        if delay >= remaining:
             return None
         self._tokens -= 1.0
-        return pause
+        return delay
 
 
-_Entry = tuple[float, int, queues.Pending]
+_ScheduledRetry = tuple[float, int, queues.Pending]
 """Instant at which the retry is due, order of arrival, the task."""
 
 
@@ -70,7 +75,7 @@
     """A queue of refused tasks, by the instant at which their retry is due."""
 
     def __init__(self) -> None:
-        self._heap: list[_Entry] = []
+        self._heap: list[_ScheduledRetry] = []
         self._sequence = 0
 
     def __len__(self) -> int:
@@ -103,7 +108,7 @@
         removed = [task for task in self if predicate(task)]
         if removed:
             self._heap = [
-                entry for entry in self._heap if not predicate(entry[2])
+                item for item in self._heap if not predicate(item[2])
             ]
             heapq.heapify(self._heap)
         return removed
--- a/src/agatepick/decisions/sizing.py
+++ b/src/agatepick/decisions/sizing.py
@@ -13,15 +13,17 @@
 ]
 
 LAST_TASKS = 8
-"""Tasks that may be the last to end; earlier ones don't delay the job."""
+"""Number of a job's tasks that may be the last to end; tasks that start
+earlier don't delay the job's end."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SizedJob:
     """A job with its tasks grouped by class and its estimate.
 
-    :param groups: indices of its tasks by class; the class and the tasks
-        that are expected to take longest come first.
+    :param groups: indices of its tasks by class.  The class with the longest
+        expected run time comes first, and in each class the task with the
+        longest one.
     """
 
     job: types.JobSpec
@@ -42,8 +44,8 @@
     """Group a job's tasks by class and estimate their run times.
 
     :param classify: returns the class of a task.
-    :param confidence: probability that no task of the job takes longer than
-        ``longest`` of its estimate.
+    :param confidence: probability, 0 to 1, that no task of the job takes
+        longer than ``longest`` of the returned estimate.
     """
     groups, work = _group_tasks(job, classify, run_times)
     for group in groups.values():
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -15,18 +15,20 @@
 from agatepick.net import messages
 from agatepick import types
 
-EXPIRE_SECONDS = 600.0
-"""Time after which a disconnected worker is removed."""
+DISCONNECTED_EXPIRY_SECONDS = 600.0
+"""Time since its last message after which a disconnected worker is removed."""
 MAX_CLASSES = 2048
-"""Indexed classes of task: callers choose kinds, so memory needs a bound."""
+"""Largest number of indexed classes of task.  Callers choose the kinds of
+their tasks, so memory needs a bound."""
 
 SEARCHES_PER_PAUSE = 5
-"""Searches for agents to ask in the pause between two asks of one agent."""
+"""Number of searches for agents to request slots from, in the least time
+between two requests to one agent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AgentInfo:
-    """The location of an agent and the incarnation of its process."""
+    """The name, location and process incarnation of an agent."""
 
     name: str
     incarnation: int
@@ -37,8 +39,9 @@
 class Workers:
     """The workers of all agents that have sent an offer.
 
-    :param leased: whether only leased slots may be filled.
-    :param ejection: standings of the agents.
+    :param leased: whether only leased slots may be filled; otherwise all
+        slots of each worker.
+    :param ejection: standings of the agents, by which some are ejected.
     :ivar limit: number of slots that may be filled, on all workers.
     :ivar running: number of filled slots, on all workers.
     :ivar slots: number of slots of all usable workers, including those
@@ -103,7 +106,9 @@
     def prepare(
         self, zone_share: typing.Callable[[str], float], now: float
     ) -> None:
-        """Apply changes of zones and ejections before a round of placements.
+        """Update all limits before a round of placements.
+
+        They change with the zones' shares and when an ejection expires.
 
         :param zone_share: part of a zone's slots that may be filled, 0 to 1.
         """
@@ -160,7 +165,10 @@
         now: float,
         pause: float,
     ) -> list[str]:
-        """Return agents with spare slots but no recent demand of this entry.
+        """Return the agents to request slots from.
+
+        These have slots that aren't leased to this entry, run none of its
+        tasks, and have exchanged no message with it for ``pause``.
 
         :param pause: least seconds between two messages to one agent.
         """
@@ -180,9 +188,9 @@
     ) -> placement.Requirement:
         """Return the class of a task.
 
-        Its needs are rounded up to the smallest of the capacities that they
-        fit into.  The same workers serve the result, and tasks of slightly
-        different sizes share a class.
+        The task's needs are rounded up to the smallest of the worker
+        capacities that they fit into.  The same workers serve the rounded
+        needs, and tasks of slightly different needs share a class.
         """
         needs = task.needs
         if needs != _NO_NEEDS:
@@ -193,7 +201,7 @@
     def get_index(
         self, requirement: placement.Requirement
     ) -> placement.ClassIndex:
-        """Return the index of the workers of a class of task."""
+        """Return the index of the workers that serve a class of task."""
         index = self._indexes.get(requirement)
         if index is None:
             index = self._create_index(requirement)
@@ -352,7 +360,7 @@
             worker
             for worker in self._workers.values()
             if not worker.connected
-            and worker.last_message_at < now - EXPIRE_SECONDS
+            and worker.last_message_at < now - DISCONNECTED_EXPIRY_SECONDS
             and worker.last_message_at
         ]
         for worker in expired:
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -6,10 +6,11 @@
 take long at the same time, urgent ones among them, and the quantiles on which
 placement relies are distorted for minutes.
 
-The ramp begins at a quarter, so that each worker with eight slots gets two
-tasks to warm up with, and is complete after two seconds, a few run times of
-a sub-second task.  Each return costs three quarters of a second of the
-zone's slots, less than a fifth of what the fence of a departure costs.  The
+The ramp begins at a quarter of the slots, so that each worker with eight slots
+gets two tasks to warm up with, and is complete after two seconds, a few run
+times of a sub-second task.  Each return to service leaves as much capacity
+unused as all the zone's slots have in three quarters of a second, less than a
+fifth of what the fence costs when a zone is taken out.  The
 share grows in eighths, one slot at a time for a worker with eight, because
 each step updates the indexes of all the zone's workers.
 """
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -405,7 +405,7 @@
 
     Without a quota the jobs of other teams would wait for them to end.
     """
-    dispatcher = make_dispatch(agents=1, slots=8, name='e')
+    dispatcher = make_dispatch(agents=1, slots=8, entry_name='e')
     dispatcher.quotas.configure({'heavy': 5}, ('e',), 0.0)
     dispatcher.enqueue(make_job('heavy', tasks=20), 0.0)
     dispatcher.enqueue(make_job('light', tasks=2), 0.0)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -33,7 +33,7 @@
 def test_no_retry_is_put_off_past_the_deadline(attempt, left):
     pause = _budget().spend_token(attempt, left)
     assert pause is None or 0.0 <= pause < left
-    assert pause is None or pause <= retries.MAX_SECONDS
+    assert pause is None or pause <= retries.MAX_RETRY_DELAY_SECONDS
 
 
 def test_retries_of_simultaneous_refusals_are_spread():
