--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -1,9 +1,9 @@
-"""The agent's reducer, which handles every task start at an upstream.
+"""The agent's reducer, through which every task of an upstream is started.
 
 The agent connects to the entries, leases its upstream's slots to them, starts
 each task at most once, reports the outcome, and drains.  It doesn't read the
-cluster's configuration: entries send it the ``Members``, and every start
-message contains the time before which its tasks may start.
+cluster's configuration: entries send it the members in ``Members`` messages,
+and every start message contains the time before which its tasks may start.
 """
 
 import dataclasses
@@ -24,17 +24,21 @@
 from agatepick import types
 
 LATE_START_SECONDS = 60.0
-"""Tasks of a job admitted at the end of the window start a little later."""
+"""Time for which a key stays valid at an agent after the retention window.  A
+job that is admitted at the end of the window starts its tasks a little later.
+"""
 PAUSE_GAP_SECONDS = 1.0
-"""Time between ticks above which this process was paused: four ticks."""
+"""Time between two ticks above which this process must have been paused; it is
+four times the usual interval."""
 RESULT_WAIT_SECONDS = 5.0
-"""How long a stopping agent waits for entries to fetch their results."""
+"""How long a stopping agent waits for disconnected entries to return and
+request their tasks' results."""
 
 REASON_INCARNATION = 'other_incarnation'
-REASON_LAPSED = 'upstream_lapsed'
+REASON_ANNOUNCEMENT_EXPIRED = 'upstream_lapsed'
 REASON_REMOVED = 'owner_removed'
 REASON_RESTARTED = 'upstream_restarted'
-REASON_SETTLED = 'settled'
+REASON_NOT_STARTED_AT_SETTLE = 'settled'
 REASON_STOPPED = 'job_stopped'
 
 
@@ -45,11 +49,14 @@
     :param seeds: addresses of entries, ``ip:port``.
     :param retention_seconds: seconds for which a job's key is valid.
     :param skew_seconds: seconds that a key may be stamped ahead of a clock.
-    :param clock_margin: largest accepted offset from an entry's clock, in
-        seconds.
+    :param clock_margin: largest offset between the agent's clock and an
+        entry's at which the agent starts that entry's tasks, in seconds.
     :param result_delay: longest time that a report is held for batching, in
         seconds.
     :param lease_seconds: longest term of an upstream's announcement.
+    :param max_tasks: number of recorded attempts from which on the agent
+        refuses new ones.
+    :param max_body_bytes: limit of all stored answers of tasks together.
     """
 
     name: types.PeerName
@@ -122,7 +129,7 @@
             self._upstream_state, self._draining, now
         )
         effects += self._exit_when_done(now)
-        wake_at = self._reporting.next_at()
+        wake_at = self._reporting.next_due_at()
         if wake_at is not None:
             effects.append(core.WakeAt(wake_at))
         return effects
@@ -214,10 +221,15 @@
         if not self._successors.update_members(message):
             return []
         dials = self._entries.dial_listed(self._successors.listed())
-        return dials + self._report_removals(now)
+        return dials + self._report_to_successors(now)
 
-    def _report_removals(self, now: float) -> list[object]:
-        """Send reports to successors when a removal has come into force."""
+    def _report_to_successors(self, now: float) -> list[object]:
+        """Return the reports to successors after a removal came into force.
+
+        The reports are about the tasks of removed entries, and are sent again
+        after each change of the members.  A connected entry whose own removal
+        is in force loses its credits.
+        """
         if not self._successors.update_removals(now):
             return []
         effects: list[object] = []
@@ -238,8 +250,8 @@
     ) -> list[object]:
         owner = ledger.Owner(message.owner, message.owner_incarnation)
         if owner != entry.owner:
-            # The message is a delayed one of an earlier incarnation of the
-            # entry; no caller waits for its answer any more.
+            # An earlier incarnation of the entry sent this message, which was
+            # delayed; no caller waits for an answer of that incarnation.
             return [core.note('not_its_owner', peer=entry.owner.name)]
         effects: list[object] = []
         for task in message.tasks:
@@ -281,7 +293,7 @@
         task: messages.StartTask,
         now: float,
     ) -> str:
-        """Return why a new attempt is refused; empty if it may start."""
+        """Return the reason to refuse a new attempt; empty if it may start."""
         if self._stopping_at is not None:
             return startcheck.REASON_LEAVING
         if self._successors.is_removed(entry.owner):
@@ -327,7 +339,7 @@
             report = self._find_report(message.agent_incarnation, ref, now)
             if report is None:
                 report = self._ledger.refuse(
-                    ref, entry.owner, REASON_SETTLED, now
+                    ref, entry.owner, REASON_NOT_STARTED_AT_SETTLE, now
                 )
             self._reporting.report_now(entry.owner, report)
         return []
@@ -389,10 +401,12 @@
             self._upstream_state.extend_term(now)
         lost_tasks = self._upstream_state.expire(now)
         if lost_tasks is not None:
-            self._reporting.report_lost(lost_tasks, REASON_LAPSED, now)
+            self._reporting.report_lost(
+                lost_tasks, REASON_ANNOUNCEMENT_EXPIRED, now
+            )
             self._resize()
         self._ledger.delete_expired(now)
-        return [*self._entries.dial_seeds(), *self._report_removals(now)]
+        return [*self._entries.dial_seeds(), *self._report_to_successors(now)]
 
     def _on_stop(self, now: float) -> list[object]:
         if self._stopping_at is None:
@@ -409,7 +423,7 @@
         ):
             return []
         wait_over = now - self._stopping_at >= RESULT_WAIT_SECONDS
-        if self._reporting.next_at() is not None:
+        if self._reporting.next_due_at() is not None:
             return []
         if self._reporting.has_undelivered() and not wait_over:
             return []
--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -20,7 +20,8 @@
 
 MAX_BODY_BYTES = 64 * 1024
 RENEWALS_PER_TERM = 3
-"""An announcement survives the loss of two renewals in a row."""
+"""Number of renewals in the term of an announcement.  With three, it stays in
+force if two renewals in a row are lost."""
 
 Feed = typing.Callable[[object], None]
 
@@ -77,7 +78,10 @@
 def build_server(
     feed: Feed, cfg: settings.Upstreams
 ) -> tornado.httpserver.HTTPServer:
-    """Return an HTTP server that feeds announcements to an agent."""
+    """Return the HTTP server for the upstream of an agent.
+
+    :param feed: callback that passes an event to the agent's reducer.
+    """
     handler_args = {'feed': feed, 'cfg': cfg}
     app = tornado.web.Application(
         [('/v1/upstream', _UpstreamHandler, handler_args)],
@@ -186,7 +190,10 @@
 
 
 def _field(fault: str) -> str:
-    """Return the field in an error of msgspec, as `slots` or `kinds[0]`."""
+    """Return the name of the invalid field from the text of msgspec's error.
+
+    It has the form `slots` or `kinds[0]`; empty for the body as a whole.
+    """
     _, has_path, path = fault.rpartition('`$')
     if has_path:
         return path.rstrip('`').lstrip('.')
--- a/src/agatepick/agentside/entries.py
+++ b/src/agatepick/agentside/entries.py
@@ -1,8 +1,8 @@
 """An agent's connections to entries, and the offsets of their clocks.
 
-The agent always dials the seeds from the settings.  A seed's address serves
-as its name until the entry has sent its own.  Other entries are dialled while
-they are listed.
+The agent always dials the seeds, the addresses of entries in its settings.  A
+seed's address serves as the entry's name until the entry has sent its name.
+Other entries are dialled while they are listed.
 """
 
 import collections.abc
@@ -19,8 +19,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ConnectedEntry:
-    """A connected entry.
+    """An entry that is connected to the agent.
 
+    :param owner: name and incarnation of the entry.
+    :param clock: estimated offset of the entry's clock from the agent's.
     :param joined: whether the entry may get credits.
     """
 
@@ -32,7 +34,10 @@
 
 
 class Entries:
-    """The entries that are connected or dialled."""
+    """The entries that are connected or dialled.
+
+    :param seeds: addresses of entries, ``ip:port``.
+    """
 
     def __init__(self, seeds: tuple[str, ...]):
         self._seeds = seeds
--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -24,8 +24,9 @@
 ACTION_SECONDS = 5.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_CLIENTS = 100_000
-"""The limit is far above the number of slots: a started task that waited in
-the client's queue could run after the time before which it may start."""
+"""Largest number of open requests.  It is far above the number of slots: a
+started task that waited in the client's queue could run after the time before
+which it may start."""
 
 NO_ANSWER = 599
 """Status that the client returns when there was no complete answer."""
@@ -48,7 +49,7 @@
 class HttpUpstream:
     """An :class:`.upstream.Upstream` that runs tasks over HTTP.
 
-    :param feed: callback that receives the agent's events.
+    :param feed: callback that passes an event to the agent's reducer.
     """
 
     def __init__(self, feed: typing.Callable[[object], None]):
@@ -66,7 +67,7 @@
         self._spawn(self._run(effect))
 
     def stop(self, effect: upstream.StopTask) -> None:
-        """Send an action to a task; a failure is logged, not retried."""
+        """Request an action of a task; a failure is logged, not retried."""
         self._spawn(self._request_action(effect))
 
     def close(self) -> None:
@@ -106,7 +107,8 @@
                 body=effect.payload,
                 headers=_build_headers(effect),
                 connect_timeout=CONNECT_SECONDS,
-                # The announcement's term limits the wait, not a timeout.
+                # No timeout is needed: the agent reports the task as lost
+                # once the upstream's announcement has expired.
                 request_timeout=0,
                 follow_redirects=False,
                 decompress_response=False,
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -1,11 +1,11 @@
 """The agent's records of task attempts, which ensure at-most-once starts.
 
 An agent's process starts each task of a job at most once.  The refusal of an
-attempt is final for that attempt and all earlier ones, so a copy of the
+attempt is final for that attempt and all earlier ones, so a copy of the start
 message that arrives later can't make the answer "not run" false.  A record is
-kept longer than the retention window of its job's key.  A task of an older
-key is neither started nor reported as "not run", since its record may have
-been deleted.
+kept longer than the retention window of its job's key.  A task whose key is
+older than that is neither started nor reported as "not run", since its record
+may have been deleted.
 """
 
 import collections.abc
@@ -18,14 +18,15 @@
 from agatepick import types
 
 MAX_TASKS = 200_000
-"""Eight slots at 50 ms a task fill 96,000 records in the window of 600 s; the
-limit is about twice that, to leave room for refusals."""
+"""Number of recorded attempts from which on new ones are refused.  Eight slots
+at 50 ms a task fill 96,000 records in the window of 600 s; the limit is about
+twice that, to leave room for refusals."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
-"""Limit for answers stored for takeovers: 8 slots with 100-byte answers need
-10 MB in a window."""
+"""Limit of all tasks' answers that are stored for takeovers: 8 slots with
+100-byte answers need 10 MB in a window."""
 
 REASON_FULL = 'ledger_full'
-REASON_BODY = 'answer_dropped'
+REASON_ANSWER_DROPPED = 'answer_dropped'
 
 _STARTED_STATES = frozenset(
     (
@@ -38,7 +39,11 @@
 
 
 def task_digest(team: str, kind: str, payload: bytes) -> bytes:
-    """Return a digest that identifies a task among others of its index."""
+    """Return a digest that differs between tasks of different requests.
+
+    It tells whether the tasks at the same index of two requests with the same
+    key are equal.
+    """
     head = f'{team}\0{kind}\0'.encode()
     return xxhash.xxh3_128_digest(head + payload)
 
@@ -73,9 +78,13 @@
 class Ledger:
     """Records of all attempts that an agent started or refused in the window.
 
-    :param retention: seconds after a key's stamp in which its tasks start.
-    :param slack: seconds that a key may be stamped ahead of this clock, clock
-        error included; records are kept that much longer.
+    :param retention: seconds after a key's stamp in which tasks of its job may
+        start.
+    :param slack: seconds that a key may be stamped ahead of the agent's clock,
+        clock error included; records are kept that much longer.
+    :param max_tasks: number of recorded attempts from which on new ones are
+        refused.
+    :param max_body_bytes: limit of all stored answers of tasks together.
     """
 
     def __init__(
@@ -103,8 +112,8 @@
         """Return the report for a recorded or invalid attempt.
 
         A copy of a recorded attempt gets the recorded state, and so does any
-        attempt for a task that was started.  An attempt later than a refused
-        one is new.
+        attempt for a task that was started.  After a refused attempt, one with
+        a higher number is new.
 
         :returns: ``None`` if the attempt may be started.
         """
@@ -143,9 +152,9 @@
     ) -> messages.TaskReport:
         """Permanently refuse an attempt that :meth:`find_report` allowed.
 
-        At twice the record limit, refusals aren't stored either.  The report
-        is then "lost", which stays correct even if a copy of the message
-        starts the task later.
+        From twice the limit of recorded attempts on, refusals aren't recorded
+        either.  The report is then "lost", which stays correct even if a copy
+        of the start message starts the task later.
         """
         if self._tasks >= 2 * self._max_tasks and not self._has_task(ref):
             return _report_without_record(
@@ -215,7 +224,7 @@
         return record.owner if record is not None else None
 
     def is_full(self) -> bool:
-        """Return whether the limit of stored attempts is reached."""
+        """Return whether the limit of recorded attempts is reached."""
         return self._tasks >= self._max_tasks
 
     def iter_started(
@@ -269,7 +278,8 @@
     def _touch(self, key: types.JobKey, owner: Owner, now: float) -> _Job:
         job = self._jobs.pop(key, None) or _Job(owner, now)
         job.touched_at = now
-        # The job moves to the end; ``delete_expired`` deletes from the front.
+        # The job moves to the end, as ``delete_expired`` deletes jobs from
+        # the front.
         self._jobs[key] = job
         return job
 
@@ -289,7 +299,7 @@
             self._delete_body(oldest)
             # A job is complete only with the answers of all its tasks.
             oldest.state = types.TaskState.LOST
-            oldest.reason = REASON_BODY
+            oldest.reason = REASON_ANSWER_DROPPED
 
     def _delete_body(self, task: _Task) -> None:
         if task.body:
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -15,11 +15,14 @@
 
 MAX_REPORTS = 1000
 MAX_BYTES = 4 * 1024 * 1024
-"""Limits of the reports in a message, far below the largest frame size."""
+"""Limits of one message: the number of its reports, and the size of their
+bodies, which is far below the largest frame size."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Queue:
+    """The reports for one owner, and when the last ones were sent to it."""
+
     sent_at: float
     reports: list[messages.TaskReport] = dataclasses.field(
         default_factory=list
@@ -46,7 +49,7 @@
         self._due_at.setdefault(owner, queue.sent_at + self._delay)
 
     def make_due(self, owner: ledger.Owner) -> None:
-        """Make an owner's queued reports due at the next :meth:`list_due`."""
+        """Make an owner's queued reports due at once."""
         if owner in self._due_at:
             self._due_at[owner] = 0.0
 
@@ -58,8 +61,11 @@
         """Return the owners whose reports are due."""
         return [owner for owner, at in self._due_at.items() if at <= now]
 
-    def next_at(self) -> float | None:
-        """Return when reports are due next; ``None`` if none are queued."""
+    def next_due_at(self) -> float | None:
+        """Return the instant at which the next reports are due.
+
+        :returns: ``None`` if no report is queued.
+        """
         return min(self._due_at.values(), default=None)
 
     def pop(
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -1,8 +1,9 @@
 """Messages of an agent to entries: task reports and offers of slots.
 
-A report is sent to the owner of its job while that is connected.  A report
-that can't be sent stays in the ledger: its owner requests it by ``Settle``
-after reconnecting, and a successor receives it in ``Orphans``.
+A report is sent to the owner of its job while the owner is connected.  A
+report that can't be sent stays in the ledger: the owner requests it in a
+``Settle`` message after reconnecting, or its successor receives it in an
+``Orphans`` message after the owner's removal.
 """
 
 from agatepick.agentside import entries
@@ -41,7 +42,7 @@
         self._offer_to: set[ledger.Owner] = set()
 
     def join(self, entry: entries.ConnectedEntry) -> None:
-        """Start to give an entry credits."""
+        """Start giving credits to an entry."""
         entry.joined = True
         self._slots.join(entry.owner)
         self._offer_to.add(entry.owner)
@@ -61,29 +62,38 @@
         )
 
     def has_undelivered(self) -> bool:
-        """Return whether an owner that isn't removed lacks any reports."""
+        """Return whether any owner that isn't removed has yet to get reports.
+
+        These are reports that couldn't be sent while it was disconnected.
+        """
         return any(
             not self._successors.is_removed(owner)
             for owner in self._undelivered
         )
 
     def clear_undelivered(self, owner: ledger.Owner) -> None:
-        """Clear an owner's undelivered reports after its ``Settle``."""
+        """Clear an owner's undelivered reports, requested by ``Settle``."""
         self._undelivered.discard(owner)
 
-    def next_at(self) -> float | None:
-        """Return when reports are due next; ``None`` if none are queued."""
-        return self._outbox.next_at()
+    def next_due_at(self) -> float | None:
+        """Return the instant at which the next reports are due.
+
+        :returns: ``None`` if no report is queued.
+        """
+        return self._outbox.next_due_at()
 
     def report_now(
         self, owner: ledger.Owner, report: messages.TaskReport
     ) -> None:
-        """Report to an owner that sent a request, without delay."""
+        """Queue a report, due at once, for an owner that sent a request."""
         self._queue_report(owner, report)
         self._outbox.make_due(owner)
 
     def report_end(self, report: messages.TaskReport | None) -> None:
-        """Report a task's end to the current owner of its job."""
+        """Report a task's end to the current owner of its job.
+
+        :param report: ``None`` if there is nothing to report.
+        """
         if report is None:
             return
         first = self._ledger.owner(report.job)
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -1,9 +1,9 @@
 """An agent's upstream: its announcement and the tasks that run there.
 
 A running task holds its slot and resources until the upstream has reported
-its end, even after the agent has marked it as lost: an upstream whose
-announcement expired because it was paused still runs its tasks, and if their
-slots were leased again, two tasks would use one slot.
+the task's end, even after the agent has marked the task as lost.  An upstream
+whose announcement expired because its process was paused still runs its tasks,
+and if their slots were leased again, two tasks would use one slot.
 """
 
 import dataclasses
@@ -18,6 +18,8 @@
 class RunningTask:
     """A task that holds a slot.
 
+    :param entry: entry that owns the task's job.
+    :param session: session of the upstream that runs the task.
     :param lost: whether the task was reported as lost; its end then only
         releases the slot.
     """
@@ -66,7 +68,8 @@
     ) -> list[RunningTask]:
         """Store an announcement.
 
-        :returns: the tasks of earlier sessions, which have ended with them.
+        :returns: the removed tasks of earlier sessions, whose processes have
+            ended.
         """
         self._announced = event
         self._expires_at = now + min(event.term, self._max_term)
@@ -93,8 +96,8 @@
     def mark_unreachable(self, session: str) -> bool:
         """Delete the announcement of an upstream that refuses connections.
 
-        Its running tasks are kept: the connection of each task reports its
-        end.
+        The running tasks are kept: the agent learns the end of each from the
+        task's own connection.
 
         :returns: whether the session is the announced one.
         """
@@ -118,13 +121,16 @@
         return lost
 
     def extend_term(self, now: float) -> None:
-        """Extend the announcement by a whole term from now."""
+        """Extend the announcement to a whole term from ``now`` on."""
         if self._announced is not None:
             term = min(self._announced.term, self._max_term)
             self._expires_at = max(self._expires_at, now + term)
 
     def has_room(self, needs: types.Needs) -> bool:
-        """Return whether the worker has a task's resources free."""
+        """Return whether a task's needs fit into the worker's free resources.
+
+        Without an announcement nothing fits.
+        """
         if self._announced is None:
             return False
         running_needs = [task.needs for task in self._tasks.values()]
@@ -179,7 +185,10 @@
     def end(
         self, job: types.JobKey, index: int, attempt: int
     ) -> RunningTask | None:
-        """Remove and return a task that ended; ``None`` if it didn't run."""
+        """Remove and return a task that ended.
+
+        :returns: ``None`` if this attempt of the task wasn't running.
+        """
         task = self._tasks.get((job, index))
         if task is None or task.attempt != attempt:
             return None
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -24,12 +24,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
+    """The slots leased to one entry, and its running and waiting tasks."""
+
     credits: int = 0
     running: int = 0
     waiting: int = 0
 
     @property
     def need(self) -> int:
+        """Number of slots that the entry could fill."""
         return self.running + self.waiting
 
 
@@ -91,7 +94,7 @@
                 self._unleased_running[entry] = lease.running
 
     def set_demand(self, entry: ledger.Owner, waiting: int) -> None:
-        """Set the number of tasks that an entry can't place."""
+        """Set the number of tasks for which an entry requests more slots."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.waiting = waiting
@@ -155,9 +158,10 @@
     limits: dict[ledger.Owner, int],
     remaining: int,
 ) -> int:
-    """Add ``remaining`` slots one by one to the lowest share below its limit.
+    """Add free slots one by one to the lowest share that is below its limit.
 
-    :returns: the number of slots that remain.
+    :param remaining: number of free slots.
+    :returns: number of slots that remain free.
     """
     while remaining > 0:
         below = [name for name in shares if shares[name] < limits[name]]
--- a/src/agatepick/agentside/startcheck.py
+++ b/src/agatepick/agentside/startcheck.py
@@ -1,7 +1,7 @@
 """Checks that an agent makes before it starts a new attempt.
 
-Every refusal is reported as "not run" and stored in the ledger, so that the
-report stays correct.
+Every refusal is reported as "not run" and stored in the ledger, so that a
+delayed copy of the start message is refused too and the report stays correct.
 """
 
 import dataclasses
@@ -24,7 +24,8 @@
 class Permit:
     """An owner's permit to start tasks until a time of the owner's clock.
 
-    :param offset: the owner's clock minus the agent's.
+    :param start_before: end of the permit by the owner's clock, in seconds.
+    :param offset: the owner's clock minus the agent's, in seconds.
     """
 
     start_before: float
@@ -35,9 +36,11 @@
 
         The fence before a change is in force covers clocks that are at most
         ``margin`` apart.  With a larger offset, a task could start in a zone
-        after that was taken out.  The permit's end by the agent's clock is
-        uncertain by the error of the offset, so the permit ends that much
-        earlier.
+        after the zone was taken out of service.  The permit's end by the
+        agent's clock is uncertain by the error of the offset, so the permit
+        ends that much earlier.
+
+        :param margin: seconds.
         """
         if not self.offset.within(margin):
             return REASON_CLOCK
@@ -53,8 +56,9 @@
 ) -> str:
     """Return why the upstream can't run a task now; empty if it can.
 
-    A start under a lease that has just moved is accepted while a slot is
-    free.  Two tasks in one slot would slow down every task on the worker.
+    A start for a slot whose lease has just moved to another entry is accepted
+    while any slot is free.  Two tasks in one slot would slow down every task
+    on the worker.
     """
     if upstream_state.announced is None:
         return REASON_NO_UPSTREAM
--- a/src/agatepick/agentside/upstream.py
+++ b/src/agatepick/agentside/upstream.py
@@ -24,8 +24,8 @@
     """Event: an upstream announced itself or renewed its announcement.
 
     :param session: identifier of the upstream's process; a new session means
-        that the tasks of the previous one have ended.
-    :param slots: number of tasks that the upstream runs at once.
+        that the tasks of the previous session have ended.
+    :param slots: number of tasks that the upstream can run at once.
     :param term: seconds after which the announcement expires.
     """
 
@@ -55,10 +55,11 @@
 class TaskEnded:
     """Event: a task ended, or its outcome can no longer be determined.
 
-    Every :class:`RunTask` is followed by exactly one of these, unless the
+    Every :class:`RunTask` is followed by exactly one such event, unless the
     agent's process ends first.
 
     :param state: ``FINISHED``, ``FAILED``, or ``LOST`` when no answer came.
+    :param reason: why the task failed or was lost; empty if it finished.
     :param seconds: run time of the task.
     """
 
@@ -73,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunTask:
-    """Effect: run a task at the upstream, now and once.
+    """Effect: run a task once at the upstream, without delay.
 
     :param session: session of the upstream for which the task was accepted.
     """
@@ -91,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """Effect: stop, throttle or checkpoint a running task."""
+    """Effect: request an action, such as a stop, of a running task."""
 
     job: types.JobKey
     index: int
@@ -100,12 +101,12 @@
 
 
 class Upstream(typing.Protocol):
-    """A runner of tasks that reports their ends through its ``feed``."""
+    """A runner of an agent's tasks, which passes events to the reducer."""
 
     def run(self, effect: RunTask) -> None:
-        """Start a task; its end is fed as one :class:`TaskEnded`."""
+        """Start a task and pass on its end as one :class:`TaskEnded`."""
         ...
 
     def stop(self, effect: StopTask) -> None:
-        """Send an action to a running task; its result is not fed."""
+        """Request an action of a running task; no event follows."""
         ...
--- a/src/agatepick/owning/agentlist.py
+++ b/src/agatepick/owning/agentlist.py
@@ -46,7 +46,8 @@
     def is_current(self, name: types.PeerName, incarnation: int) -> bool:
         """Return whether an incarnation of an agent is the connected one.
 
-        Messages of an earlier incarnation about slots and tasks are invalid.
+        Messages that an earlier incarnation sent about its slots and tasks
+        are invalid.
         """
         hello = self.connected.get(name)
         return hello is not None and hello.incarnation == incarnation
--- a/src/agatepick/owning/answers.py
+++ b/src/agatepick/owning/answers.py
@@ -83,7 +83,7 @@
 def build_key_reused(
     key: types.JobKey, peer: types.PeerName
 ) -> types.JobAnswer:
-    """Return the answer for a different body under a key in use."""
+    """Return the answer for a request whose key belongs to another body."""
     return types.JobAnswer(
         key,
         types.JobStatus.NOT_RUN,
@@ -108,10 +108,13 @@
     )
 
 
-def build_gathering(
+def build_takeover_pending(
     key: types.JobKey, peer: types.PeerName
 ) -> types.JobAnswer:
-    """Return the answer while agents still report a removed entry's tasks."""
+    """Return the answer "pending" for a job whose takeover isn't complete.
+
+    The job's entry was removed, and agents still report its tasks.
+    """
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -126,7 +129,10 @@
 def build_submit_again(
     key: types.JobKey, peer: types.PeerName
 ) -> types.JobAnswer:
-    """Return the status answer for a job known only from agents' reports."""
+    """Return the answer to a status request that asks for a resubmission.
+
+    The job's entry was removed, so the job is known only from agents' reports.
+    """
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -1,12 +1,13 @@
 """Entries whose processes have ended while they are still listed.
 
 If an entry is killed while the store is down, its removal can't be written.
-Without this module every new key that hashes to it would wait for the store
-and fail in the end: half of all jobs in a cluster with two entries.
+Without this module every request with a new key that hashes to the killed
+entry would wait for the store and fail in the end: half of all jobs in a
+cluster with two entries.
 
 A process whose address refuses connections has ended.  It can't have accepted
-a key that was stamped long enough after that, so the next entry in hash order
-may own the key at once.  Two live entries never own the same key: each
+a key that was stamped long enough after its end, so the next entry in hash
+order may own the key at once.  Two live entries never own the same key: each
 accepts a key only if it ranks first among the entries that it has not
 recorded as dead, and a live entry is never recorded as dead.
 
@@ -42,10 +43,10 @@
         """Return the members without those that died before the key's stamp.
 
         A dead entry neither owns the key nor has to be taken over from,
-        whether or not it is removed.  Ownership and takeover must use the
-        same members.  Otherwise, after an entry that served a dead entry's
-        keys is lost itself, it would not count as their former owner, and
-        its jobs would run again.
+        whether or not its removal is in force.  Ownership and takeover must
+        use the same members.  Otherwise an entry that served a dead entry's
+        keys and was then lost itself would not count as their former owner,
+        and its jobs would run again.
         """
         if not self._death_times:
             return members
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -41,7 +41,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryConfig:
-    """Configuration of an entry's reducer."""
+    """Configuration of an entry's reducer.
+
+    :param me: this entry as a member of the cluster.
+    :param limits: limits of the jobs that this entry owns.
+    """
 
     me: messages.Member
     configuration: configuration.ConfigurationSettings
@@ -272,9 +276,9 @@
             if member.name != self._me.name
         ]
         successor = ownership.find_owner(spec.key, others, self._skew)
-        # A job is handed over to one successor only: a second one would have
-        # no record of the tasks that the first one started, so its answer
-        # "not run" could be false.
+        # A job is handed over to one successor only: a second successor would
+        # have no record of the tasks that the first one started, so its
+        # answer "not run" could be false.
         if successor is not None and successor.name in self._entries_up:
             target = self._handover_targets.setdefault(spec.key, successor)
             if (target.name, target.incarnation) == (
@@ -334,13 +338,13 @@
             self.owner.on_agent_down(event.peer, now)
             return []
         self._entries_up.discard(event.peer)
-        self._note_death(event, now)
+        self._record_death(event, now)
         return [
             *self._deliver_all(self.forwarding.close_requests(event.peer)),
             *self.configuration.on_peer_down(event, now),
         ]
 
-    def _note_death(self, event: core.PeerDown, now: float) -> None:
+    def _record_death(self, event: core.PeerDown, now: float) -> None:
         member = self.configuration.latest.member(event.peer)
         if not event.dead or member is None:
             return
@@ -365,7 +369,7 @@
             *self.configuration.on_tick(now),
             *self.dispatch.quotas.on_tick(now),
             *self.owner.on_tick(now),
-            *self._leave_when_done(now),
+            *self._exit_when_done(now),
         ]
 
     def _on_stop(self, event: core.StopRequested, now: float) -> _Effects:
@@ -374,7 +378,7 @@
             self._stopped_at = now
         return [core.note('entry_stopping')]
 
-    def _leave_when_done(self, now: float) -> _Effects:
+    def _exit_when_done(self, now: float) -> _Effects:
         if not self._stopping or self._exited:
             return []
         if self.owner.jobs.running() or len(self.forwarding):
--- a/src/agatepick/owning/forwarding.py
+++ b/src/agatepick/owning/forwarding.py
@@ -20,7 +20,11 @@
 def build_pending(
     key: types.JobKey, reason: str, peer: str = ''
 ) -> types.JobAnswer:
-    """Return the answer that the outcome is pending, with a retry time."""
+    """Return the answer "pending", with a retry time.
+
+    :param reason: why the job's outcome isn't known yet.
+    :param peer: name of the entry that the reason is about.
+    """
     return types.JobAnswer(
         key,
         types.JobStatus.PENDING,
@@ -34,6 +38,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ForwardedRequest:
+    """A forwarded request, with the caller that waits for its answer."""
+
     waiter: jobs.Waiter
     key: types.JobKey
     owner: types.PeerName
@@ -66,7 +72,11 @@
         team: str,
         specs: tuple[types.JobSpec, ...] = (),
     ) -> list[object]:
-        """Forward a request; :meth:`complete` returns its answer."""
+        """Forward a request; :meth:`complete` returns its answer.
+
+        :param action: what the owner shall do, such as ``submit``.
+        :param specs: the job to submit; empty for other actions.
+        """
         request = self._next_id
         self._next_id += 1
         self._requests[request] = _ForwardedRequest(waiter, key, owner)
@@ -74,7 +84,10 @@
         return [core.Send(owner, forward)]
 
     def complete(self, message: messages.Forwarded) -> list[WaiterAnswer]:
-        """Return the owner's answer with its waiter, if one still waits."""
+        """Remove the request that a message answers.
+
+        :returns: the answer with its waiter; empty if the request was closed.
+        """
         forwarded = self._requests.pop(message.request, None)
         if forwarded is None:
             return []
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SettledJob:
+class EndedJob:
     """A job's final answer and the waiters to send it to."""
 
     waiters: tuple[Waiter, ...]
@@ -47,7 +47,10 @@
 class TaskRecord:
     """One task of an owned job.
 
-    :param agent: agent that the task was sent to; empty while it is queued.
+    :param agent: agent that the task was sent to; empty while the task is
+        queued and after its end was reported.
+    :param incarnation: incarnation of that agent.
+    :param attempt: number of the newest attempt, from 0.
     :param adopted: whether the task was started for an entry that has been
         removed.
     """
@@ -60,7 +63,12 @@
 
 
 class Job:
-    """One owned job."""
+    """A job that an entry owns.
+
+    :ivar open: number of tasks without an outcome.
+    :ivar waiters: callers that wait for the final answer.
+    :ivar answer: final answer; ``None`` until the job has ended.
+    """
 
     def __init__(self, spec: types.JobSpec, now: float):
         self.spec = spec
@@ -96,7 +104,11 @@
         step: str = '',
         peer: str = '',
     ) -> None:
-        """Record a task's outcome unless it has one already."""
+        """Record a task's outcome unless the task has one already.
+
+        :param step: step of the job's handling at which the task ended.
+        :param peer: name of the process at which the task ended.
+        """
         record = self.tasks[index]
         if record.answer is not None or self.answer is not None:
             return
@@ -106,7 +118,7 @@
         self.open -= 1
 
     def pending(self) -> types.JobAnswer:
-        """Return the answer to status requests before the job has ended."""
+        """Return the answer "pending", sent until the job has ended."""
         return types.JobAnswer(
             self.spec.key,
             types.JobStatus.PENDING,
@@ -119,7 +131,7 @@
 class Jobs:
     """All jobs that an entry owns, by key.
 
-    :param retention_seconds: time that an ended job is stored.
+    :param retention_seconds: time for which an ended job is stored.
     """
 
     def __init__(self, retention_seconds: float):
@@ -137,7 +149,7 @@
         return self._jobs.get(key)
 
     def refusal(self, key: types.JobKey) -> types.JobAnswer | None:
-        """Return the stored refusal of a key, or ``None``."""
+        """Return the stored answer to a refused key, or ``None``."""
         return self._refusals.get(key)
 
     def running(self) -> list[Job]:
@@ -161,10 +173,11 @@
         self._running[spec.key] = job
         return job
 
-    def settle(self, job: Job, now: float) -> SettledJob | None:
-        """End a job that has no open task.
+    def settle(self, job: Job, now: float) -> EndedJob | None:
+        """End a job whose tasks all have an outcome.
 
-        :returns: the answer and its waiters; ``None`` while a task is open.
+        :returns: the final answer and its waiters; ``None`` while a task is
+            open or if the job had ended before.
         """
         if job.open or job.ended:
             return None
@@ -174,7 +187,7 @@
         self._record_end(job.spec.key, now)
         waiters = tuple(job.waiters)
         job.waiters.clear()
-        return SettledJob(waiters, job.answer)
+        return EndedJob(waiters, job.answer)
 
     def delete_expired(self, now: float) -> None:
         """Delete jobs and refusals that ended before the retention window."""
@@ -194,9 +207,9 @@
     def list_open_tasks(
         self, agent: types.PeerName
     ) -> list[tuple[Job, messages.TaskRef, int]]:
-        """Return the open tasks of an agent.
+        """Return the tasks without an outcome that were sent to an agent.
 
-        :returns: job, task and the agent's incarnation at the start.
+        :returns: job, task and the agent's incarnation at the task's start.
         """
         open_tasks = []
         for job in self.running():
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -1,8 +1,8 @@
 """Job handling at the owner: admission, start, end and answer.
 
 One :class:`Owner` holds all jobs whose keys hash to its entry.  A task is
-sent to one agent at a time.  Its attempt number grows only after an agent's
-refusal has arrived; a start with an unknown result is never repeated.
+sent to one agent at a time.  The task's attempt number grows only after an
+agent's refusal has arrived; a start with an unknown result is never repeated.
 """
 
 import dataclasses
@@ -27,13 +27,13 @@
 
 STOP = 'stop'
 LEASE_GRACE_SECONDS = 1.0
-"""How long jobs are admitted after a read lease expired.
+"""How long an entry admits jobs after its lease on the configuration expired.
 
 A process that was paused for longer than its lease renews it within some
 milliseconds after it resumes.  If jobs were refused until then, each long
-garbage collection or slow read would fail requests.  No task starts without a
-lease, so admitted jobs wait for it.  After this second the store counts as
-unreachable, and new jobs are refused at once.
+garbage collection or slow read of the store would fail requests.  No task
+starts without a lease, so admitted jobs wait for the renewal.  After this
+second the store counts as unreachable, and new jobs are refused at once.
 """
 REASON_AGENT_LOST = 'agent_lost'
 
@@ -48,12 +48,13 @@
 class OwnerConfig:
     """Limits of an owner.
 
-    :param retention_seconds: time that an ended job is stored.
+    :param retention_seconds: time for which an ended job is stored.
     :param key_skew_seconds: seconds that a key may be stamped ahead of this
         entry's clock.
     :param agent_lost_seconds: time after a disconnect at which an agent's
-        outstanding tasks become unknown.  It covers two redials at their
-        longest pause and the response time of a loaded agent.
+        open tasks end as unknown.  It covers two attempts of the agent to
+        reconnect, with the longest pause between them, and the response time
+        of a loaded agent.
     """
 
     retention_seconds: float = 600.0
@@ -99,9 +100,10 @@
     def answer_resubmission(
         self, spec: types.JobSpec, waiter: jobs.Waiter
     ) -> list[object] | None:
-        """Answer a resubmission.
+        """Answer a request to submit a job whose key is known.
 
-        :returns: its effects; ``None`` if the key is new here.
+        :returns: effects that send the answer, none while the job runs;
+            ``None`` if this entry has no record of the key.
         """
         refusal = self.jobs.refusal(spec.key)
         if refusal is not None:
@@ -122,7 +124,7 @@
     ) -> list[object] | None:
         """Answer a request whose key is invalid.
 
-        :returns: its effects; ``None`` if the key is valid.
+        :returns: effects that send the answer; ``None`` if the key is valid.
         """
         fault = ownership.check(
             spec.key,
@@ -142,14 +144,15 @@
         members: takeover.Members,
         now: float,
     ) -> list[object] | None:
-        """Take over a removed entry's job.
+        """Take over a resubmitted job of a removed entry.
 
-        :returns: its effects; ``None`` if no removed entry owned the key.
+        :returns: effects of the takeover; ``None`` if no removed entry can
+            have started tasks of the job.
         """
-        if not self.takeover.may_be_taken_over(spec.key, members):
+        if not self.takeover.may_have_started(spec.key, members):
             return None
         if not self.takeover.is_complete(spec.key, members, self.agents, now):
-            answer = answers.build_gathering(spec.key, self._name)
+            answer = answers.build_takeover_pending(spec.key, self._name)
             return answers.deliver((waiter,), answer)
         if not self.takeover.matches(spec):
             answer = answers.build_key_reused(spec.key, self._name)
@@ -160,7 +163,7 @@
         takeover.adopt(job, self.takeover.pop(spec.key), self.agents)
         return [
             core.note('job_adopted', job=spec.key, open=job.open),
-            *self._settle(job, now),
+            *self._end_if_complete(job, now),
         ]
 
     def submit(
@@ -188,7 +191,10 @@
         waiter: jobs.Waiter,
         now: float,
     ) -> list[object]:
-        """Refuse a job permanently under its key."""
+        """Refuse a job and store the refusal for later copies of the request.
+
+        The same key is refused as long as the refusal is stored.
+        """
         answer = answers.build_refused(spec.key, refusal, self._name)
         self.jobs.refuse(answer, now)
         return [
@@ -232,7 +238,7 @@
         return [
             core.note('job_cancelled', job=key),
             *self._stop_at_agents(job),
-            *self._settle(job, now),
+            *self._end_if_complete(job, now),
             *self.send_status(key, team, waiter),
         ]
 
@@ -250,7 +256,7 @@
     def on_agent_up(self, hello: messages.Hello, now: float) -> list[object]:
         """Request the state of an agent's open tasks when it connects.
 
-        Tasks that an earlier incarnation of it started end as unknown.
+        Tasks that an earlier incarnation of the agent started end as unknown.
         """
         name = hello.name
         self._agents.add(hello)
@@ -340,7 +346,7 @@
             step='start',
             peer=agent,
         )
-        return self._settle(job, now)
+        return self._end_if_complete(job, now)
 
     def _on_end_report(
         self,
@@ -362,7 +368,7 @@
         # A second copy of the report must not release the slot again.
         job.tasks[report.index].agent = ''
         self.zone_work.count_end(agent)
-        return self._settle(job, now)
+        return self._end_if_complete(job, now)
 
     # Time.
 
@@ -430,9 +436,9 @@
                 peer=record.agent or self._name,
             )
         effects.append(core.note('job_deadline', job=job.spec.key))
-        return effects + self._settle(job, now)
+        return effects + self._end_if_complete(job, now)
 
-    def _settle(self, job: jobs.Job, now: float) -> list[object]:
+    def _end_if_complete(self, job: jobs.Job, now: float) -> list[object]:
         ended_job = self.jobs.settle(job, now)
         if ended_job is None:
             return []
@@ -494,8 +500,8 @@
     ) -> list[object]:
         """End a task with an unknown outcome because its agent is lost.
 
-        The task is never started again: the first start may have taken
-        effect, and the caller would find a quote filed twice.
+        The task is never started again: it may have taken effect, and a task
+        that files a quote, for example, would file it twice.
         """
         job.end_task(
             index,
@@ -504,4 +510,4 @@
             step='run',
             peer=agent,
         )
-        return self._settle(job, now)
+        return self._end_if_complete(job, now)
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -22,11 +22,11 @@
 """Seconds that a key may be stamped ahead of a process's clock.
 
 This covers callers whose NTP synchronisation is poor.  A newly listed entry
-gets its first keys that much later.
+gets its first keys this long after its listing.
 """
 
 KEY_WINDOW_SECONDS = 600.0
-"""Seconds after its stamp for which a key is valid."""
+"""Seconds for which a key is valid after its stamp."""
 
 _KEY_PATTERN = re.compile(
     '[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}'
@@ -48,7 +48,7 @@
 
 
 def get_timestamp(key: types.JobKey) -> float:
-    """Return the time at which ``key`` was created.
+    """Return the time stamp of ``key``, in seconds since the epoch.
 
     :raises agatepick.exceptions.BadKey: if it isn't a UUIDv7 in canonical
         text form.  Two spellings of one UUID would hash to two owners.
@@ -67,8 +67,12 @@
     """Return the fault of a key at ``now``, or ``None`` if it is valid.
 
     Without the window, a late duplicate of a job whose records have been
-    deleted would run a second time.  Without the limit on stamps ahead, a key
-    could stay valid after the record of its first run has been deleted.
+    deleted would run a second time.  Without the limit on stamps ahead of the
+    clock, a key could stay valid after the record of its first run has been
+    deleted.
+
+    :param window: seconds after its stamp for which a key is valid.
+    :param skew: seconds that a key may be stamped ahead of ``now``.
     """
     try:
         created_at = get_timestamp(key)
@@ -98,10 +102,10 @@
 ) -> bool:
     """Return whether a removed entry may have started the job of ``key``.
 
-    None of its tasks may be started again, as the former owner may have
-    started any of them.  An entry accepts keys stamped up to ``skew`` ahead
-    of its clock, so it may also have accepted keys stamped up to ``skew``
-    after its end.
+    If so, none of the job's tasks may be started again, as the former owner
+    may have started any of them.  An entry accepts keys stamped up to ``skew``
+    ahead of its clock, so a removed entry may also have accepted keys stamped
+    up to ``skew`` after its end.
     """
     members = tuple(members)
     created_at = get_timestamp(key)
@@ -116,9 +120,11 @@
 def suspect_until(
     member: messages.Member, skew: float = KEY_SKEW_SECONDS
 ) -> float:
-    """Return the stamp from which on an entry can't have accepted a key.
+    """Return the earliest stamp of a key that an entry can't have accepted.
+
+    Jobs with earlier keys may have been started by the removed entry.
 
-    :return: 0 while the entry is listed, so that no key is suspect.
+    :return: 0 while the entry is listed, as its jobs needn't be taken over.
     """
     if not member.removed_at:
         return 0.0
@@ -138,10 +144,10 @@
         member for member in listed if member.listed_at + skew <= created_at
     ]
     if not eligible:
-        # The key was created in the first seconds of the cluster.  A choice
-        # among all listed entries would move the key to an owner without a
-        # record of it whenever another entry is listed; the set of entries
-        # listed first stays the same.
+        # The key was created in the first seconds of the cluster.  If all
+        # listed entries were eligible, each newly listed one could become the
+        # key's owner without a record of its job; the set of the entries that
+        # were listed first stays the same.
         first = min(member.listed_at for member in listed)
         eligible = [member for member in listed if member.listed_at == first]
     return max(eligible, key=lambda member: _hash_weight(key, member))
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -1,4 +1,4 @@
-"""Messages that ask an agent to start tasks before a given time."""
+"""Messages that make an agent start tasks before a given time."""
 
 import dataclasses
 
@@ -29,8 +29,10 @@
 ) -> messages.Starts:
     """Build the message for one placement and mark its tasks as started.
 
-    :param start_before: time before which the tasks must start.
-    :param waiting: number of queued tasks to request slots for.
+    :param start_before: time before which the tasks must start, in seconds
+        since the epoch by the entry's clock.
+    :param waiting: number of queued tasks for which the entry requests more
+        slots.
     """
     tasks = [
         _build_start_task(placement, pending, all_jobs)
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -3,10 +3,10 @@
 An entry that was removed from the cluster's configuration may start no task
 once the removal is in force.  Its jobs pass to the entries that own their
 keys now, the successors.  A successor can only answer correctly after every
-agent has reported the tasks that it started, so each agent sends its reports
-and then a message marked as the last.  Agents send all of it again after each
-change of the members, since a successor may itself be removed; handling a
-report twice has no effect.
+agent has reported the tasks that were started there, so each agent sends its
+reports and then a message marked as the last.  Agents send all these messages
+again after each change of the members, since a successor may itself be
+removed; handling a report twice has no effect.
 """
 
 import collections.abc
@@ -20,7 +20,9 @@
 
 
 class Successors:
-    """The newest list of cluster members that an agent has received.
+    """The successors of removed entries, as one agent determines them.
+
+    They follow from the newest list of members that the agent has received.
 
     :param skew: seconds that a job's key may be stamped ahead of a clock.
     """
@@ -34,7 +36,10 @@
         self._changed = False
 
     def update_members(self, message: messages.Members) -> bool:
-        """Store the members and return whether they are newer than before."""
+        """Store a list of members unless a newer one is stored.
+
+        :returns: whether the list was stored.
+        """
         if message.version <= self._version:
             return False
         self._version = message.version
@@ -50,7 +55,7 @@
         return True
 
     def update_removals(self, now: float) -> bool:
-        """Update the removals in force.
+        """Update which entries' removals are in force.
 
         :returns: whether reports must be sent to the successors again.
         """
@@ -63,7 +68,7 @@
         return changed
 
     def listed(self) -> list[messages.Member]:
-        """Return the members that are listed."""
+        """Return the members that haven't been removed."""
         return [member for member in self._members if not member.removed_at]
 
     def is_removed(self, owner: ledger.Owner) -> bool:
@@ -73,7 +78,10 @@
     def get_current_owner(
         self, job: types.JobKey, owner: ledger.Owner
     ) -> ledger.Owner | None:
-        """Return the entry to report a job to; ``None`` if there is none."""
+        """Return the entry to report a job to; ``None`` if there is none.
+
+        :param owner: entry for which the job's tasks were started.
+        """
         if owner not in self._in_force:
             return owner
         successor = ownership.find_owner(job, self._members, self._skew)
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -1,8 +1,9 @@
 """Takeover of a removed entry's jobs by the entries that own their keys now.
 
-A removed entry may have started any task of a job whose key it owned.  Its
-successor starts none of them, since a second start would file a quote twice.
-It collects the agents' reports on started tasks, and takes over results and
+A removed entry may have started any task of a job whose key it owned.  The
+entry that owns the key now, its successor, starts none of these tasks, since a
+task that files a quote, for example, would file it twice.  The successor
+collects the agents' reports on started tasks, and takes over results and
 running tasks once the caller submits the job again.  A task that no agent
 reports ends as unknown, and its job fails.
 """
@@ -17,12 +18,14 @@
 from agatepick import types
 
 EXPIRY_INTERVAL_SECONDS = 1.0
-"""Time between two searches for expired reports, as each scans all reports."""
+"""Time between two searches for reports on expired keys.  Each search scans
+all reports."""
 REPORT_WAIT_SECONDS = 5.0
 """How long a successor waits for reports after a removal.
 
-An agent that redials pauses up to 1.5 s between two attempts.  Tasks that are
-reported later end as unknown, which is still a correct answer.
+An agent that reconnects to an entry pauses up to 1.5 s between two attempts.
+Tasks that are reported after this time end as unknown, which is still a
+correct answer.
 """
 
 REASON_OWNER_LOST = 'owner_lost'
@@ -53,9 +56,9 @@
 
 
 class Takeover:
-    """Agents' reports on the tasks of removed entries.
+    """One entry's takeover of jobs, from agents' reports on their tasks.
 
-    :param name: the entry that takes over.
+    :param name: name of the entry that takes over.
     :param retention: seconds for which a key is valid.
     :param skew: seconds that a key may be stamped ahead of a clock.
     """
@@ -106,8 +109,11 @@
             reported, report=dataclasses.replace(report, digest=digest)
         )
 
-    def may_be_taken_over(self, key: types.JobKey, members: Members) -> bool:
-        """Return whether a removed entry may have started tasks of a job."""
+    def may_have_started(self, key: types.JobKey, members: Members) -> bool:
+        """Return whether a removed entry may have started tasks of a job.
+
+        If so, the job must be taken over and its tasks not be started.
+        """
         return ownership.may_have_been_started(key, members, self._skew)
 
     def is_complete(
@@ -150,8 +156,8 @@
     def matches(self, spec: types.JobSpec) -> bool:
         """Return whether the reported tasks belong to this job.
 
-        Without this check, a different body under the same key would get the
-        results of the first one.
+        Without this check, a request with the same key and a different body
+        would get the results of the first body's tasks.
         """
         tasks = self._reported.get(spec.key, {})
         return all(
@@ -188,8 +194,8 @@
 def adopt(job: jobs.Job, reported: ReportedTasks, agents: Agents) -> None:
     """Apply the agents' reports to a resubmitted job.
 
-    The end of a task that still runs arrives as a result, or as the answer to
-    ``Settle`` after its agent has reconnected.
+    A task that still runs stays open.  Its agent reports the end in a
+    ``Results`` message, or answers a ``Settle`` message after reconnecting.
     """
     for index in range(len(job.tasks)):
         task = reported.get(index)
@@ -198,7 +204,7 @@
                 job, index, types.Outcome.UNKNOWN, REASON_OWNER_LOST
             )
         elif task.report.state == _RUNNING:
-            _await_end(job, index, task, agents)
+            _record_running(job, index, task, agents)
         else:
             report = task.report
             job.end_task(
@@ -217,7 +223,7 @@
     return has_valid_state and ownership.is_key(report.job)
 
 
-def _await_end(
+def _record_running(
     job: jobs.Job, index: int, task: ReportedTask, agents: Agents
 ) -> None:
     hello = agents.get(task.agent)
--- a/src/agatepick/owning/zonework.py
+++ b/src/agatepick/owning/zonework.py
@@ -1,7 +1,7 @@
 """Tasks of one entry that run in each availability zone.
 
-Operators who take a zone out need the time of the last start there, and to
-see when the last task there has ended.
+Operators who take a zone out of service need to know when the last task was
+started there and when the last one has ended.
 """
 
 import collections
@@ -24,7 +24,7 @@
 
 
 class ZoneCounter:
-    """Counter of started and ended tasks by agent, summed by zone."""
+    """Counter of the tasks that run at each agent, summed by zone."""
 
     def __init__(self) -> None:
         self._zones: dict[types.PeerName, str] = {}
@@ -36,13 +36,13 @@
     def count_starts(
         self, agent: types.PeerName, zone: str, count: int, now: float
     ) -> None:
-        """Count starts that are sent to an agent."""
+        """Add task starts that are sent to an agent."""
         self._zones[agent] = zone
         self._running[agent] += count
         self._last_starts[zone] = now
 
     def count_end(self, agent: types.PeerName) -> None:
-        """Count a task's end or refusal that an agent reported."""
+        """Subtract a task whose end or refusal an agent reported."""
         if self._running[agent] > 0:
             self._running[agent] -= 1
 
@@ -51,7 +51,7 @@
         self._running.pop(agent, None)
 
     def list_zones(self) -> tuple[ZoneWork, ...]:
-        """Return the tasks in each zone that had any, by zone name."""
+        """Return the work in each zone that had any, in order of its name."""
         running: collections.Counter[str] = collections.Counter()
         for agent, count in self._running.items():
             running[self._zones[agent]] += count
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -333,7 +333,7 @@
 
 def serve_as_new(monkeypatch):
     monkeypatch.setattr(
-        takeover.Takeover, 'may_be_taken_over', lambda *args, **more: False
+        takeover.Takeover, 'may_have_started', lambda *args, **more: False
     )
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -115,7 +115,7 @@
     """
     now = NOW + 1.5
     job_takeover = make_takeover(last=False)
-    assert job_takeover.may_be_taken_over(KEY, MEMBERS)
+    assert job_takeover.may_have_started(KEY, MEMBERS)
     assert not job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
     job_takeover = make_takeover()
     assert job_takeover.is_complete(KEY, MEMBERS, AGENTS, now)
