--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -184,12 +184,12 @@
     try:
         return msgspec.json.decode(body, type=schema)
     except msgspec.ValidationError as exc:
-        raise _Faulty(400, str(exc), _field(str(exc))) from exc
+        raise _Faulty(400, str(exc), _parse_field(str(exc))) from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise _Faulty(400, f'the body is not JSON: {exc}') from exc
 
 
-def _field(fault: str) -> str:
+def _parse_field(fault: str) -> str:
     """Return the name of the invalid field from the text of msgspec's error.
 
     It has the form `slots` or `kinds[0]`; empty for the body as a whole.
--- a/src/agatepick/agentside/httpupstream.py
+++ b/src/agatepick/agentside/httpupstream.py
@@ -20,16 +20,16 @@
 
 LOG = logging.getLogger(__name__)
 
-CONNECT_SECONDS = 2.0
-ACTION_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+ACTION_TIMEOUT_SECONDS = 5.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_CLIENTS = 100_000
 """Largest number of open requests.  It is far above the number of slots: a
 started task that waited in the client's queue could run after the time before
 which it may start."""
 
-NO_ANSWER = 599
-"""Status that the client returns when there was no complete answer."""
+STATUS_NO_ANSWER = 599
+"""Status code that tornado's client returns without a complete answer."""
 
 REASON_NO_ANSWER = 'no_answer'
 REASON_NOT_JSON = 'answer_not_json'
@@ -106,7 +106,7 @@
                 method='POST',
                 body=effect.payload,
                 headers=_build_headers(effect),
-                connect_timeout=CONNECT_SECONDS,
+                connect_timeout=CONNECT_TIMEOUT_SECONDS,
                 # No timeout is needed: the agent reports the task as lost
                 # once the upstream's announcement has expired.
                 request_timeout=0,
@@ -116,7 +116,7 @@
             )
         except (OSError, httpclient.HTTPError) as exc:
             return self._handle_no_answer(effect, exc)
-        if response.code == NO_ANSWER:
+        if response.code == STATUS_NO_ANSWER:
             return self._handle_no_answer(effect, response.error)
         return _parse_answer(response)
 
@@ -144,8 +144,8 @@
                 f'{effect.url}/tasks/{path}',
                 method='POST',
                 body=b'',
-                connect_timeout=CONNECT_SECONDS,
-                request_timeout=ACTION_SECONDS,
+                connect_timeout=CONNECT_TIMEOUT_SECONDS,
+                request_timeout=ACTION_TIMEOUT_SECONDS,
                 follow_redirects=False,
             )
         except (OSError, httpclient.HTTPError) as exc:
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -58,6 +58,8 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Task:
+    """The record of a task's newest attempt at this agent."""
+
     attempt: int
     state: types.TaskState
     body: bytes = b''
@@ -68,6 +70,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Job:
+    """The records of a job's tasks at this agent.
+
+    :param touched_at: instant of the last start, refusal, stop or end of a
+        task; it is renewed while tasks run.
+    :param stopped: whether no further task of the job may start.
+    :param running: number of running tasks.
+    """
+
     owner: Owner
     touched_at: float
     stopped: bool = False
@@ -276,6 +286,7 @@
         return job is not None and ref.index in job.tasks
 
     def _touch(self, key: types.JobKey, owner: Owner, now: float) -> _Job:
+        """Return a job's record, which is created or kept for longer."""
         job = self._jobs.pop(key, None) or _Job(owner, now)
         job.touched_at = now
         # The job moves to the end, as ``delete_expired`` deletes jobs from
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -130,7 +130,7 @@
         if not unmet and not self._stale:
             return []
         self._stale = False
-        shares = self._shares()
+        shares = self._compute_shares()
         changed = []
         for name, lease in self._leases.items():
             if lease.credits != shares[name]:
@@ -138,7 +138,7 @@
                 changed.append(name)
         return changed
 
-    def _shares(self) -> dict[ledger.Owner, int]:
+    def _compute_shares(self) -> dict[ledger.Owner, int]:
         # Running tasks keep their slots even above their entry's fair share.
         shares = {name: lease.running for name, lease in self._leases.items()}
         remaining = (
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -38,9 +38,9 @@
 
 ASK_INTERVAL_SECONDS = 0.25
 """Least time between two messages that request slots from one agent."""
-IDLE_SHARE = 0.5
+IDLE_ENTRY_SHARE = 0.5
 """Part of all slots that admission expects an idle entry to obtain."""
-EXCLUDED_SECONDS = 0.1
+EXCLUSION_SECONDS = 0.1
 """Time after a retry was due from which on the task may be placed at agents
 that refused it."""
 LATEST_START_FACTOR = 1.2
@@ -51,7 +51,7 @@
     outliers.Standing.GOOD: 'worker_readmitted',
 }
 """Name of the timeline note about an agent's new standing."""
-PRUNE_LENGTH = 4096
+DEADLINES_PRUNE_LENGTH = 4096
 """Length of the heap of deadlines from which on ended jobs are removed."""
 
 Pending = queues.Pending
@@ -391,7 +391,7 @@
         pool = self._workers.get_pool(sized.groups)
         limit, free, slots = self._workers.sum_slots(pool)
         if not len(self._queue):
-            limit = max(limit, int(slots * IDLE_SHARE))
+            limit = max(limit, int(slots * IDLE_ENTRY_SHARE))
         before = self._queue.sum_work_before(
             job, estimate.work, pool, limit, now
         )
@@ -411,7 +411,7 @@
             requirement = self._workers.classify(task.job, spec)
             index = self._workers.get_index(requirement)
             excluded = task.excluded
-            if now >= due + EXCLUDED_SECONDS:
+            if now >= due + EXCLUSION_SECONDS:
                 excluded = frozenset()
             worker = None
             if self._get_free_quota(task.job.team, now) > 0:
@@ -526,7 +526,7 @@
 
     def _prune_deadlines(self) -> None:
         """Rebuild the heap if most of its jobs no longer wait."""
-        if len(self._deadlines) < PRUNE_LENGTH:
+        if len(self._deadlines) < DEADLINES_PRUNE_LENGTH:
             return
         waiting_items = [
             item
--- a/src/agatepick/decisions/outliers.py
+++ b/src/agatepick/decisions/outliers.py
@@ -14,10 +14,10 @@
 the ejection of workers for faults of a caller.  Never more than the preset's
 share of the agents is ejected, since the others must take over the load.
 
-An ejected agent gets no work for :data:`EJECTED_SECONDS`, doubled with each
-consecutive ejection up to :data:`MAX_EJECTED_SECONDS`.  Then it is on trial:
-it gets one task at a time until :data:`REQUIRED_PROBES` have succeeded.  One
-failure ejects it again.
+An ejected agent gets no work for :data:`FIRST_EJECTION_SECONDS`, doubled with
+each consecutive ejection up to :data:`MAX_EJECTION_SECONDS`.  Then it is on
+trial: it gets one task at a time until :data:`REQUIRED_PROBES` have succeeded.
+One failure ejects it again.
 """
 
 import enum
@@ -26,8 +26,8 @@
 MIN_SUCCESS_RATE = 0.5
 MIN_RATE_GAP = 0.3
 REQUIRED_PROBES = 3
-EJECTED_SECONDS = 10.0
-MAX_EJECTED_SECONDS = 160.0
+FIRST_EJECTION_SECONDS = 10.0
+MAX_EJECTION_SECONDS = 160.0
 
 
 class Standing(enum.Enum):
@@ -39,7 +39,12 @@
 
 
 class _Record:
-    """The success rate and ejection state of one agent."""
+    """The success rate and ejection state of one agent.
+
+    :ivar rate: moving average of its tasks' success, 0 to 1.
+    :ivar ejection_streak: number of ejections since the last passed trial.
+    :ivar probes: number of tasks that succeeded in the present trial.
+    """
 
     __slots__ = (
         'rate',
@@ -150,9 +155,11 @@
         return max(1, int(count * self.max_ejected_share))
 
     def _eject(self, agent: str, record: _Record, now: float) -> None:
-        seconds = EJECTED_SECONDS * 2.0 ** min(record.ejection_streak, 8)
+        seconds = FIRST_EJECTION_SECONDS * 2.0 ** min(
+            record.ejection_streak, 8
+        )
         record.standing = Standing.EJECTED
-        record.ejected_until = now + min(seconds, MAX_EJECTED_SECONDS)
+        record.ejected_until = now + min(seconds, MAX_EJECTION_SECONDS)
         record.ejection_streak += 1
         self._ejected.add(agent)
 
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -209,7 +209,11 @@
 
 
 class FairQueue:
-    """The waiting jobs of all teams, in the order in which they start."""
+    """The waiting jobs of all teams, in the order in which they start.
+
+    :ivar urgent_run: number of consecutive starts of urgent tasks after which
+        a waiting ordinary task is started.
+    """
 
     def __init__(self) -> None:
         self._levels = (_Level(), _Level())
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -40,10 +40,15 @@
 from agatepick.net import messages
 
 LEASE_SECONDS = 4.0
+"""Length of a promise, and longest time until the end of a grant."""
 RENEW_SECONDS = 2.0
+"""Time between the asks of an entry that needs no more quota."""
 ACTIVE_RENEW_SECONDS = 0.5
+"""Time between the asks of an entry that waits for more quota."""
 ASK_INTERVAL_SECONDS = 0.1
+"""Least time between two asks of an entry for one team."""
 CLOCK_MARGIN_SECONDS = 0.25
+"""Margin for the offset of an entry's clock."""
 MAX_HELD_GRANTS = 8
 """Number of unconfirmed grants of one entry at which they are merged."""
 
--- a/src/agatepick/decisions/sizing.py
+++ b/src/agatepick/decisions/sizing.py
@@ -12,7 +12,7 @@
     [types.JobSpec, types.TaskSpec], placement.Requirement
 ]
 
-LAST_TASKS = 8
+MAX_LAST_TASKS = 8
 """Number of a job's tasks that may be the last to end; tasks that start
 earlier don't delay the job's end."""
 
@@ -51,7 +51,7 @@
     for group in groups.values():
         group.sort()
     order = sorted(groups, key=lambda requirement: groups[requirement][0])
-    share = confidence ** (1.0 / min(len(job.tasks) or 1, LAST_TASKS))
+    share = confidence ** (1.0 / min(len(job.tasks) or 1, MAX_LAST_TASKS))
     first_tasks = [job.tasks[group[0][1]] for group in groups.values()]
     medians = [run_times.quantile(task, 0.5) for task in first_tasks]
     longest = [run_times.quantile(task, share) for task in first_tasks]
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -18,8 +18,11 @@
 from agatepick.config import cluster
 
 FIRST_SHARE = 0.25
+"""Part of a zone's slots that may be filled when it returns to service."""
 RAMP_SECONDS = 2.0
+"""Time after which all slots of a returned zone may be filled."""
 STEPS = 8
+"""The share is rounded down to a multiple of one divided by this number."""
 
 
 def get_share(zone: cluster.Zone | None, now: float) -> float:
--- a/src/agatepick/owning/deaths.py
+++ b/src/agatepick/owning/deaths.py
@@ -57,7 +57,7 @@
             [
                 member
                 for member in members
-                if self._death_time(member) > latest_death
+                if self._get_death_time(member) > latest_death
             ]
         )
 
@@ -70,6 +70,6 @@
             if member_id in member_ids
         }
 
-    def _death_time(self, member: messages.Member) -> float:
+    def _get_death_time(self, member: messages.Member) -> float:
         member_id = (member.name, member.incarnation)
         return self._death_times.get(member_id, float('inf'))
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -181,7 +181,7 @@
         """
         if job.open or job.ended:
             return None
-        job.answer = _final_answer(job)
+        job.answer = _build_final_answer(job)
         job.ended_at = now
         del self._running[job.spec.key]
         self._record_end(job.spec.key, now)
@@ -220,7 +220,7 @@
         return open_tasks
 
 
-def _final_answer(job: Job) -> types.JobAnswer:
+def _build_final_answer(job: Job) -> types.JobAnswer:
     answers = tuple(record.answer for record in job.tasks if record.answer)
     outcomes = {answer.outcome for answer in answers}
     if outcomes == {types.Outcome.FINISHED}:
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -25,7 +25,7 @@
 from agatepick.owning import zonework
 from agatepick import types
 
-STOP = 'stop'
+ACTION_STOP = 'stop'
 LEASE_GRACE_SECONDS = 1.0
 """How long an entry admits jobs after its lease on the configuration expired.
 
@@ -420,7 +420,7 @@
         )
 
     def _stop_at_agents(self, job: jobs.Job) -> list[object]:
-        stop = messages.StopJob(job.spec.key, STOP)
+        stop = messages.StopJob(job.spec.key, ACTION_STOP)
         return [core.Send(agent, stop) for agent in job.agents()]
 
     def _end_at_deadline(self, job: jobs.Job, now: float) -> list[object]:
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -31,7 +31,7 @@
 _KEY_PATTERN = re.compile(
     '[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}'
 )
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 class KeyFault(enum.StrEnum):
@@ -55,7 +55,7 @@
     """
     if not is_key(key):
         raise exceptions.BadKey('not a canonical UUIDv7', step='key')
-    return int(key[:8] + key[9:13], 16) / _MILLISECONDS
+    return int(key[:8] + key[9:13], 16) / _MILLISECONDS_PER_SECOND
 
 
 def check(
