--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -59,7 +59,7 @@
 
 
 class Departure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Notice that an upstream accepts no new tasks and ends its others."""
+    """Notice that an upstream takes no new task and ends its running ones."""
 
     session: _Session
 
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -39,7 +39,7 @@
 
 
 def task_digest(team: str, kind: str, payload: bytes) -> bytes:
-    """Return a digest that differs between tasks of different requests.
+    """Return a digest of a task's team, kind and payload.
 
     It tells whether the tasks at the same index of two requests with the same
     key are equal.
@@ -308,7 +308,8 @@
         while self._body_bytes > self._max_body_bytes:
             oldest = next(iter(self._bodies))
             self._delete_body(oldest)
-            # A job is complete only with the answers of all its tasks.
+            # Without its answer the task counts as lost, as a job is complete
+            # only with the answers of all its tasks.
             oldest.state = types.TaskState.LOST
             oldest.reason = REASON_ANSWER_DROPPED
 
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -37,7 +37,7 @@
 
 
 class Slots:
-    """Credits and running tasks of each entry."""
+    """The slots of an agent's upstream, and their leases to entries."""
 
     def __init__(self) -> None:
         self._slots = 0
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -334,9 +334,9 @@
             wakes.append(now + ASK_INTERVAL_SECONDS)
         trial = self._outliers.next_wake()
         if trial is not None and self.count_waiting():
-            # Only a round of placements starts a trial, and none takes place
-            # without a lease: an instant in the past would wake the entry
-            # again at once.
+            # Only a round of placements starts a trial, and without a lease
+            # no round takes place: an instant in the past would wake the
+            # entry again at once.
             wakes.append(max(trial, now + retries.FIRST_RETRY_DELAY_SECONDS))
         return min(wakes, default=None)
 
--- a/src/agatepick/decisions/estimates.py
+++ b/src/agatepick/decisions/estimates.py
@@ -23,7 +23,7 @@
 from agatepick import types
 
 WINDOW = 512
-"""Observations after which all counts of a histogram are halved."""
+"""Number of observations at which all counts of a histogram are halved."""
 PRIOR_WEIGHT = 4.0
 """Number of observations that have the same weight as a declared run time."""
 DEFAULT_SECONDS = 0.3
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -378,7 +378,7 @@
         if now < state.promise and not state.answered:
             return []
         # A promise to a coordinator that doesn't answer would keep this
-        # entry below its static share for as long as it renewed the ask.
+        # entry below its static share for as long as the entry renews it.
         promise = now + LEASE_SECONDS if state.answered else 0.0
         state.promise = max(state.promise, promise)
         state.last_ask_at = now
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -90,7 +90,7 @@
         heapq.heappush(self._heap, (due, self._sequence, task))
 
     def pop_due(self, now: float) -> list[tuple[float, queues.Pending]]:
-        """Remove and return the due tasks, each with its instant."""
+        """Remove and return the due tasks, each with its due instant."""
         tasks = []
         while self._heap and self._heap[0][0] <= now:
             due, _, task = heapq.heappop(self._heap)
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -81,7 +81,7 @@
         self._update_limit(worker)
 
     def set_credits(self, agent: str, credits: int, now: float) -> None:
-        """Set the number of slots leased at an agent."""
+        """Set the number of an agent's slots that are leased to this entry."""
         worker = self._workers.get(agent)
         if worker is None:
             return
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -190,7 +190,7 @@
         return EndedJob(waiters, job.answer)
 
     def delete_expired(self, now: float) -> None:
-        """Delete jobs and refusals that ended before the retention window."""
+        """Delete jobs and refusals whose retention time has passed."""
         while self._ended_at:
             # Keys are in the order in which their jobs ended.
             key = next(iter(self._ended_at))
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -35,7 +35,7 @@
 
 
 class KeyFault(enum.StrEnum):
-    """Reasons to refuse a key; a refused key's job never runs."""
+    """Reasons to refuse a key; a request with a refused key starts no task."""
 
     MALFORMED = 'malformed'
     EXPIRED = 'expired'
