--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -49,7 +49,7 @@
         self._due_at.setdefault(owner, queue.sent_at + self._delay)
 
     def make_due(self, owner: ledger.Owner) -> None:
-        """Make an owner's queued reports due at once."""
+        """Make an owner's queued reports due at the next :meth:`list_due`."""
         if owner in self._due_at:
             self._due_at[owner] = 0.0
 
--- a/src/agatepick/agentside/upstream.py
+++ b/src/agatepick/agentside/upstream.py
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """Effect: request an action, such as a stop, of a running task."""
+    """Effect: request a running task to stop, throttle or checkpoint."""
 
     job: types.JobKey
     index: int
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -209,7 +209,7 @@
         racks: typing.Mapping[str, int],
         requirement: Requirement,
     ) -> Worker:
-        """Return the first worker, which is a random one."""
+        """Return the first worker, as the sequence starts at a random one."""
         return workers[0]
 
 
