--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -14,12 +14,15 @@
 from agatepick.net import messages
 
 MAX_REPORTS = 1000
-MAX_BYTES = 4 * 1024 * 1024
-"""Limits of the reports in a message, far below the largest frame size."""
+MAX_BODY_BYTES = 4 * 1024 * 1024
+"""Limits of one message: the number of its reports, and the size of their
+bodies, which is far below the largest frame size."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Queue:
+    """The reports for one owner, and when the last ones were sent to it."""
+
     sent_at: float
     reports: list[messages.TaskReport] = dataclasses.field(
         default_factory=list
@@ -58,8 +61,11 @@
         """Return the owners whose reports are due."""
         return [owner for owner, at in self._due_at.items() if at <= now]
 
-    def next_at(self) -> float | None:
-        """Return when reports are due next; ``None`` if none are queued."""
+    def next_due_at(self) -> float | None:
+        """Return the instant at which the next reports are due.
+
+        :returns: ``None`` if no report is queued.
+        """
         return min(self._due_at.values(), default=None)
 
     def pop(
@@ -86,7 +92,7 @@
     batch: list[messages.TaskReport] = []
     size = 0
     for report in reports:
-        too_large = size + len(report.body) > MAX_BYTES
+        too_large = size + len(report.body) > MAX_BODY_BYTES
         if batch and (too_large or len(batch) >= MAX_REPORTS):
             result.append(tuple(batch))
             batch, size = [], 0
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -24,17 +24,20 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
+    """The slots leased to one entry, and its running and waiting tasks."""
+
     credits: int = 0
     running: int = 0
     waiting: int = 0
 
     @property
     def need(self) -> int:
+        """Number of slots that the entry could fill."""
         return self.running + self.waiting
 
 
 class Slots:
-    """Credits and running tasks of each entry."""
+    """The slots of an agent's upstream, and their leases to entries."""
 
     def __init__(self) -> None:
         self._slots = 0
@@ -91,7 +94,7 @@
                 self._unleased_running[entry] = lease.running
 
     def set_demand(self, entry: ledger.EntryId, waiting: int) -> None:
-        """Set the number of tasks that an entry can't place."""
+        """Set the number of tasks for which an entry requests more slots."""
         lease = self._leases.get(entry)
         if lease is not None:
             lease.waiting = waiting
@@ -127,7 +130,7 @@
         if not unmet and not self._stale:
             return []
         self._stale = False
-        shares = self._shares()
+        shares = self._compute_shares()
         changed = []
         for name, lease in self._leases.items():
             if lease.credits != shares[name]:
@@ -135,7 +138,7 @@
                 changed.append(name)
         return changed
 
-    def _shares(self) -> dict[ledger.EntryId, int]:
+    def _compute_shares(self) -> dict[ledger.EntryId, int]:
         # Running tasks keep their slots even above their entry's fair share.
         shares = {name: lease.running for name, lease in self._leases.items()}
         remaining = (
@@ -155,9 +158,10 @@
     limits: dict[ledger.EntryId, int],
     remaining: int,
 ) -> int:
-    """Add ``remaining`` slots one by one to the lowest share below its limit.
+    """Add free slots one by one to the lowest share that is below its limit.
 
-    :returns: the number of slots that remain.
+    :param remaining: number of free slots.
+    :returns: number of slots that remain free.
     """
     while remaining > 0:
         below = [name for name in shares if shares[name] < limits[name]]
