--- a/src/agatepick/platform/desired.py
+++ b/src/agatepick/platform/desired.py
@@ -1,4 +1,7 @@
-"""The operator's rows: queues of jobs, and zones taken out of service."""
+"""The operator's rows in the store: queues of jobs, and closed zones.
+
+A closed zone is one that the operator has taken out of service.
+"""
 
 import msgspec
 
--- a/src/agatepick/platform/following.py
+++ b/src/agatepick/platform/following.py
@@ -19,8 +19,8 @@
 """Delays after the store has discarded the requested changes."""
 
 CALL_INTERVAL_SECONDS = 0.1
-"""Least time between the starts of two calls, as the store may answer before
-the wait is over."""
+"""Shortest time between the starts of two calls, as the store may answer a
+call before its wait for a change is over."""
 
 Snapshot = dict[str, bytes]
 
--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -39,8 +39,8 @@
 
     :param count: number of tasks.
     :param cpu: in thousandths of a core.
-    :param estimated_ms: estimated run time, which is wrong by a factor either
-        way.
+    :param estimated_ms: estimated run time, which is too long or too short by
+        some factor.
     :param after: indices of the steps that must end before this one.
     """
 
@@ -77,9 +77,9 @@
         self.feed = feed
         self.clock = clock
         self._calls = itertools.count(1)
-        self._waiting: dict[int, 'Queue'] = {}
+        self._waiting: dict[int, 'QueueHandler'] = {}
 
-    def submit(self, handler: 'Queue', job: jobs.Job) -> int:
+    def submit(self, handler: 'QueueHandler', job: jobs.Job) -> int:
         """Submit a job to the entry and return the number of the call.
 
         :meth:`reply` delivers the answer.
@@ -101,7 +101,7 @@
             handler.answer(effect.answer)
 
 
-class Ready(web.RequestHandler):
+class ReadyHandler(web.RequestHandler):
     """The readiness endpoint for the load balancer."""
 
     def initialize(self, front: Front) -> None:
@@ -114,7 +114,7 @@
         self.finish({})
 
 
-class Queue(web.RequestHandler):
+class QueueHandler(web.RequestHandler):
     """The endpoint for all paths of all queues."""
 
     def initialize(self, front: Front) -> None:
@@ -215,24 +215,24 @@
             seconds = float(text) / 1000.0
         return self._front.clock.now() + seconds
 
-    def _refuse(self, status: int, reason: str, after: float) -> None:
+    def _refuse(self, status: int, reason: str, retry_after: float) -> None:
         self._close_if_stopping()
         self.set_status(status)
-        if after > 0.0:
-            self.set_header('Retry-After', str(math.ceil(after)))
+        if retry_after > 0.0:
+            self.set_header('Retry-After', str(math.ceil(retry_after)))
         self.finish({'reason': reason})
 
     def _close_if_stopping(self) -> None:
         if self._front.entry.stopping:
-            # The header makes the caller send its next request to a process
-            # that stays.
+            # The header makes the caller send its next request to an entry
+            # that isn't stopping.
             self.set_header('Connection', 'close')
 
 
 def make_application(front: Front) -> web.Application:
     """Return the HTTP application for callers."""
     return web.Application(
-        [(r'.*', Queue, {'front': front})],
+        [(r'.*', QueueHandler, {'front': front})],
         log_function=lambda handler: None,
     )
 
@@ -240,7 +240,7 @@
 def make_ready_application(front: Front) -> web.Application:
     """Return the HTTP application for the load balancer."""
     return web.Application(
-        [(r'/v1/ready', Ready, {'front': front})],
+        [(r'/v1/ready', ReadyHandler, {'front': front})],
         log_function=lambda handler: None,
     )
 
@@ -274,7 +274,8 @@
     label = step.required_labels
     if not isinstance(label, str):
         label = label[0] if label else ''
-    # The worker's names: job, occurrence (always the first), step, task.
+    # A task's name at the worker: job, occurrence (always the first), step,
+    # task.
     return [
         jobs.Task(
             name=f'{key}.0.{step_index}.{index}',
--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -33,15 +33,18 @@
 LOG = logs.logger(__name__)
 
 DESIRED_WAIT_SECONDS = 1.0
-"""How long a call waits for a change of the operator's rows.  With the time to
-detect a silent connection it stays under the platform's 2 s."""
+"""How long an entry's call waits for a change of the operator's rows.
+Together with the time to detect a silent connection this stays below the 2 s
+within which the platform wants a change in force."""
 
 ZONES_WAIT_SECONDS = 2.5
-"""The same for an agent, which needs only the closed zones.  These must be in
-force within 5 s, and each call has a cost."""
+"""How long an agent's call waits for a change of the operator's rows, of which
+it needs only the closed zones.  These must be in force within 5 s, and each
+call has a cost."""
 
 LOG_LINES_PER_SECOND = 300.0
-"""Most log lines of a process; further ones are counted and dropped."""
+"""Largest number of log lines that a process writes in a second; further ones
+are counted and dropped."""
 
 METRICS_PORT = 9464
 """Port of the metrics, the same as in ``deploy/system.toml``."""
@@ -84,7 +87,7 @@
     )
     proc = _make_process(cfg, 'entry', reducer)
     front = ingress.Front(reducer, proc.feed, proc.clock)
-    proc.handle(events.Reply, front.reply)
+    proc.register_handler(events.Reply, front.reply)
     proc.listen(cfg.links)
     _serve(ingress.make_application(front), cfg.front)
     _serve(ingress.make_ready_application(front), cfg.ready)
@@ -118,12 +121,12 @@
     )
     proc = _make_process(cfg, 'agent', reducer, incarnation)
     client = worker.WorkerClient(cfg.worker, proc.clock, proc.feed)
-    proc.handle(workerapi.StartRun, client.start)
-    proc.handle(workerapi.StopRun, client.stop)
-    proc.handle(workerapi.RequestLists, client.request_lists)
+    proc.register_handler(workerapi.StartRun, client.start)
+    proc.register_handler(workerapi.StopRun, client.stop)
+    proc.register_handler(workerapi.RequestLists, client.request_lists)
     store = rows.RowStore(cfg.store)
     record = worker_record.WorkerRecord(store, cfg.worker, rng)
-    proc.handle(workerapi.PersistWorker, record.update)
+    proc.register_handler(workerapi.PersistWorker, record.update)
     app = announcements.make_application(proc.feed, client.worker_clock)
     _serve(app, cfg.control)
     proc.begin()
--- a/src/agatepick/platform/rows.py
+++ b/src/agatepick/platform/rows.py
@@ -19,9 +19,10 @@
 store leaves calls without an answer, and with :data:`CALL_SECONDS` a process
 that starts meanwhile would wait for a second beyond the store's return."""
 
-FEED_MARGIN_SECONDS = 0.4
-"""Time after the wait of a feed until its connection counts as silent; even
-then a change is in force within the platform's 2 s."""
+CHANGES_MARGIN_SECONDS = 0.4
+"""Time beyond its wait after which a call for changes counts as unanswered, as
+its connection is silent; even then a change is in force within the 2 s that
+the platform allows."""
 
 MAX_CONNECTIONS = 4
 
@@ -86,11 +87,12 @@
             self._client = None
 
     async def read(self, table: str, seconds: float = CALL_SECONDS) -> Rows:
-        """Return all rows of a table's empty part, as of the first page.
+        """Return all rows of a table in the part with the empty name.
 
-        A row of the first page that changes while later pages are read is
-        returned by :meth:`changes` after the version of the first page.
-        After the version of the last page it would be missed permanently.
+        The version returned is that of the first page.  A row of the first
+        page may change while later pages are read: :meth:`changes` after this
+        version returns it, but after the version of the last page the change
+        would be missed permanently.
 
         :raises agatepick.exceptions.StoreError: if the rows can't be read.
         """
@@ -138,7 +140,7 @@
             'wait_ms': int(wait * 1000),
         }
         return await self._get(
-            '/v1/rows-feed', params, wait + FEED_MARGIN_SECONDS
+            '/v1/rows-feed', params, wait + CHANGES_MARGIN_SECONDS
         )
 
     async def write(
--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -27,9 +27,9 @@
 unanswered."""
 
 MAX_CONNECTIONS = 6
-"""Each connection has a cost.  A burst of ten starts, 2 ms each,
-takes only 4 ms longer over four connections than over ten; two more are for
-requests for the lists, which wait."""
+"""Largest number of connections to the worker, as each has a cost.  A burst of
+ten starts, 2 ms each, takes only 4 ms longer over four connections than over
+ten; two more are for requests for the lists, which wait."""
 
 SAMPLE_SECONDS = 1.0
 """Age up to which a clock sample is used; a clock that is 2% slow falls 20 ms
@@ -61,8 +61,10 @@
 class _Lists(msgspec.Struct, frozen=True):
     """The running and ended runs of a worker, as rows of plain values.
 
-    :param running: task, run, checkpoint, share of its pace.
-    :param ended_runs: number, task, run, how it ended, checkpoint.
+    :param running: a row per run: task, run number, checkpoint, share of its
+        pace.
+    :param ended_runs: a row per run: sequence number of the end, task, run
+        number, how it ended, checkpoint.
     :param born: instant of the worker's start, in milliseconds, which
         identifies its incarnation.
     """
@@ -107,7 +109,8 @@
 
         :returns: milliseconds.
         """
-        # Each sample is too low by its transit time; the highest is closest.
+        # Each sample of the offset is too low by the transit time of its
+        # message; the highest is closest.
         offset = max((sample[1] for sample in self._samples), default=0.0)
         return int((self._clock.now() + seconds) * 1000.0 + offset)
 
--- a/src/agatepick/platform/worker_record.py
+++ b/src/agatepick/platform/worker_record.py
@@ -36,7 +36,8 @@
 no answer."""
 
 GIVE_UP_SECONDS = 1.5
-"""Time after which the row isn't needed, as the worker announces itself."""
+"""Time after the agent's start from which the row isn't needed, as the worker
+has announced itself by then."""
 
 
 class _Row(msgspec.Struct, frozen=True):
@@ -69,7 +70,7 @@
         self._changed = asyncio.Event()
 
     def update(self, effect: workerapi.PersistWorker) -> None:
-        """Set the worker to store; :meth:`write_changes` writes the row."""
+        """Replace the state that :meth:`write_changes` writes to the row."""
         announced = effect.worker
         self._value = None if announced is None else _encode(announced)
         self._changed.set()
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -2,7 +2,7 @@
 
 The parts that communicate with callers, workers and the store are supplied
 from outside.  They pass events to :meth:`Process.feed` and register for
-effects with :meth:`Process.handle`.
+effects with :meth:`Process.register_handler`.
 """
 
 import asyncio
@@ -69,7 +69,7 @@
         self._address = ''
         self.shell = shell.Shell(reducer, clock)
         self.links = links.Links(
-            self._hello,
+            self._make_hello,
             self.shell.feed,
             clock,
             random.Random(incarnation),
@@ -77,7 +77,7 @@
         )
         self.shell.use_links(self.links)
         self.measures = measures.Measures()
-        self.shell.handle(core.Note, self._note)
+        self.shell.handle(core.Note, self._record_note)
 
     def feed(self, event: object) -> None:
         """Pass an event to the reducer."""
@@ -87,7 +87,7 @@
         """Return the reducer's gauges by name."""
         return self._reducer.gauges(self.clock.now())
 
-    def handle(
+    def register_handler(
         self, kind: type, handler: typing.Callable[[typing.Any], None]
     ) -> None:
         """Register the handler of effects of class ``kind``."""
@@ -118,11 +118,11 @@
         self.shell.end()
         self.links.end()
 
-    def _note(self, note: core.Note) -> None:
+    def _record_note(self, note: core.Note) -> None:
         logs.log_note(LOG, note, _is_routine(note))
         self.measures.count_note(note)
 
-    def _hello(self) -> messages.Hello:
+    def _make_hello(self) -> messages.Hello:
         return messages.Hello(
             self.name,
             self._role,
@@ -140,7 +140,7 @@
 
 
 def new_clock() -> types.Clock:
-    """Return the clock that counts all leases of a process."""
+    """Return the clock by which a process times all its leases."""
     return clocks.ProcessClock.start()
 
 
@@ -150,5 +150,6 @@
         return True
     if note.name == 'job_ended':
         return ('verdict', 'complete') in note.fields
-    # Entries that compete for the same capacity are refused now and then.
+    # Refusals for lack of capacity are normal where several entries compete
+    # for it.
     return ('reason', 'room') in note.fields
