--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -27,8 +27,8 @@
 from agatepick.repeatable import pool
 
 RATE_TIME_CONSTANT_SECONDS = 1.0
-"""Time constant of the release rate: several run times long, and shorter than
-a burst."""
+"""Time constant of the moving average of the release rate: longer than several
+runs, and shorter than a burst of jobs."""
 
 USABLE_CORE_SHARE = 0.92
 """Share of the workers' cores that tasks can fill; the rest of each worker is
@@ -42,30 +42,31 @@
 
 MAX_WAIT_SHARE = 0.7
 """Largest share of a job's slack that its predicted wait may take up, while
-queued jobs start in time.  The job's own run time is known to within a
-third."""
+queued jobs start in time.  The rest is a margin, as the job's own run time is
+only known to within a third."""
 
 MIN_WAIT_SHARE = 0.05
-"""Smallest such share, reached while admitted jobs start late: then only jobs
-that start almost at once are admitted."""
+"""Smallest share of a job's slack that its predicted wait may take up, reached
+while admitted jobs start late: then only jobs that start almost at once are
+admitted."""
 
 SHARE_INCREASE_FACTOR = 1.02
 SHARE_DECREASE_FACTOR = 0.7
-"""Factors on the share after a job that started in time, and after one that
-started late.  They balance at one late start in nineteen, whatever the share
-is: fewer late starts would cost many refusals, and to callers a refusal is
-worse than a late answer."""
+"""Factors on :attr:`Margin.share`: the increase after an admitted job that
+started in time, the decrease after one that started late.  They balance at one
+late start in nineteen, whatever the share is: fewer late starts would cost
+many refusals, and to callers a refusal is worse than a late answer."""
 
 NO_AGENT_SECONDS = 0.8
 """Time without any reachable agent after which jobs are refused at once: a
 broken connection is replaced within 0.1 s, a silent one within 1.2 s."""
 
 STARTUP_SECONDS = 2.0
-"""Time for agents to connect after this process started: they find it in the
-store within 0.3 s, and a worker announces itself every 1.5 s."""
+"""Time for agents to connect after this process started: they find this entry
+in the store within 0.3 s, and a worker announces itself every 1.5 s."""
 
 MIN_RETRY_SECONDS = 1.0
-"""The Retry-After header holds whole seconds."""
+"""Shortest retry delay, as the Retry-After header holds whole seconds."""
 
 MAX_RETRY_SECONDS = 10.0
 
@@ -117,8 +118,8 @@
 class Load:
     """Queue and capacity that a new job meets.
 
-    :param needed: cores of the tasks that start before it.
-    :param free: cores that are free for them now.
+    :param needed: cores of the waiting tasks that start before the new job.
+    :param free: cores that are free for these tasks now.
     :param rate: cores that are released per second.
     :param trip: round trip of a message to an agent in seconds.  It is long
         while the entry's link or processor is saturated, when more jobs would
@@ -153,7 +154,7 @@
 
 
 class Margin:
-    """Share of its slack that an admitted job may wait, adjusted by outcome.
+    """Limit on the wait of admitted jobs, adjusted by their outcome.
 
     Load pattern: more work than the workers can do, for seconds.  A job's wait
     is predicted from the queue before it, but more urgent jobs arrive later
@@ -162,7 +163,8 @@
     each job that waited until it started too late lowers the share, so that
     later callers are refused at once instead of late.
 
-    :ivar share: share of the slack, between 0 and 1.
+    :ivar share: share of its slack that an admitted job may wait, between 0
+        and 1.
     """
 
     def __init__(self) -> None:
@@ -177,7 +179,13 @@
 
 
 def retry_after(load: Load, slack: float, rng: random.Random) -> float:
-    """Return the seconds until the wait is short enough, randomly spread."""
+    """Return the seconds after which a refused caller should retry.
+
+    By then the predicted wait should fit into the job's slack.  A random part
+    spreads the retries.
+
+    :param slack: seconds until the refused job's latest start.
+    """
     delay = max(load.wait() - slack, MIN_RETRY_SECONDS)
     spread = rng.uniform(0.0, RETRY_SPREAD_SECONDS)
     return min(delay + spread, MAX_RETRY_SECONDS)
@@ -220,7 +228,7 @@
         self._margin = Margin()
 
     def update_reachability(self, now: float) -> None:
-        """Update since when any agent has been reachable."""
+        """Check whether any agent is reachable, and record since when."""
         if any(worker.is_usable(now) for worker in self._pool):
             self._last_reachable_at = now
             self._reachable_since = min(self._reachable_since, now)
@@ -231,7 +239,9 @@
 
     def compute_latest_start(self, spec: jobs.Job, now: float) -> float:
         """Return the latest start at which a job still meets its objective."""
-        return now + spec.route.slack(self._estimator.longest(spec))
+        return now + spec.route.slack(
+            self._estimator.estimate_longest_chain(spec)
+        )
 
     def find_refusal(self, spec: jobs.Job, now: float) -> Refusal | None:
         """Return why a job isn't admitted, or ``None`` if it is."""
@@ -257,17 +267,18 @@
             self._margin.record_start(in_time)
 
     def pick_retry_delay(self) -> float:
-        """Return a random retry delay in seconds for other refusals.
+        """Return a random retry delay in seconds.
 
-        It is used where no queue determines the delay.
+        It applies to refusals whose delay doesn't follow from the queue.
         """
         return 1.0 + self._rng.uniform(0.0, RETRY_SPREAD_SECONDS)
 
     def _fits_anywhere(self, spec: jobs.Job, now: float) -> bool:
         """Return whether each task fits on some known worker.
 
-        Just after the start, and while a network partition heals, agents
-        connect one by one: a job waits for them as long as it would for free
+        Also true while no worker of the job's pool is known: just after this
+        process started, and while a network partition heals, agents connect
+        one by one, and a job waits for them as long as it would for free
         capacity.
         """
         rooms = [
@@ -289,8 +300,9 @@
     def _compute_load(
         self, spec: jobs.Job, latest_start: float, now: float
     ) -> Load:
-        # The job's own cores aren't counted: otherwise wide urgent jobs would
-        # be refused although they could get all cores that are released.
+        # The new job's own cores aren't counted as needed: otherwise wide
+        # urgent jobs would be refused although they could get all cores that
+        # are released.
         needed = 0.0
         for job in self._waiting.in_order():
             if not job.started and job.latest_start > latest_start:
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -121,9 +121,9 @@
     def _may_place(self) -> bool:
         """Return whether a placement round could send anything.
 
-        Most capacity updates and reports arrive while no task waits; an entry
-        with little load would spend an iteration of its event loop and a round
-        on each.
+        Most capacity updates and reports arrive while no task waits; without
+        this check an entry with little load would spend an iteration of its
+        event loop and a placement round on each of them.
         """
         return bool(self._waiting) or self._placing.has_unanswered_grants
 
@@ -183,7 +183,7 @@
             return [core.note('job_rejoined', job=spec.key)]
         if existing is not None:
             return self._refuse_call(event.call, spec, 'ending', 1.0)
-        longest = self._estimator.longest(spec)
+        longest = self._estimator.estimate_longest_chain(spec)
         if not self._stopping.accepts(longest, now):
             return self._refuse_call(event.call, spec, 'stopping', 1.0)
         refusal = self._admission.find_refusal(spec, now)
@@ -222,10 +222,10 @@
         call: int,
         spec: jobs.Job,
         reason: str,
-        after: float,
+        retry_after: float,
         load: admission.Load | None = None,
     ) -> list[object]:
-        answer = jobs.Answer(jobs.Verdict.NOT_RUN, reason, after)
+        answer = jobs.Answer(jobs.Verdict.NOT_RUN, reason, retry_after)
         inputs = {}
         if load is not None:
             inputs = {
@@ -240,7 +240,7 @@
                 job=spec.key,
                 queue=spec.route.name,
                 reason=reason,
-                retry_after=f'{after:.1f}',
+                retry_after=f'{retry_after:.1f}',
                 version=self.routes.version if self.routes else 0,
                 **inputs,
             ),
@@ -303,7 +303,9 @@
                 reason=answer.reason or 'done',
                 seconds=f'{now - job.arrived_at:.3f}',
                 began=_format_seconds(job.arrived_at, job.started_at),
-                all_began=_format_seconds(job.arrived_at, job.last_start()),
+                all_began=_format_seconds(
+                    job.arrived_at, job.get_last_sent_at()
+                ),
                 slowest=f'{job.slowest():.3f}',
                 late=f'{now - job.objective_ends_at:.3f}',
             ),
@@ -362,8 +364,9 @@
         self, worker: pool.Worker, message: messages.Renewal, now: float
     ) -> list[object]:
         if worker.lease_expired(now) and worker.placed:
-            # The lease may have expired: the runs that it covered are requeued
-            # first, and only then may it cover new runs.
+            # The worker's runs may have ended with its lease: their tasks are
+            # queued again first, and only then may the renewed lease cover new
+            # runs.
             effects = self._outcomes.requeue_all(worker, 'lease_over', now)
         else:
             effects = []
@@ -406,7 +409,7 @@
         due = self._placement_due or now >= self._placed_at + PLACE_SECONDS
         if due and self._may_place():
             effects += self._place(now)
-        return effects + self._finish(now)
+        return effects + self._finish_stop(now)
 
     def _check_leases_and_jobs(self, now: float) -> list[object]:
         if now < self._checked_at + JOB_CHECK_SECONDS:
@@ -447,7 +450,7 @@
         self._stopping.request(now)
         return [core.note('stopping', jobs=len(self._jobs_by_call))]
 
-    def _finish(self, now: float) -> list[object]:
+    def _finish_stop(self, now: float) -> list[object]:
         effects: list[object] = []
         if self._stopping.must_give_up(now):
             for job in self._jobs.open_jobs():
@@ -462,5 +465,5 @@
 
 
 def _format_seconds(since: float, until: float | None) -> str:
-    """Return the seconds between two instants, or ``never`` without an end."""
+    """Return the seconds between two instants; ``never`` without ``until``."""
     return 'never' if until is None else f'{until - since:.3f}'
--- a/src/agatepick/repeatable/estimating.py
+++ b/src/agatepick/repeatable/estimating.py
@@ -1,9 +1,10 @@
 """Estimates of run times per task and job.
 
-Load pattern: callers' estimates are wrong by a factor in either direction, and
-the tasks of one job resemble one another far more than those of two jobs.  A
-run's estimate is therefore the median of the job's tasks that have ended, if
-there are any, and otherwise the learnt run time of its queue.
+Load pattern: callers' estimates are too long or too short by some factor, and
+the tasks of one job resemble one another far more than those of two jobs.  The
+estimate for a run is therefore the median run time of the finished tasks of
+the same step of its job, if there are any, and otherwise the learnt run time
+of its queue.
 """
 
 import statistics
@@ -27,7 +28,7 @@
         """Return the expected run time of one task in seconds."""
         return self._run_times.mean(_as_spec(job, task))
 
-    def longest(self, job: jobs.Job) -> float:
+    def estimate_longest_chain(self, job: jobs.Job) -> float:
         """Return the expected seconds of a job's longest chain of steps."""
         by_step = [0.0] * len(job.after)
         for task in job.tasks:
@@ -50,7 +51,7 @@
     ) -> float:
         """Return the expected seconds of a run.
 
-        :param siblings: run times of the job's tasks that have ended.
+        :param siblings: run times of the finished tasks of the same step.
         """
         if siblings:
             return statistics.median(siblings)
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -18,7 +18,11 @@
 
 
 class TaskState(enum.Enum):
-    """State of one task."""
+    """State of one task.
+
+    ``BLOCKED`` tasks wait for earlier steps, ``WAITING`` ones for capacity;
+    ``PLACED`` ones have a run that may be going on.
+    """
 
     BLOCKED = 'blocked'
     WAITING = 'waiting'
@@ -56,7 +60,8 @@
 
     :ivar latest_start: instant at which the job must start to meet its
         objective.
-    :ivar objective_ends_at: end of its objective, by its expected run time.
+    :ivar objective_ends_at: instant at which the job must end to meet its
+        objective, by its expected run time.
     :ivar started_at: instant at which its first task was sent to a worker.
     :ivar check_at: instant of the next check for stragglers.
     :ivar calls: requests that wait for its answer; more than one if a caller
@@ -139,10 +144,11 @@
         self.run_seconds.setdefault(step, []).append(seconds)
         self._open_by_step[step] -= 1
         self.open_tasks -= 1
-        # The estimate of its siblings' run times has changed.
+        # The expected run time of the other tasks of this step has changed, so
+        # their runs are checked for stragglers again.
         self.check_at = 0.0
 
-    def last_start(self) -> float | None:
+    def get_last_sent_at(self) -> float | None:
         """Return when the last task was sent, or ``None`` if not all were."""
         if any(record.run == 0 for record in self.records):
             return None
@@ -154,13 +160,13 @@
         return max(longest_runs, default=0.0)
 
     def started_late(self) -> bool:
-        """Return whether queueing alone made a finished job too late.
+        """Return whether only queueing made a finished job miss its objective.
 
-        The job's objective follows from its actual run times.  A job with a
-        lost or moved run returns false, since its delay isn't due to the
+        The objective is computed from the job's actual run times.  A job with
+        a lost or moved run returns false, since its delay isn't due to the
         queue.
         """
-        last_sent_at = self.last_start()
+        last_sent_at = self.get_last_sent_at()
         if last_sent_at is None or any(
             record.run > 1 for record in self.records
         ):
@@ -228,7 +234,7 @@
         self._jobs.append(job)
 
     def in_order(self) -> list[OwnedJob]:
-        """Return all jobs with waiting tasks in the order of their start."""
+        """Return the jobs with waiting tasks, the first to be placed first."""
         if any(job.answered or not job.waiting for job in self._jobs):
             self._jobs = [
                 job for job in self._jobs if job.waiting and not job.answered
@@ -245,7 +251,10 @@
 
 
 def stop_runs(job: OwnedJob, indexes: list[int]) -> list[object]:
-    """Return the stop messages for the runs of some of a job's tasks."""
+    """Mark runs of a job as stopping, and return the stop messages.
+
+    :param indexes: indexes of the tasks whose runs to stop.
+    """
     by_agent: dict[types.PeerName, list[messages.RunRef]] = {}
     for index in indexes:
         record = job.records[index]
--- a/src/agatepick/repeatable/stopping.py
+++ b/src/agatepick/repeatable/stopping.py
@@ -12,7 +12,8 @@
 answered before the process is killed after 6 s."""
 
 SPARE_SECONDS = 0.3
-"""Additional time for queueing and the round trip to the worker."""
+"""Time added to a job's expected time, for queueing and the round trip to the
+worker."""
 
 MIN_SERVE_SECONDS = 2.5
 """Shortest time for which a stopping entry continues to serve: the load
@@ -44,7 +45,7 @@
             self._requested_at = now
 
     def accepts(self, expected: float, now: float) -> bool:
-        """Return whether a job still ends in time.
+        """Return whether a job may be accepted, since it will end in time.
 
         :param expected: expected run time of the job in seconds.
         """
