--- a/src/agatepick/repeatable/events.py
+++ b/src/agatepick/repeatable/events.py
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutesRead:
-    """Event: a version of the desired state was read."""
+    """Event: a version of the desired state, with all queues, was read."""
 
     table: routes.RouteTable
 
--- a/src/agatepick/repeatable/jobs.py
+++ b/src/agatepick/repeatable/jobs.py
@@ -46,7 +46,8 @@
     """Outcome of a request for a job.
 
     ``NOT_RUN`` guarantees that no task has started and none will start.
-    ``GIVEN_UP`` guarantees nothing: the job may be submitted again.
+    ``GIVEN_UP`` guarantees nothing: tasks may have run, or may still.  As the
+    job is repeatable, its caller may submit it again all the same.
     """
 
     COMPLETE = 'complete'
--- a/src/agatepick/repeatable/measures.py
+++ b/src/agatepick/repeatable/measures.py
@@ -1,8 +1,8 @@
 """Counters, gauges and histograms of one process in Prometheus format.
 
-A reducer emits a note for each decision, and the notes are what is counted:
-one counter by event and reason, both from small fixed sets, and a histogram of
-the time until an answer by verdict.
+A reducer emits a note for each decision.  Notes are counted by event and
+reason, both from small fixed sets; a histogram by verdict shows the time until
+a job was answered.
 """
 
 import typing
@@ -95,7 +95,7 @@
     def register(self, gauges: Gauges, store_calls: Counts) -> None:
         """Export gauges and the calls to the store on each scrape.
 
-        :param store_calls: returns the calls so far by method and outcome.
+        :param store_calls: returns the calls so far by path and outcome.
         """
         self._registry.register(_Reader(gauges, store_calls))
 
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -19,10 +19,10 @@
 from agatepick import types
 
 STALE_RUN_STEP = 64
-"""Step by which run numbers are raised after the reason ``stale_run``.  A
-worker that has already received this run number or a higher one received it
-from an earlier owner of the job; the step exceeds what that owner can have
-used."""
+"""Step by which a task's run number is raised after a worker refused its run
+as ``stale_run``.  A worker that has already received this run number or a
+higher one received it from an earlier owner of the job; the step exceeds what
+that owner can have used."""
 
 REFUSED_DELAYS = backoff.BackoffDelays(first=0.05, most=0.5)
 """Delays before a task that workers refuse is sent again, from its second
@@ -92,19 +92,19 @@
             if record.stopping:
                 return owned_jobs.stop_runs(job, [report.index])
             return []
-        # Its capacity counts as free from the next update on: the agent may
-        # have granted it to another waiting entry, and would refuse a run that
-        # is started there.
+        # The ended run's capacity counts as free from the agent's next update
+        # on: the agent may have granted it to another waiting entry, and would
+        # refuse a run that is started there before.
         worker.placed.pop(key, None)
         if report.state == types.RunState.FINISHED:
-            return self._run_finished(worker, job, report, now)
+            return self._handle_finished(worker, job, report, now)
         if report.state == types.RunState.FAILED:
-            return self._run_failed(worker, job, report, now)
+            return self._handle_failed(worker, job, report, now)
         if report.state == types.RunState.REFUSED:
-            return self._run_refused(worker, job, report, now)
+            return self._handle_refused(worker, job, report, now)
         return self._requeue(job, report.index, report.reason, now)
 
-    def _run_finished(
+    def _handle_finished(
         self,
         worker: pool.Worker,
         job: owned_jobs.OwnedJob,
@@ -124,7 +124,7 @@
             self._waiting.add(job)
         return []
 
-    def _run_failed(
+    def _handle_failed(
         self,
         worker: pool.Worker,
         job: owned_jobs.OwnedJob,
@@ -143,7 +143,7 @@
             return effects
         return effects + self._requeue(job, report.index, 'failed', now)
 
-    def _run_refused(
+    def _handle_refused(
         self,
         worker: pool.Worker,
         job: owned_jobs.OwnedJob,
@@ -205,7 +205,7 @@
     def requeue_all(
         self, worker: pool.Worker, reason: str, now: float
     ) -> list[object]:
-        """Queue the tasks of all runs at a worker again, as they are over."""
+        """Queue the tasks of a worker's runs again, as all these are over."""
         effects: list[object] = []
         for key in list(worker.placed):
             effects += self._requeue_lost(worker, key, reason, now)
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -24,8 +24,9 @@
 after four times that."""
 
 URGENCY_CHANGE_SECONDS = 0.05
-"""Difference in urgency from which a new first task is requested at once:
-short wide jobs have a slack of 0.13 s in all."""
+"""Time by which the latest start of the most urgent task must be earlier than
+in the last capacity request for another request to be sent at once: short wide
+jobs have a slack of 0.13 s in all."""
 
 MIN_WANT_INTERVAL_SECONDS = 0.03
 """Shortest pause between two capacity requests to a pool."""
@@ -83,8 +84,8 @@
         for name, jobs in blocked_by_pool.items():
             effects += self._send_want(name, wants[name], now)
         # No task waits for the other pools any more.  Their agents get no
-        # message: an agent with a grant for this entry receives its answer,
-        # and the others drop the request after a while.
+        # message: an agent with a grant for this entry receives the entry's
+        # answer, and the others drop the request after a while.
         for name, last_want in self._last_wants.items():
             if name not in blocked_by_pool:
                 self._last_wants[name] = dataclasses.replace(
@@ -95,7 +96,7 @@
     def _place_jobs(
         self, waiting: list[owned_jobs.OwnedJob], now: float
     ) -> list[owned_jobs.OwnedJob]:
-        """Assign the tasks that fit, and return the jobs that have others."""
+        """Assign the tasks that fit, and return the jobs with tasks left."""
         blocked: list[owned_jobs.OwnedJob] = []
         candidates: dict[tuple[str, str], pool.Candidates] = {}
         min_unplaced_cpu: dict[tuple[str, str], float] = {}
@@ -113,7 +114,7 @@
                     candidates[pool_and_label] = self._pool.candidates(
                         *pool_and_label, now
                     )
-                # If fewer cores weren't free, more cores aren't either.
+                # No worker had room for a task with as many cores or fewer.
                 if task.needs.cpu >= min_unplaced_cpu.get(
                     pool_and_label, float('inf')
                 ):
@@ -201,7 +202,8 @@
                 )
             )
             if grant is not None:
-                # The agent gives the unused part of a grant to other entries.
+                # The agent gives the unused part of a grant to other entries,
+                # so this entry must not use it.
                 worker.mark_full()
         self._starts.clear()
         self._payloads.clear()
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -5,8 +5,8 @@
 
 The free capacity of a worker is the value that its agent sent last, minus what
 this entry has sent there since.  A worker's cost, sent by its agent, is
-compared with that of the others: jobs that are slow or fail on all workers
-cause that themselves.  Workers with a high cost get no tasks, or one task at a
+compared with that of the others: a job that is slow or fails on all workers is
+itself the cause.  Workers with a high cost get no tasks, or one task at a
 time, which shows whether they have recovered.
 """
 
@@ -32,16 +32,17 @@
 
 PROBATION_COST = 1.8
 """Cost, relative to the median, from which a worker gets one task at a time.
-Below it are workers of a slower type, whose cost also varies with wrong run
-time estimates."""
+Healthy workers of a slower type stay below it, although wrong run time
+estimates make their cost vary."""
 
 COST_STEPS_PER_UNIT = 4.0
 """Number of steps per unit of cost that are distinguished when a worker is
 chosen: healthy workers of the slower type are one step behind the others."""
 
 MIN_SPARE_TASKS = 2.5
-"""Number of such tasks below which a worker's free capacity counts as nearly
-used up: another entry may have taken the last slot since the last update."""
+"""Number of tasks like the one to be placed for which a worker must have free
+cores, or it counts as nearly full: another entry may have taken its last slot
+since the last update."""
 
 NEARLY_FULL_STEPS = 2
 """Number of steps by which a nearly full worker is ranked lower: entries that
@@ -218,7 +219,10 @@
         return best
 
     def _rank(self, worker: Worker, needs: types.Needs) -> tuple[int, float]:
-        """Return the sort key: fast with spare capacity, then emptier."""
+        """Return the sort key of a candidate, the lowest for the best.
+
+        Fast workers that aren't nearly full come first, then emptier ones.
+        """
         assert worker.room is not None
         capacity = worker.room.capacity.cpu or 1.0
         emptiness = worker.free.cpu / capacity
--- a/src/agatepick/repeatable/routes.py
+++ b/src/agatepick/repeatable/routes.py
@@ -43,7 +43,7 @@
     routes: tuple[Route, ...]
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the queue with the host and the longest path prefix."""
+        """Return the host's queue with the longest prefix of the path."""
         best: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -22,12 +22,13 @@
 case, and another worker uses the rest of the caller's time better."""
 
 STRAGGLER_SPARE_SECONDS = 0.12
-"""Additional time for the round trip to the worker and for a busy agent."""
+"""Time added to that multiple of the expected time, for the round trip to the
+worker and for a busy agent."""
 
 NO_SIBLING_FACTOR = 2.0
-"""Factor on that limit while no task of the job's step has finished: callers'
-estimates and the learnt run times of the queue are wrong by up to that
-factor."""
+"""Factor on :data:`STRAGGLER_RATIO` while no task of the same step of the job
+has finished: callers' estimates and the learnt run times of the queue are
+wrong by up to this factor."""
 
 MAX_MOVES = 2
 """Largest number of times that a task is moved away from slow workers."""
