--- a/src/agatepick/repeatable/agent.py
+++ b/src/agatepick/repeatable/agent.py
@@ -27,7 +27,7 @@
 STOP_RUNS_SECONDS = 4.0
 """Time after which a stopping agent stops the remaining runs, so that its
 entries receive the reports and restart the tasks elsewhere before the process
-is killed (6 s)."""
+is killed, 6 s after the request to stop."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -107,8 +107,8 @@
         handler = self._handlers.get(type(event))
         if handler is None:
             return [core.note('unexpected_event', kind=type(event).__name__)]
-        # Expired leases are enforced before the event, so that a late renewal
-        # can't revive them.
+        # Runs whose lease has expired are stopped before the event is handled,
+        # so that a late renewal can't revive them.
         effects = self._controller.enforce_leases(now)
         effects += handler(event, now)
         effects += self._controller.request_lists(now)
@@ -117,7 +117,7 @@
         effects += self._publisher.publish(
             self._controller.worker, self._is_open(now), self._owners, now
         )
-        effects += self._finish(now)
+        effects += self._finish_stop(now)
         wake = self._next_wake(now)
         if wake is not None:
             effects.append(core.WakeAt(wake))
@@ -141,7 +141,7 @@
         return effects + self._review_entries(now)
 
     def _review_entries(self, now: float) -> list[object]:
-        """Connect the entries that this agent serves, and leave the others."""
+        """Connect to the entries to serve, and stop serving the others."""
         connected = {
             owner.name for owner in self._owners.values() if owner.connected
         }
@@ -193,8 +193,8 @@
         if owner is None or event.incarnation not in (0, owner.incarnation):
             return []
         if event.incarnation == 0 and owner.connected:
-            # This is the failure of a second dial to an entry that is
-            # connected.
+            # A second dial to this entry failed; its first connection is still
+            # open.
             return []
         was_connected, owner.connected = owner.connected, False
         self._capacity.remove_entry(event.peer)
@@ -271,7 +271,8 @@
         if not self._is_open(now):
             return 'closed'
         if owner.lease_until <= now:
-            # The message was delayed: its owner may have requeued the task.
+            # The start message arrived after the entry's lease had expired:
+            # the entry may have queued the task again.
             return 'lease'
         if spec.name in self._controller.runs:
             return 'busy'
@@ -342,7 +343,7 @@
             self._stopping_at = now
         return [core.note('stopping', runs=len(self._controller.runs))]
 
-    def _finish(self, now: float) -> list[object]:
+    def _finish_stop(self, now: float) -> list[object]:
         if self._stopping_at is None:
             return []
         if not self._controller.runs:
--- a/src/agatepick/repeatable/health.py
+++ b/src/agatepick/repeatable/health.py
@@ -7,28 +7,28 @@
 runs of all entries.
 
 Slowness and success rate are moving averages.  A run that exceeds its expected
-time counts before it ends, since on a hanging worker no run ends.  Without
-runs the record fades, so that the worker is tried again.
+time is recorded before it ends, since on a hanging worker no run ends.
+Without runs the record fades, so that the worker is tried again.
 """
 
 import math
 
 SLOWNESS_WEIGHT = 0.15
-"""Weight of one run time: with 10 concurrent runs, the first seven that end
-move the average two thirds of the way."""
+"""Weight of one run time in the average: with 10 concurrent runs, the first
+seven that end move it two thirds of the way to their own mean."""
 
 SUCCESS_WEIGHT = 0.15
-"""Weight of one outcome: from a clean record, four failures in a row halve the
-success rate; a healthy worker fails two runs in a thousand."""
+"""Weight of one outcome in the average: from a clean record, four failures in
+a row halve the success rate; a healthy worker fails two runs in a thousand."""
 
 FADE_SECONDS = 3.0
 """Time constant with which the record fades while nothing runs.  A worker that
 was six times too slow is tried again after 5 s."""
 
 OVERDUE_RATIO = 2.5
-"""Multiple of the expected time at which a run counts before its end, and
-again each time that multiple doubles: one estimate in a hundred is wrong by as
-much."""
+"""Multiple of its expected time at which a run is recorded as slow before it
+ends, and again each time the multiple doubles.  One estimate in a hundred is
+wrong by this factor."""
 
 MAX_RATIO = 12.0
 MIN_SUCCESS_RATE = 0.1
@@ -43,7 +43,7 @@
         self._last_run_at = 0.0
 
     def cost(self, now: float) -> float:
-        """Return the expected time until a result, over a healthy worker's."""
+        """Return the expected time until a result; 1 for a healthy worker."""
         slowness, success = self._compute_faded(now)
         return slowness / max(success, MIN_SUCCESS_RATE)
 
--- a/src/agatepick/repeatable/leases.py
+++ b/src/agatepick/repeatable/leases.py
@@ -1,8 +1,8 @@
 """Durations of the two leases that bound a run.
 
-Without them, an entry dies, its caller submits the job again elsewhere, and
-the new runs start while the old ones still run: the caller's quote is filed
-twice.
+Without leases, after an entry died and its caller submitted the job again
+elsewhere, the new runs would start while the old ones still run: a quote that
+the job files for the caller would be filed twice.
 
 A run is bounded by two leases in sequence.  The agent holds a lease from the
 entry, renewed by a round trip and counted from the time of the agent's
@@ -34,7 +34,7 @@
 """Longest time that a worker takes to stop a run."""
 
 LOOP_DELAY_SECONDS = 0.05
-"""Allowance for event loop delays in between."""
+"""Allowance for event loop delays between the steps of that sequence."""
 
 MAX_WORKER_LEASE_SECONDS = 1.0
 """Upper bound to which the worker cuts any longer lease.  A request meant for
@@ -42,16 +42,17 @@
 clock, which may be hours ahead."""
 
 WORKER_EXPIRY_SECONDS = WORKER_LEASE_SECONDS * CLOCK_DRIFT + STOP_SECONDS
-"""Time after its lease was last extended from which a worker runs nothing."""
+"""Time from the last extension of a worker's lease until its runs are over."""
 
 MAX_WORKER_EXPIRY_SECONDS = (
     MAX_WORKER_LEASE_SECONDS * CLOCK_DRIFT + STOP_SECONDS
 )
-"""The same after a request that may have reached another incarnation of the
-worker."""
+"""Time from a request that may have reached another incarnation of the worker
+until the runs there are over.  The request may have extended their lease up to
+the worker's own bound."""
 
 EXPIRY_SECONDS = (
     ENTRY_LEASE_SECONDS + WORKER_EXPIRY_SECONDS + LOOP_DELAY_SECONDS
 )
-"""Time after an entry's last answer to an agent's renewal from which none of
-its runs is left at that agent's worker."""
+"""Time from an entry's last answer to an agent's renewal until none of the
+entry's runs is left at that agent's worker."""
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -1,11 +1,13 @@
-"""Timing of an agent's requests for its worker's lists.
+"""Timing of an agent's requests for its worker's lists of runs.
 
-Load pattern: one request in twenty gets no answer, for seconds.  If the agent
-waited for the lost list before it requested another, it would receive no ends
-of runs for a quarter of a second, several times a second: short urgent jobs
-would all be late although the worker is healthy.  An overdue list is therefore
-requested once more while the first one may still arrive, and the silence of a
-worker is measured by time, not by a number of failures.
+An answer contains two lists, of the running and of the ended runs.
+
+Load pattern: for seconds, one request in twenty gets no answer.  If the agent
+waited for a lost answer before it sent another request, it would learn of no
+ended run for a quarter of a second, several times a second: short urgent jobs
+would all be late although the worker is healthy.  An overdue answer is
+therefore requested once more while the first one may still arrive, and the
+silence of a worker is measured by time, not by a number of failures.
 
 A worker that repeatedly goes down and comes up fails each request at once.
 Without pauses it would receive thousands of requests a second, each over a new
@@ -15,30 +17,32 @@
 from agatepick.decisions import backoff
 
 WAIT_SECONDS = 0.08
-"""Time for which a worker may delay its lists; its lease is extended as often.
-Busy workers end a run every 30 ms, so longer delays would save nothing."""
+"""Time for which a worker may delay its lists until a run ends; its lease is
+extended with each request, so as often.  Busy workers end a run every 30 ms,
+so longer delays would save nothing."""
 
 HEDGE_SECONDS = 0.02
-"""Time beyond that after which an overdue list is requested again: the worker
-is on this machine and answers within 2 ms."""
+"""Time beyond the allowed delay after which overdue lists are requested again:
+the worker is on this machine and answers within 2 ms."""
 
 MAX_PENDING = 2
 """Largest number of concurrent requests for lists."""
 
 BLOCK_STARTS_SECONDS = 0.3
-"""Silence after which no more runs are started at a worker: three lists in a
-row, which are hardly ever lost if one request in twenty is."""
+"""Silence after which no more runs are started at a worker: the time of three
+requests in a row, which hardly ever all get lost if one in twenty does."""
 
 SILENT_SECONDS = 0.6
 """Silence after which a worker's lease is no longer extended.  The lease lasts
-as long: with a shorter time lost answers alone would end all its runs."""
+as long; after a shorter silence, lost answers alone would end all runs at the
+worker."""
 
 PROBE_SECONDS = 0.5
 """Pause between requests to a silent worker."""
 
 MIN_INTERVAL_SECONDS = 0.005
 """Shortest time between two requests, for a worker that answers without
-waiting for an end."""
+waiting until a run ends."""
 
 FAILED_DELAYS = backoff.BackoffDelays(first=0.02, most=0.1)
 """Delays after failed requests, while the worker may still be healthy."""
@@ -105,15 +109,18 @@
         )
 
     def blocks_starts(self, now: float) -> bool:
-        """Return whether no more runs should be started."""
+        """Return whether the worker is too silent for more runs to start."""
         return self._silence(now) >= BLOCK_STARTS_SECONDS
 
     def is_silent(self, now: float) -> bool:
-        """Return whether the worker's lease should expire."""
+        """Return whether the worker is too silent to extend its lease."""
         return self._silence(now) >= SILENT_SECONDS
 
     def next_due(self) -> float | None:
-        """Return the instant of the next request, or ``None``."""
+        """Return the instant of the next request.
+
+        :returns: ``None`` while as many requests as allowed are unanswered.
+        """
         return self._next_request_at if self._pending < MAX_PENDING else None
 
     def _silence(self, now: float) -> float:
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -24,12 +24,13 @@
 worker frees a slot."""
 
 UPDATE_SECONDS_PER_AGENT = 0.0027
-"""That pause per agent of the busiest connected entry, so that no entry
-receives more than 370 updates a second, however many agents there are."""
+"""Shortest pause between two updates to one entry, divided by the number of
+agents of the connected entry that has the most: no entry receives more than
+370 updates a second, however many agents there are."""
 
 MAX_STALE_SECONDS = 0.25
-"""Longest time for which a smaller difference of the capacity that an entry
-assumes is tolerated."""
+"""Longest time for which an entry may assume a free capacity that differs from
+the actual one, but on the same level (:data:`_LEVELS`)."""
 
 MIN_COST_CHANGE = 0.2
 """Smallest change of a worker's cost that is sent."""
@@ -40,8 +41,9 @@
 _LEVELS = tuple(
     round(2.0 * math.log2(1 + tasks)) for tasks in range(MAX_COUNTED_TASKS + 1)
 )
-"""Capacity levels by number of free slots: each level spans one slot below
-four, and a fifth of all slots above."""
+"""Capacity levels by number of free slots.  Below four slots each number has a
+level of its own; above, a level spans a factor of 1.4, or a fifth to either
+side of its middle."""
 
 Owners = dict[types.PeerName, runs.Owner]
 
@@ -52,7 +54,7 @@
 
     :ivar last_update: last update that was sent.
     :ivar sent_at: instant of that update.
-    :ivar free: free capacity in it, minus the entry's starts since.
+    :ivar free: free capacity in that update, minus the entry's starts since.
     """
 
     last_update: messages.Room
@@ -129,7 +131,7 @@
         cost = self._health.cost(now)
         if abs(cost - self._cost) >= MIN_COST_CHANGE:
             self._cost = cost
-        effects = self._grant(owners, now) if is_open else []
+        effects = self._send_grants(owners, now) if is_open else []
         if not self._is_update_due(now):
             return effects
         self._free = self._capacity.free
@@ -183,8 +185,8 @@
             return 0.0
         last_update = assumed.last_update
         if last_update.open != (self._open and not owner.leaving):
-            # Whether runs may be started changes rarely and is sent at once:
-            # after a restart callers wait for just that.
+            # Whether runs may be started here changes rarely and is sent at
+            # once: after a restart callers wait until they may.
             return 0.0
         pause = max(
             MIN_UPDATE_SECONDS, UPDATE_SECONDS_PER_AGENT * self._max_agents
@@ -203,8 +205,8 @@
         :param assumed_free: free capacity that the entry assumes.
         """
         if self._task_size == types.Needs():
-            # Nothing has been started here yet, so the size of a slot is
-            # unknown.
+            # No run has been started at this worker yet, so the size of a slot
+            # is unknown.
             return assumed_free != self._free
         return self._level_of(assumed_free) != self._level
 
@@ -256,7 +258,7 @@
             self._cost,
         )
 
-    def _grant(self, owners: Owners, now: float) -> list[object]:
+    def _send_grants(self, owners: Owners, now: float) -> list[object]:
         effects: list[object] = []
         for grant in self._capacity.issue_grants(now):
             owner = owners[grant.entry]
--- a/src/agatepick/repeatable/reports.py
+++ b/src/agatepick/repeatable/reports.py
@@ -2,7 +2,7 @@
 
 A report may be lost with its connection.  Reports are therefore kept for a
 while, and an entry that reconnects receives a full report on all of its runs:
-a run that isn't in that list has ended.
+a run that the full report doesn't contain has ended.
 """
 
 import collections
@@ -14,7 +14,7 @@
 from agatepick import types
 
 NO_PAYLOAD = 'payload'
-"""Reason of refusing a run whose payload the agent doesn't have."""
+"""Reason code for refusing a run whose payload the agent doesn't have."""
 
 RETENTION_SECONDS = 5.0
 """Time for which reports are kept for an entry whose connection broke."""
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -22,7 +22,8 @@
 
 STOP_RETRY_SECONDS = 0.1
 """Pause before a stop is sent again.  One request in twenty may get no answer;
-the retry is sent well within the callers' 1.3 s."""
+the retry is sent well within the 1.3 s after which callers submit a job
+again."""
 
 UNOWNED_STOP_RETRY_SECONDS = 0.2
 """Pause before a run that no entry owns is stopped once more."""
@@ -53,7 +54,9 @@
 
 
 class RunController:
-    """Starts, stops and lists of runs at the worker beside this agent.
+    """Controller of the runs at the worker beside this agent.
+
+    Sends the worker starts and stops, and requests its lists of runs.
 
     :param on_refused: called with the name of the entry whose start was
         refused.
@@ -82,9 +85,9 @@
         self._unowned_stopped_at = 0.0
         # Whether no run that an earlier incarnation of this process started is
         # left at the worker.  Each start extends the lease of all runs there:
-        # if tasks were started beside such a run whose stop got lost, it would
-        # outlive the time after which its entry starts its task elsewhere, and
-        # a caller's quote would be filed twice.
+        # if tasks were started beside an earlier run whose stop got lost, that
+        # run would outlive the time after which its entry starts the task
+        # elsewhere, and a quote that the task files would be filed twice.
         self._earlier_runs_over = False
         self._persisted_worker: workerapi.WorkerAnnounced | None = None
 
@@ -197,7 +200,7 @@
         effects: list[object] = []
         for run in self.runs.values():
             # The run ended with the former incarnation; but a start in transit
-            # may have reached the new one, which only its own list can show.
+            # may have reached the new one, whose own list alone can show that.
             run.stopping = False
             run.stop_acknowledged_at = 0.0
             run.confirmed_at = run.confirmed_at or now
@@ -448,7 +451,11 @@
     def _end_if_absent(
         self, run: runs.Run, lists_requested_at: float, now: float
     ) -> list[object]:
-        """End a run that is in no list if the list is newer than its calls."""
+        """End a run that isn't in the worker's lists.
+
+        Only if the lists were requested after its start and, if it is being
+        stopped, its stop were answered.
+        """
         if not run.confirmed_at or run.confirmed_at >= lists_requested_at:
             return []
         if (
@@ -483,7 +490,10 @@
     # Runs
 
     def enforce_leases(self, now: float) -> list[object]:
-        """Stop runs whose lease has expired, and drop those that are over."""
+        """Stop runs whose lease has expired, and drop those that are over.
+
+        Starts and stops that are unanswered for too long are sent again.
+        """
         effects: list[object] = []
         for run in list(self.runs.values()):
             if now >= self._lease_until:
--- a/src/agatepick/repeatable/runs.py
+++ b/src/agatepick/repeatable/runs.py
@@ -14,7 +14,7 @@
     """One incarnation of an entry, which owns runs at this agent.
 
     :ivar lease_until: end of the lease on its runs.
-    :ivar taken: number of its last start message.
+    :ivar taken: number of the last start message received from it.
     :ivar agents: number of agents that the entry is connected to.
     :ivar trip: round trip of the last renewal in seconds.
     :ivar leaving: whether it gets no more capacity here.
@@ -40,6 +40,9 @@
 class Run:
     """One run at the worker, until it has certainly ended.
 
+    :ivar name: name of the task at the worker.
+    :ivar requested_at: instant at which the entry's start message arrived.
+    :ivar expected: expected run time in seconds; 0 if there is none.
     :ivar starts: number of starts sent.
     :ivar unanswered: number of these that may still be answered.
     :ivar confirmed_at: when the worker answered the start; 0 before.
--- a/src/agatepick/repeatable/serving.py
+++ b/src/agatepick/repeatable/serving.py
@@ -31,9 +31,9 @@
 1 s."""
 
 LEAVE_SECONDS = 1.0
-"""Time for which an entry is still served after the update that it gets no
-more capacity: starts that it sent before are accepted, as this is many round
-trips."""
+"""Time for which an entry is still served after the update which tells it that
+it gets no more capacity: this is many round trips, so starts that the entry
+sent before are accepted."""
 
 Names = typing.Collection[types.PeerName]
 
@@ -96,7 +96,10 @@
         return effects
 
     def _choose_entries(self, now: float) -> list[types.PeerName]:
-        """Return the first few reachable entries, and the ones before them."""
+        """Return the first few reachable entries in order of rank.
+
+        Unreachable entries of a higher rank are included.
+        """
         served: list[types.PeerName] = []
         reachable = 0
         for name in self._ranking:
@@ -123,6 +126,7 @@
         ]
 
     def _weight(self, entry: types.PeerName) -> bytes:
+        """Return the rendezvous hash of this agent and an entry."""
         pair = f'{self._name} {entry}'.encode()
         return hashlib.blake2b(pair, digest_size=8).digest()
 
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -25,10 +25,12 @@
 ms."""
 
 GRANT_ROUND_TRIPS = 1.5
-"""The same in round trips, for an entry whose answers take longer."""
+"""Time for which capacity is reserved for an entry in round trips to it, if
+that is longer than :data:`GRANT_SECONDS`."""
 
 MAX_GRANT_SECONDS = 0.25
-"""Upper bound, so that an entry that hangs doesn't keep a worker idle."""
+"""Longest time for which capacity is reserved for an entry, so that one that
+hangs doesn't keep a worker idle."""
 
 WANT_TTL_SECONDS = 1.0
 """Lifetime of a capacity request; entries repeat theirs every 0.25 s."""
@@ -38,6 +40,7 @@
 class Share:
     """Capacity request and grant of one entry.
 
+    :ivar grant: number of its grant; 0 if it has none.
     :ivar grant_seconds: seconds for which a grant to it is valid.
     """
 
@@ -49,7 +52,7 @@
     grant_seconds: float = GRANT_SECONDS
 
     def latest_start(self) -> float:
-        """Return the latest start of its first task."""
+        """Return the latest start of the entry's most urgent waiting task."""
         slack = self.want.slack if self.want is not None else 0.0
         return self.want_received_at + slack
 
@@ -112,9 +115,9 @@
     def set_round_trip(self, entry: types.PeerName, trip: float) -> None:
         """Set how long grants to an entry are valid, by its round trip.
 
-        Otherwise, while an entry's link is saturated, each of its answers
-        arrives after the grant has expired, and its starts are refused and
-        sent again, which keeps the link saturated.
+        With a fixed time, while an entry's link is saturated, each of its
+        answers would arrive after the grant has expired, and its starts would
+        be refused and sent again, which would keep the link saturated.
 
         :param trip: round trip of the entry's last answer in seconds.
         """
@@ -185,7 +188,8 @@
         share.grant = self._last_grant_number
         share.granted_capacity = capacity
         share.granted_at = now
-        # The answer contains a new request if tasks still wait.
+        # The entry's answer to the grant contains a new request if tasks still
+        # wait.
         share.want = None
         return Grant(name, share.grant, capacity)
 
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -178,7 +178,8 @@
 class OtherIncarnationAnswered:
     """Event: another incarnation answered a :class:`RequestLists`.
 
-    It has the same name, so it also carries out requests for the earlier one.
+    The new incarnation has the same worker name, so it also carries out
+    requests that were meant for the earlier one.
 
     :param incarnation: incarnation to which the request was sent.
     :param new_incarnation: incarnation that answered.
