--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -36,9 +36,9 @@
 behind in that time."""
 
 FENCING_TOKEN = 1
-"""Constant, as all requests come from the one agent beside the worker, whose
-earlier incarnation has ended before it starts; late requests of that one
-carry expired leases."""
+"""Fencing token of all requests.  It is constant, as all come from the one
+agent beside the worker.  An earlier incarnation of that agent has ended before
+the next one starts, and its late requests carry expired leases."""
 
 _END_KINDS = {
     'done': workerapi.EndKind.DONE,
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -68,7 +68,9 @@
     def place(
         self, waiting: list[owned_jobs.OwnedJob], now: float
     ) -> list[object]:
-        """Start the tasks that fit, most urgent first; request the rest.
+        """Start the tasks that fit, the most urgent first.
+
+        Capacity is requested for the tasks that don't fit.
 
         :param waiting: jobs with waiting tasks, the most urgent first.
         """
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -105,8 +105,8 @@
     def clear_capacity(self, entry: types.PeerName) -> None:
         """Set the assumed capacity of an entry to zero.
 
-        The entry has answered a grant or a start of it was refused: it sends
-        no starts until the next update.
+        The entry has answered a grant, or one of its starts was refused: it
+        sends no starts until the next update.
         """
         assumed = self._assumed.get(entry)
         if assumed is not None:
@@ -200,7 +200,10 @@
         return assumed.sent_at + max(MAX_STALE_SECONDS, pause)
 
     def _changes_decisions(self, assumed_free: types.Needs) -> bool:
-        """Return whether the actual free capacity would change decisions.
+        """Return whether an entry would decide otherwise on current values.
+
+        Only the free capacity is compared, by its level once the size of a
+        slot is known.
 
         :param assumed_free: free capacity that the entry assumes.
         """
@@ -227,7 +230,7 @@
         )
 
     def _level_of(self, free: types.Needs) -> int:
-        """Return the level of the number of tasks that fit.
+        """Return the level of the number of tasks that fit into ``free``.
 
         A task is assumed to have the size of the last one that was started.
         """
--- a/src/agatepick/repeatable/reports.py
+++ b/src/agatepick/repeatable/reports.py
@@ -30,7 +30,7 @@
         self._queued: dict[runs.Owner, list[messages.RunReport]] = {}
 
     def forget(self, owner: runs.Owner) -> None:
-        """Drop the reports to an incarnation of an entry that has ended."""
+        """Drop the reports to an ended incarnation of an entry."""
         owner.replaced = True
         self._history.pop(owner, None)
         self._queued.pop(owner, None)
--- a/src/agatepick/repeatable/routes.py
+++ b/src/agatepick/repeatable/routes.py
@@ -15,7 +15,8 @@
     :param max_attempts: failed runs of one task after which its job fails.
     :param stretch: factor on the longest chain of work within which a job
         should end.
-    :param target_seconds: seconds that a job may take beyond that.
+    :param target_seconds: seconds that a job may take beyond that multiple of
+        its longest chain.
     """
 
     name: str
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -38,7 +38,7 @@
 """Largest number of times that one run's start is sent."""
 
 NO_LIST_YET = -1
-"""Value of the last acknowledged end while no list has arrived yet."""
+"""Number of the last acknowledged end while no lists have arrived yet."""
 
 ANNOUNCEMENT_TIMEOUT_SECONDS = 6.0
 """Time without announcements after which a worker counts as gone: three
@@ -144,10 +144,11 @@
     ) -> list[object]:
         """Persist the worker for the next incarnation of this process.
 
-        Otherwise, after a kill or a power loss, the agent has no description
-        of its worker until the next announcement, up to 1.5 s later, and
-        callers reach entries that can't start anything.  A draining worker is
-        deleted from the store: the next incarnation must not use it.
+        Without this, after a kill or a power loss, the agent would have no
+        description of its worker until the next announcement, up to 1.5 s
+        later, and callers would reach entries that can't start anything.  A
+        draining worker is deleted from the store: the next incarnation must
+        not use it.
         """
         persisted = None
         if not announced.draining:
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -116,7 +116,7 @@
     ) -> bool:
         """Return whether another healthy worker has capacity for a task.
 
-        Otherwise stopping its run would only waste its work.
+        If none has, stopping the task's run would only waste its work.
         """
         record = job.records[index]
         task = job.spec.tasks[index]
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -122,7 +122,8 @@
 
     :param last_end: number of the last end that the agent has handled.
     :param lease_seconds: time by which the lease is extended; 0 for none.
-    :param wait_seconds: time for which the worker may wait for an end.
+    :param wait_seconds: time for which the worker may delay its lists until a
+        run ends.
     """
 
     incarnation: str
