--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -77,9 +77,9 @@
         self.feed = feed
         self.clock = clock
         self._calls = itertools.count(1)
-        self._waiting: dict[int, 'QueueHandler'] = {}
+        self._waiting: dict[int, 'Queue'] = {}
 
-    def submit(self, handler: 'QueueHandler', job: jobs.Job) -> int:
+    def submit(self, handler: 'Queue', job: jobs.Job) -> int:
         """Submit a job to the entry and return the number of the call.
 
         :meth:`reply` delivers the answer.
@@ -101,7 +101,7 @@
             handler.answer(effect.answer)
 
 
-class ReadyHandler(web.RequestHandler):
+class Ready(web.RequestHandler):
     """The readiness endpoint for the load balancer."""
 
     def initialize(self, front: Front) -> None:
@@ -114,7 +114,7 @@
         self.finish({})
 
 
-class QueueHandler(web.RequestHandler):
+class Queue(web.RequestHandler):
     """The endpoint for all paths of all queues."""
 
     def initialize(self, front: Front) -> None:
@@ -232,7 +232,7 @@
 def make_application(front: Front) -> web.Application:
     """Return the HTTP application for callers."""
     return web.Application(
-        [(r'.*', QueueHandler, {'front': front})],
+        [(r'.*', Queue, {'front': front})],
         log_function=lambda handler: None,
     )
 
@@ -240,7 +240,7 @@
 def make_ready_application(front: Front) -> web.Application:
     """Return the HTTP application for the load balancer."""
     return web.Application(
-        [(r'/v1/ready', ReadyHandler, {'front': front})],
+        [(r'/v1/ready', Ready, {'front': front})],
         log_function=lambda handler: None,
     )
 
