--- a/src/agatepick/platform/ingress.py
+++ b/src/agatepick/platform/ingress.py
@@ -39,8 +39,8 @@
 
     :param count: number of tasks.
     :param cpu: in thousandths of a core.
-    :param estimated_ms: estimated run time, which is wrong by a factor either
-        way.
+    :param estimated_ms: estimated run time, which is too long or too short by
+        some factor.
     :param after: indices of the steps that must end before this one.
     """
 
@@ -215,17 +215,17 @@
             seconds = float(text) / 1000.0
         return self._front.clock.now() + seconds
 
-    def _refuse(self, status: int, reason: str, after: float) -> None:
+    def _refuse(self, status: int, reason: str, retry_after: float) -> None:
         self._close_if_stopping()
         self.set_status(status)
-        if after > 0.0:
-            self.set_header('Retry-After', str(math.ceil(after)))
+        if retry_after > 0.0:
+            self.set_header('Retry-After', str(math.ceil(retry_after)))
         self.finish({'reason': reason})
 
     def _close_if_stopping(self) -> None:
         if self._front.entry.stopping:
-            # The header makes the caller send its next request to a process
-            # that stays.
+            # The header makes the caller send its next request to an entry
+            # that isn't stopping.
             self.set_header('Connection', 'close')
 
 
@@ -274,7 +274,8 @@
     label = step.required_labels
     if not isinstance(label, str):
         label = label[0] if label else ''
-    # The worker's names: job, occurrence (always the first), step, task.
+    # A task's name at the worker: job, occurrence (always the first), step,
+    # task.
     return [
         jobs.Task(
             name=f'{key}.0.{step_index}.{index}',
--- a/src/agatepick/repeatable/routes.py
+++ b/src/agatepick/repeatable/routes.py
@@ -15,7 +15,8 @@
     :param max_attempts: failed runs of one task after which its job fails.
     :param stretch: factor on the longest chain of work within which a job
         should end.
-    :param target_seconds: seconds that a job may take beyond that.
+    :param target_seconds: seconds that a job may take beyond that multiple of
+        its longest chain.
     """
 
     name: str
@@ -43,7 +44,7 @@
     routes: tuple[Route, ...]
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the queue with the host and the longest path prefix."""
+        """Return the host's queue with the longest prefix of the path."""
         best: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -122,7 +122,8 @@
 
     :param last_end: number of the last end that the agent has handled.
     :param lease_seconds: time by which the lease is extended; 0 for none.
-    :param wait_seconds: time for which the worker may wait for an end.
+    :param wait_seconds: time for which the worker may delay its lists until a
+        run ends.
     """
 
     incarnation: str
@@ -178,7 +179,8 @@
 class OtherIncarnationAnswered:
     """Event: another incarnation answered a :class:`RequestLists`.
 
-    It has the same name, so it also carries out requests for the earlier one.
+    The new incarnation has the same worker name, so it also carries out
+    requests that were meant for the earlier one.
 
     :param incarnation: incarnation to which the request was sent.
     :param new_incarnation: incarnation that answered.
