--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -13,7 +13,7 @@
 
 
 class ClockWatch:
-    """Clock offsets of connected peers, derived from their pongs.
+    """Monitor of the clock offsets of peers, derived from their pongs.
 
     :param margin: largest accepted clock difference, in seconds.
     """
@@ -58,9 +58,10 @@
     def trusted(self) -> bool:
         """Return whether the local clock agrees with enough of its peers.
 
-        An entry whose clock is ahead writes a head stamp that is ahead, and
-        every later change comes into force late by the same amount: a clock
-        that is an hour ahead lets a removed zone receive tasks for an hour.
+        An entry whose clock is ahead writes a stamp that is ahead to the
+        store's head row, and every later change comes into force late by the
+        same amount: a clock that is an hour ahead lets a removed zone receive
+        tasks for an hour.
         The local clock is distrusted once more than half of the peers differ
         from it by more than the margin, measurement error deducted.  With a
         single peer it can't be decided which clock is wrong, so both
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -301,9 +301,9 @@
 
 
 def subject(change: Change) -> str:
-    """Return the subject of a change.
+    """Return what a change modifies, such as ``zone a`` or ``preset``.
 
-    Concurrent changes of the same subject conflict.
+    Concurrent changes with the same subject conflict.
     """
     match change:
         case ZoneOut(zone) | ZoneIn(zone):
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -37,7 +37,8 @@
 
     :param rules: durations that all processes of the cluster share.
     :param poll: interval between two reads of the head.
-    :param renew: age at which an entry that reads a stamp renews it.
+    :param renew: age of the head's stamp at which an entry that reads the
+        head renews the stamp.
     :param grant: interval between two lease grants to a peer.  A lease must
         span three of them, so that it survives the loss of one or two.
     :param store_timeout: timeout of a call to the store.
@@ -57,7 +58,7 @@
 
 
 class Configuration:
-    """State of the cluster configuration at one entry."""
+    """Component that maintains the configuration at one entry."""
 
     def __init__(
         self,
@@ -119,7 +120,8 @@
     def may_exit(self) -> bool:
         """Return whether a stopping entry may exit.
 
-        It may once it is delisted in force, or its time to leave is over.
+        It may once neither the last known version nor the one in force lists
+        it, or ``leave`` seconds have passed since the stop began.
         """
         return self._listing.may_exit
 
@@ -135,7 +137,10 @@
         return self._permits.lease_until(now)
 
     def serving(self, now: float) -> bool:
-        """Return whether the head was read and this entry is in force."""
+        """Return whether this entry may serve.
+
+        It may once it has read the head and the version in force lists it.
+        """
         return self._permits.serving(now)
 
     def zone_open(self, zone: str, now: float) -> bool:
@@ -150,7 +155,7 @@
         return self.permits(now).start_before(zone)
 
     def permits(self, now: float) -> permits.Snapshot:
-        """Return the permits at ``now``, computed once."""
+        """Return the permits at ``now``; they cache each zone's bound."""
         return self._permits.snapshot(now)
 
     def settled(self, now: float) -> bool:
@@ -239,7 +244,7 @@
         return []
 
     def on_peer_up(self, hello: messages.Hello, now: float) -> list[object]:
-        """Handle the connection of a peer; only entries are relevant."""
+        """Handle the connection of a peer; only entries are considered."""
         if hello.role != 'entry' or hello.name == self._me.name:
             return []
         self._members.record_up(hello, now)
@@ -296,7 +301,7 @@
     def leave(self, stopped_at: float, now: float) -> list[object]:
         """Start to delist this entry for a graceful stop.
 
-        Once that is done, :attr:`may_exit` is true.
+        Once this entry has been delisted, :attr:`may_exit` is true.
 
         :param stopped_at: instant since which this entry admits no jobs.
         """
@@ -340,7 +345,8 @@
     def _renew(self, now: float) -> list[object]:
         head = self._history.head
         uncertain = self._writer.uncertain()
-        # A renewal moves the stamp, which would fail our own transaction.
+        # The transaction of this entry's own change requires the present
+        # stamp; a renewal would replace the stamp and make it fail.
         if self._pending_renewal is not None or self._writer.writing:
             return []
         listed = self.latest.lists(self._me) and self._clocks.trusted
@@ -349,7 +355,9 @@
             return []
         stamp = max(now, math.nextafter(head.stamp, math.inf))
         self._pending_renewal = cluster.Head(head.version, stamp)
-        return self._call_store('renew', headrows.renew_stamp(head, stamp))
+        return self._call_store(
+            'renew', headrows.make_renewal_transaction(head, stamp)
+        )
 
     def _on_renewed(self, answer: store.Answer, now: float) -> list[object]:
         head, self._pending_renewal = self._pending_renewal, None
@@ -372,7 +380,8 @@
     ) -> list[object]:
         uncertain = _decode_uncertain(message.uncertain)
         if not self._clocks.agrees(peer):
-            # Its "sent" can't be compared with the local clock.
+            # The clocks differ too much, or by an unknown amount, to compare
+            # the grant's "sent" with the local clock.
             return []
         grant = readlease.PeerGrant(message.version, message.sent, uncertain)
         self._members.record_grant(peer, grant, now)
--- a/src/agatepick/config/dials.py
+++ b/src/agatepick/config/dials.py
@@ -6,7 +6,7 @@
 
 
 class Dials:
-    """Addresses of the entries that are dialled, by name."""
+    """Set of the entries that this entry dials, with their addresses."""
 
     def __init__(self) -> None:
         self._addresses: dict[str, str] = {}
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -29,11 +29,11 @@
 
 
 StepOutcome = HeadRead | ReadFailed | store.Request
-"""Outcome of a step; a request must be sent next."""
+"""Outcome of one step of a read; a request is the next one to send."""
 
 
 class HeadReader:
-    """State of the read in progress."""
+    """Reader that performs one read at a time, request by request."""
 
     def __init__(self, version_history: history.History):
         self._history = version_history
@@ -48,7 +48,7 @@
     def start(self) -> store.Request:
         """Start a read; return its first request, which reads the head."""
         self._head = None
-        return self._set_request(headrows.read_head)
+        return self._set_request(headrows.READ_HEAD)
 
     def handle_answer(self, answer: store.Answer, now: float) -> StepOutcome:
         """Handle the store's answer to the last request."""
@@ -67,9 +67,9 @@
     def _handle_rows(
         self, request: store.Request | None, rows: store.Rows, now: float
     ) -> StepOutcome:
-        if request == headrows.read_head:
+        if request == headrows.READ_HEAD:
             self._head = headrows.parse_head(rows)
-        elif request == headrows.read_snapshot:
+        elif request == headrows.READ_SNAPSHOT:
             if not self._history.add_snapshot(
                 headrows.parse_snapshot(rows), now
             ):
@@ -82,7 +82,7 @@
                 for row in headrows.parse_changes(rows)
             ]
             if not any(added) and self._is_behind():
-                return self._set_request(headrows.read_snapshot)
+                return self._set_request(headrows.READ_SNAPSHOT)
         return self._continue()
 
     def _is_behind(self) -> bool:
@@ -93,7 +93,7 @@
         head = typing.cast(cluster.Head, self._head)
         if self._is_behind():
             return self._set_request(
-                headrows.read_changes(self._history.version)
+                headrows.make_changes_request(self._history.version)
             )
         self._history.record_head(head)
         return HeadRead(head)
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -19,16 +19,18 @@
 MAX_ROWS_PER_READ = 512
 NO_HEAD = cluster.Head(0, 0.0)
 
-read_head = store.ReadRow(CLUSTER, HEAD)
-read_snapshot = store.ReadRow(CLUSTER, SNAPSHOT)
+READ_HEAD = store.ReadRow(CLUSTER, HEAD)
+READ_SNAPSHOT = store.ReadRow(CLUSTER, SNAPSHOT)
 
 
-def read_changes(version: int) -> store.ReadAfter:
+def make_changes_request(version: int) -> store.ReadAfter:
     """Return the request that reads the change rows after a version."""
     return store.ReadAfter(CHANGE, _format_key(version), MAX_ROWS_PER_READ)
 
 
-def renew_stamp(head: cluster.Head, stamp: float) -> store.Transact:
+def make_renewal_transaction(
+    head: cluster.Head, stamp: float
+) -> store.Transact:
     """Return the transaction that renews the stamp of ``head``.
 
     It takes effect only if ``head`` is still the head.
@@ -38,7 +40,7 @@
     )
 
 
-def write_change(
+def make_change_transaction(
     head: cluster.Head,
     row: cluster.ChangeRow,
     stamp: float,
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -16,7 +16,7 @@
 
 
 class History:
-    """Known versions; their numbers only increase."""
+    """Known versions of the document; only later ones are added."""
 
     def __init__(self) -> None:
         self._docs = [cluster.ClusterConfig()]
@@ -55,13 +55,19 @@
         return tuple(doc for doc in self._docs if doc.in_force_at > now)
 
     def find_departure_time(self, zone: str, now: float) -> float:
-        """Return when a pending version has ``zone`` out; infinity if none."""
+        """Return when a pending version will take ``zone`` out of service.
+
+        The result is infinity if there is none.
+        """
         return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if doc.zone_out(zone)
         )
 
     def find_removal_time(self, me: messages.Member, now: float) -> float:
-        """Return when a pending version lacks ``me``; infinity if none."""
+        """Return when a pending version will remove ``me``.
+
+        The result is infinity if there is none.
+        """
         return _find_earliest(
             doc.in_force_at for doc in self.pending(now) if not doc.lists(me)
         )
@@ -92,7 +98,8 @@
             return False
         self._docs.append(config)
         if config.in_force_at > now:
-            # The version in force before it is not known.
+            # The version in force at present is unknown, since the changes
+            # between the known versions and the snapshot are missing.
             self._docs = [config]
         self._rows.clear()
         self._advance(now)
@@ -104,7 +111,7 @@
             self.head = head
 
     def get_rows_since(self, version: int) -> tuple[cluster.ChangeRow, ...]:
-        """Return the rows after ``version``; empty unless all are kept."""
+        """Return all rows after ``version``; empty if one isn't kept."""
         rows = tuple(row for row in self._rows if row.version > version)
         if not rows or rows[0].version != version + 1:
             return ()
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -15,9 +15,9 @@
 
 
 class Listing:
-    """Submitter of changes of the listed entries.
+    """Component that submits the listing and the removal of entries.
 
-    :param leave: seconds after which a stopping entry exits even if it is
+    :param leave_seconds: time after which a stopping entry exits even if it is
         still listed, since an outage of the store may last longer.
     """
 
@@ -28,18 +28,19 @@
         members: membership.Membership,
         writer: proposals.Writer,
         rng: random.Random,
-        leave: float,
+        leave_seconds: float,
     ):
         self._me = me
         self._history = version_history
         self._members = members
         self._writer = writer
         self._rng = rng
-        self._leave_seconds = leave
+        self._leave_seconds = leave_seconds
         self._leave_deadline = math.inf
         self._stopped_at = 0.0
         self.may_exit = False
-        """Whether this stopping entry is delisted in force or out of time."""
+        """Whether this stopping entry may exit: neither the last known version
+        nor the one in force lists it, or ``leave_seconds`` have passed."""
 
     @property
     def listed(self) -> bool:
@@ -59,7 +60,7 @@
         self._delist()
 
     def update_may_exit(self, now: float) -> None:
-        """Update :attr:`may_exit`."""
+        """Update :attr:`may_exit` of a stopping entry."""
         if self._leave_deadline == math.inf:
             return
         listed = self.listed or self._history.in_force(now).lists(self._me)
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -20,16 +20,17 @@
 REMOVE_SILENT_SECONDS = 10.0
 """Delay before a silent entry is removed.
 
-Three fences are longer than a pause that a healthy machine recovers from.
-Until the removal, callers of the entry's jobs receive "outcome pending".
+The delay exceeds three fences, which are longer than a pause that a healthy
+machine recovers from.  Until the removal, callers of the entry's jobs receive
+"outcome pending".
 """
 REMOVE_RANK_SECONDS = 2.0
-"""Additional delay per rank of an entry in the order of names.
+"""Additional delay of a remover per living entry that precedes it by name.
 
 It lets one entry write the removal, rather than all of them at once.
 """
 
-Id = tuple[str, int]
+MemberId = tuple[str, int]
 """Name and incarnation of an entry."""
 
 
@@ -48,7 +49,7 @@
     def __init__(self, me: messages.Member, rules: readlease.Rules):
         self._me = me
         self._rules = rules
-        self._peers: dict[Id, _Peer] = {}
+        self._peers: dict[MemberId, _Peer] = {}
         self._connected: dict[str, int] = {}
         self._others: tuple[messages.Member, ...] = ()
 
@@ -203,9 +204,10 @@
     def _is_resolved_by(
         self, intent: cluster.Uncertain, grant: readlease.PeerGrant
     ) -> bool:
-        # The intent was sent at least one fence before its in_force_at.
+        # The intent was sent at least one fence before its in_force_at.  A
+        # grant sent later contains the change while its outcome is open.
         return grant.sent > intent.row.in_force_at - self._rules.fence
 
 
-def _get_id(member: messages.Member) -> Id:
+def _get_id(member: messages.Member) -> MemberId:
     return (member.name, member.incarnation)
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -13,8 +13,8 @@
     """Permits at one instant, for one round of placements.
 
     A busy entry looks up the permits of every zone and agent after each
-    message.  Without this cache the lookups took a quarter of its reducer's
-    time.
+    message.  Without the cache of the zones' bounds the lookups took a quarter
+    of its reducer's time.
 
     :param lease_end: end of the read lease; 0 if there is none.
     """
@@ -39,7 +39,11 @@
         return self._document.zone(name)
 
     def zone_bound(self, zone: str) -> float:
-        """Return when ``zone`` will or may go out; 0 if it is out already."""
+        """Return when ``zone`` will or may go out of service.
+
+        The result is 0 if it is out already, infinity if no change to that
+        effect is pending or uncertain.
+        """
         bound = self._bounds.get(zone)
         if bound is None:
             bound = self._bounds[zone] = self._compute_zone_bound(zone)
@@ -111,7 +115,7 @@
         )
 
     def uncertain(self) -> tuple[cluster.Uncertain, ...]:
-        """Return the changes that may still take effect, ours included."""
+        """Return all entries' changes that may still take effect."""
         changes = self._members.uncertain_changes()
         own = self._writer.uncertain()
         if own is not None:
@@ -119,7 +123,10 @@
         return readlease.select_live(changes, self._history.head)
 
     def serving(self, now: float) -> bool:
-        """Return whether the head was read and this entry is in force."""
+        """Return whether this entry may serve.
+
+        It may once it has read the head and the version in force lists it.
+        """
         return (
             self.has_read
             and self._history.covers(now)
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -82,7 +82,7 @@
 
 
 class Writer:
-    """The queued proposals of one entry and the current attempt."""
+    """Writer of one entry's queued proposals, one at a time."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
 
     @property
     def writing(self) -> bool:
-        """Return whether the current attempt has read the head."""
+        """Return whether an attempt is past its read of the head."""
         return self.stage in (Stage.INTENT, Stage.WRITE)
 
     def may_grant(self, peer: str) -> bool:
@@ -124,7 +124,10 @@
         return not self._queue
 
     def uncertain(self) -> cluster.Uncertain | None:
-        """Return our own change that may have taken, or may take, effect."""
+        """Return this entry's change whose outcome is open, if there is one.
+
+        It may have taken effect, or may still do so.
+        """
         if self._uncertain is not None:
             return self._uncertain
         return self._make_uncertain() if self.writing else None
@@ -164,7 +167,8 @@
     def resolve_uncertain(self) -> list[object]:
         """Resolve an uncertain change from the known versions, if possible.
 
-        A transaction whose answer is outstanding is resolved by its row.
+        If the store hasn't answered a transaction yet, a known version with
+        the transaction's row shows that it took effect.
         """
         if self.stage is Stage.WRITE:
             return self._resolve_write()
@@ -225,14 +229,16 @@
         return self._send_intent(row, peers)
 
     def record_ack(self, peer: str, ack: messages.IntentAck) -> None:
-        """Record that a peer acknowledged the intent of an attempt."""
+        """Record a peer's acknowledgement of the current attempt's intent."""
         if self.stage is Stage.INTENT and ack.attempt == self._last_attempt:
             self._acked.add(peer)
 
     def advance(self, peers: Peers, now: float) -> store.Transact | None:
         """Return the transaction once no peer relies on an earlier grant.
 
-        After too long a wait the stage returns to ``READ`` instead.
+        The result is ``None`` before.  If the wait took longer than
+        ``MAX_HEAD_AGE_SECONDS``, or another version became known meanwhile,
+        the stage returns to ``READ`` instead.
         """
         row = self._row
         if self.stage is not Stage.INTENT or row is None:
@@ -248,7 +254,9 @@
         self.stage = Stage.WRITE
         after = cluster.apply(self._history.latest, row)
         stamp = max(now, self._base_head.stamp)
-        return headrows.write_change(self._base_head, row, stamp, after)
+        return headrows.make_change_transaction(
+            self._base_head, row, stamp, after
+        )
 
     def handle_write(self, answer: store.Answer, now: float) -> list[object]:
         """Handle the store's answer to the transaction.
@@ -266,7 +274,8 @@
             return []
         if isinstance(answer, exceptions.StoreUnavailable):
             return self._finish('unavailable', reason=answer.show())
-        # A retry could not distinguish "already written" from a conflict.
+        # The transaction isn't retried: if the first attempt was written,
+        # the retry would report a conflict.
         self._uncertain = self._make_uncertain()
         return self._finish(
             'unknown',
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -123,7 +123,8 @@
 ) -> tuple[cluster.Uncertain, ...]:
     """Return the changes that may still take effect after a read of ``head``.
 
-    A newer version or a newer stamp makes their condition fail permanently.
+    A change's transaction requires the version and stamp of the head that it
+    was based on, so it fails permanently once either is newer.
     """
     return tuple(
         change
--- a/src/agatepick/table/ratelimit.py
+++ b/src/agatepick/table/ratelimit.py
@@ -32,15 +32,17 @@
     requests compensates for a lost packet and adds at most a tenth of load.
     """
 
-    RATIO = 0.1
-    CAPACITY = 5.0
+    RETRIES_PER_REQUEST = 0.1
+    MAX_SAVED_RETRIES = 5.0
 
     def __init__(self) -> None:
-        self._tokens = self.CAPACITY
+        self._tokens = self.MAX_SAVED_RETRIES
 
     def add_request(self) -> None:
-        """Add the share of one request to the budget."""
-        self._tokens = min(self.CAPACITY, self._tokens + self.RATIO)
+        """Add the share of a retry that one request allows."""
+        self._tokens = min(
+            self.MAX_SAVED_RETRIES, self._tokens + self.RETRIES_PER_REQUEST
+        )
 
     def acquire(self) -> bool:
         """Acquire one retry from the budget.
--- a/tests/test_tablestore.py
+++ b/tests/test_tablestore.py
@@ -102,7 +102,7 @@
 
     async def scenario(server, client, execute):
         server.faults.outage = True
-        failures = breaker.CircuitBreaker.FAILURES
+        failures = breaker.CircuitBreaker.FAILURES_TO_OPEN
         for _ in range(3 * failures):
             answer = await execute(PUT)
             assert isinstance(answer, exceptions.StoreUnavailable)
@@ -132,7 +132,7 @@
 
 def test_a_probe_closes_the_circuit_again():
     circuit = breaker.CircuitBreaker(random.Random(1))
-    for _ in range(circuit.FAILURES):
+    for _ in range(circuit.FAILURES_TO_OPEN):
         assert circuit.allow(10.0)
         circuit.record_failure(10.0)
     assert not circuit.allow(10.0)
