--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -27,9 +27,9 @@
 PROBLEM = 'application/problem+json'
 JSON = 'application/json'
 HARD_LIMIT_FACTOR = 4
-"""A request over its limit gets a problem document; over this multiple of
-the limit the connection is closed, so that a hostile peer can't exhaust the
-memory."""
+"""Headers or a body over the size limit get a problem document; over this
+multiple of the limit the connection is closed, so that a hostile peer can't
+exhaust the memory."""
 BUSY_RETRY_SECONDS = 1.0
 
 _log = logging.getLogger(__name__)
--- a/src/agatepick/core.py
+++ b/src/agatepick/core.py
@@ -44,7 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Event that time has passed, sent at least every tick interval."""
+    """Event that time has passed.
+
+    The shell sends it at least every ``TICK_SECONDS``.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -77,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Effect that requests a :class:`Tick` at an instant or before."""
+    """Effect that requests a :class:`Tick` no later than an instant."""
 
     at: float
 
@@ -100,7 +103,7 @@
 
 
 class Reducer(typing.Protocol):
-    """Interface of a role, whose state only changes by events."""
+    """Interface of a reducer, whose state only changes by events."""
 
     def reduce(self, event: object, now: float) -> list[object]:
         """Handle one event and return the effects to execute, in order."""
--- a/src/agatepick/exceptions.py
+++ b/src/agatepick/exceptions.py
@@ -55,11 +55,11 @@
 
 
 class TooManyCalls(AgatepickError):
-    """Error at the limit of open requests; the request had no effect."""
+    """Error for a request over the limit of open ones; it had no effect."""
 
 
 class Unreachable(AgatepickError):
-    """Error for a missing answer; it is not known whether a job ran."""
+    """Error for a request without an answer; whether a job ran is unknown."""
 
     exit_status = 6
 
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -54,7 +54,7 @@
         return abs(self.seconds) + self.error <= margin
 
 
-UNKNOWN = Offset(0.0, math.inf)
+UNKNOWN_OFFSET = Offset(0.0, math.inf)
 
 
 def compute_offset(
@@ -86,8 +86,8 @@
     """
 
     def __init__(self) -> None:
-        self.best = UNKNOWN
-        """The sample with the smallest error; :data:`UNKNOWN` if none."""
+        self.best = UNKNOWN_OFFSET
+        """Sample with the smallest error; :data:`UNKNOWN_OFFSET` if none."""
         self._samples: list[Offset] = []
 
     def add(self, sample: Offset) -> None:
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -83,7 +83,7 @@
 
 
 class LatencyModel(typing.Protocol):
-    """Interface of additional one-way latency to peers, for the bench."""
+    """Interface of a model of added one-way latency, for the bench."""
 
     def seconds(self, peer: types.PeerName) -> float:
         """Return the seconds by which delivery to ``peer`` is delayed."""
@@ -181,7 +181,8 @@
             self._first_message.set_exception(
                 exc or ConnectionResetError('closed')
             )
-            # This marks the exception as retrieved, as no caller may await it.
+            # Possibly nobody awaits the future.  Reading its exception keeps
+            # asyncio from logging that it was never retrieved.
             self._first_message.exception()
         if not self.lost.done():
             self.lost.set_result(None)
@@ -266,7 +267,8 @@
         try:
             step()
         except exceptions.AgatepickError as exc:
-            # A reducer raises it too, for a message that it rejects.
+            # Besides the decoder, a reducer raises the error for a message
+            # that it rejects.
             exc.peer = self.hello.name if self.hello else ''
             LOG.warning('event=bad_message reason="%s"', exc.show())
             self.close()
@@ -387,7 +389,7 @@
         return tuple(self._peers)
 
     def send(self, peer: types.PeerName, message: messages.Message) -> None:
-        """Send a message to a peer, or drop it without a connection."""
+        """Send a message to a peer; it is dropped if none is connected."""
         conn = self._peers.get(peer)
         if conn is None:
             return
@@ -399,7 +401,10 @@
         loop.call_later(seconds, conn.send, message)
 
     def dial(self, peer: types.PeerName, address: str) -> None:
-        """Maintain a connection to ``peer`` at ``ip:port`` until hangup."""
+        """Connect to ``peer`` at ``ip:port``, and again after each loss.
+
+        This ends with :meth:`hangup`.
+        """
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
@@ -486,7 +491,8 @@
         old = self._peers.get(hello.name)
         self._peers[hello.name] = conn
         if old is not None and old.hello is not None:
-            # The older connection is lost, possibly with some messages.
+            # The peer connected again, so it has lost the older connection,
+            # possibly with messages that were in transit.
             old.close()
             old_incarnation = old.hello.incarnation
             dead = old_incarnation != hello.incarnation
@@ -541,7 +547,7 @@
         conn = await self._connect(peer, host, int(port))
         if conn is None or not await self._receive_hello(conn, address):
             return False
-        self._check_name(conn, peer, address)
+        self._report_if_replaced(conn, peer, address)
         name = conn.hello.name if conn.hello else ''
         if name in self._peers:
             conn.close()
@@ -555,7 +561,9 @@
         if peer in self._peers:
             await self._lost_events.setdefault(peer, asyncio.Event()).wait()
 
-    def _check_name(self, conn: Connection, peer: str, address: str) -> None:
+    def _report_if_replaced(
+        self, conn: Connection, peer: str, address: str
+    ) -> None:
         # Another process has the address, so the dialled one is dead.
         actual = conn.hello.name if conn.hello else ''
         if peer not in (address, actual):
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -20,9 +20,9 @@
 SCHEMA = pathlib.Path(__file__).with_name('messages.capnp')
 MAX_NESTING = 8
 WORD_BYTES = 8
-TRAVERSALS = 2
+MAX_TRAVERSALS = 2
 SPARE_WORDS = 128
-"""Words that a reader may traverse, beyond ``TRAVERSALS`` times the message.
+"""Words a reader may traverse, beyond ``MAX_TRAVERSALS`` times the message.
 
 A valid message needs one traversal.  With a limit independent of the message's
 size, a few hundred bytes can declare a list of a million empty items, which
@@ -111,7 +111,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Results:
-    """Reports to an owner, with the slots that it holds at the agent."""
+    """Reports to an owner on its tasks at an agent.
+
+    :param credits: number of the agent's slots that are leased to the owner,
+        running tasks included.
+    """
 
     agent_incarnation: int
     credits: int
@@ -167,7 +171,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Orphans:
-    """Reports on a lost owner's tasks to the owner that succeeds it."""
+    """Reports on a lost owner's tasks to the owner that succeeds it.
+
+    :param last: whether no further message about that lost owner follows.
+    """
 
     owner: str
     owner_incarnation: int
@@ -247,7 +254,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IntentAck:
-    """Acknowledgement of the :class:`Intent` of that attempt."""
+    """Acknowledgement of the :class:`Intent` of that version and attempt."""
 
     version: int
     attempt: int
@@ -435,7 +442,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Renewal:
-    """Request of an agent to an entry to renew the lease on its runs.
+    """Request of an agent to an entry to renew the lease on the entry's runs.
 
     :param trip: round trip time of the previous renewal, in seconds.
     """
@@ -525,7 +532,7 @@
         with _load_schema().Envelope.from_bytes(
             data,
             traversal_limit_in_words=(
-                TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
+                MAX_TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
             ),
             nesting_limit=MAX_NESTING,
         ) as envelope:
@@ -560,7 +567,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Content:
-    """Field of a kind of message in the envelope, with its reader."""
+    """Envelope field that holds one kind of message, with its decoder."""
 
     wire: typing.Any
     read: _Read
@@ -587,7 +594,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Field:
-    """A field of a message class and of its struct, looked up once.
+    """Field of a message class and of its Cap'n Proto struct, looked up once.
 
     Access through the schema's field object takes 0.3 us; access by attribute
     name takes 1.7 us, which was most of the codec's time.
--- a/src/agatepick/net/tls.py
+++ b/src/agatepick/net/tls.py
@@ -65,7 +65,8 @@
             or _read_file_stamps(self.cfg) == self._file_stamps
         ):
             return False
-        # An invalid file must not affect the contexts that are in use.
+        # The files are first loaded into new contexts, so that an invalid
+        # one raises an error before the contexts in use are changed.
         Contexts.from_config(self.cfg)
         self._load_files()
         return True
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -63,7 +63,8 @@
     :param table: client of the table service; ``None`` creates one for the
         configured URL.
     :param make_upstream: creates the upstream that runs the agent's tasks,
-        given the agent's feed; ``None`` uses HTTP.
+        given the function that passes events to the agent's reducer;
+        ``None`` uses HTTP.
     :param latency: latency added to messages between processes.
     """
 
@@ -75,7 +76,10 @@
 
     @classmethod
     def real(cls) -> 'Dependencies':
-        """Return the real clock and random source; the rest is configured."""
+        """Return dependencies with the real clock and a random seed.
+
+        The other dependencies follow from the settings.
+        """
         rng = random.Random(secrets.randbits(_INCARNATION_BITS))
         return cls(clocks.ProcessClock.start(), rng)
 
--- a/src/agatepick/runtime/shell.py
+++ b/src/agatepick/runtime/shell.py
@@ -1,4 +1,4 @@
-"""Event loop driver of one reducer: feeds events and executes effects.
+"""Event loop driver that passes events to a reducer and executes its effects.
 
 The handler of an effect is registered for the effect's class, so the shell is
 the same for entries and agents.  Events raised while effects are executed are
@@ -17,13 +17,13 @@
 LOG = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.25
-"""Maximum time between two Ticks."""
+"""Maximum time between two :class:`agatepick.core.Tick` events."""
 
 Handler = typing.Callable[[typing.Any], None]
 
 
 class Shell:
-    """One reducer with its links, timer and effect handlers."""
+    """Driver of one reducer, with its timer and effect handlers."""
 
     def __init__(self, reducer: core.Reducer, clock: types.Clock):
         self.reducer = reducer
@@ -44,13 +44,13 @@
         self._handlers[kind] = handler
 
     def use_links(self, peers: links.Links) -> None:
-        """Register ``peers`` for the effects on connections."""
+        """Register ``peers`` as handler of the effects on connections."""
         self.handle(core.Send, lambda e: peers.send(e.peer, e.message))
         self.handle(core.Dial, lambda e: peers.dial(e.peer, e.address))
         self.handle(core.Hangup, lambda e: peers.hangup(e.peer))
 
     def begin(self) -> None:
-        """Feed the first Tick, which schedules the following ones."""
+        """Start the ticks: pass the first one to the reducer."""
         self._feed_tick()
 
     def end(self) -> None:
@@ -59,7 +59,7 @@
             self._timer.cancel()
 
     def feed(self, event: object) -> None:
-        """Process an event, after those that are already queued."""
+        """Pass an event to the reducer, after the events already queued."""
         self._queue.append(event)
         if self._reducing:
             return
--- a/src/agatepick/telemetry/logs.py
+++ b/src/agatepick/telemetry/logs.py
@@ -58,7 +58,7 @@
     root.setLevel(level.upper())
 
 
-class Budget:
+class LineBudget:
     """Token bucket that limits the log lines of a process.
 
     A burst of rejected requests logs a line for each request, and spends
@@ -76,10 +76,11 @@
         self.dropped = 0
 
     def try_consume(self, routine: bool, now: float) -> bool:
-        """Return whether a line may be written; otherwise count it as dropped.
+        """Take one line from the budget, or count the line as dropped.
 
         :param routine: whether the line belongs to normal operation.
         :param now: current time in seconds.
+        :returns: whether the line may be written.
         """
         if self._refilled_at is not None:
             refilled = (
@@ -96,7 +97,7 @@
         return True
 
     def pop_dropped_count(self) -> int:
-        """Return the number of lines dropped since the last call."""
+        """Return and reset the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
@@ -111,7 +112,7 @@
     def __init__(self, descriptor: int, lines_per_second: float):
         super().__init__()
         self._descriptor = descriptor
-        self._budget = Budget(lines_per_second)
+        self._budget = LineBudget(lines_per_second)
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
--- a/src/agatepick/telemetry/metrics.py
+++ b/src/agatepick/telemetry/metrics.py
@@ -1,8 +1,8 @@
 """Metrics of one process, as text for a scraper.
 
 :data:`METRICS` defines the names, kinds and units, and ``docs/metrics.md``
-lists them.  A metric must be defined there before it can be recorded, so the
-page is complete.
+lists them.  A metric must be defined in :data:`METRICS` before it can be
+recorded, so the page is complete.
 """
 
 import dataclasses
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -21,8 +21,8 @@
 from agatepick.telemetry import logs
 from agatepick import types
 
-MICROSECONDS = 1_000_000
-MAX_LEAD_MICROSECONDS = 60 * MICROSECONDS
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_LEAD_MICROSECONDS = 60 * MICROSECONDS_PER_SECOND
 """A received timestamp further ahead of the local clock is ignored.
 Otherwise one process with a wrong clock would shift the timestamps of all."""
 
@@ -47,7 +47,7 @@
             self._last = max(self._last, stamp)
 
     def _read_microseconds(self) -> int:
-        return int(self._clock.now() * MICROSECONDS)
+        return int(self._clock.now() * MICROSECONDS_PER_SECOND)
 
 
 class Event(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     fields: dict[str, str]
 
     def matches(self, job: str, task: str, zone: str) -> bool:
-        """Return whether the event matches a filter; empty matches any."""
+        """Return whether job, task and zone match; empty ones match any."""
         fields = self.fields
         return (
             (not job or fields.get('job') == job)
@@ -181,7 +181,7 @@
     def lines(
         self, job: str = '', task: str = '', zone: str = ''
     ) -> list[bytes]:
-        """Return the events that match, as JSON lines."""
+        """Return the events that match job, task and zone, as JSON lines."""
         return [
             msgspec.json.encode(event)
             for event in self.events(job, task, zone)
@@ -223,10 +223,10 @@
     return fields.get('zone', ''), subject_zone
 
 
-def merge(parts: typing.Iterable[list[Event]]) -> list[Event]:
+def merge(timelines: typing.Iterable[list[Event]]) -> list[Event]:
     """Return the events of several processes in causal order."""
     return list(
-        heapq.merge(*parts, key=lambda event: (event.stamp, event.process))
+        heapq.merge(*timelines, key=lambda event: (event.stamp, event.process))
     )
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -41,7 +41,7 @@
     Routine lines are dropped first, so that the log still has the lines that
     explain failures.
     """
-    budget = logs.Budget(100.0)
+    budget = logs.LineBudget(100.0)
     routine = sum(budget.try_consume(True, 1.0) for _ in range(200))
     failures = sum(budget.try_consume(False, 1.0) for _ in range(40))
     assert routine == 50
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -34,10 +34,13 @@
     clock = conftest.FixedClock(100.0)
     process_timeline = timeline.Timeline('entry-1', 10, clock)
     process_timeline.hybrid_clock.merge(
-        int(100.0 + 365 * 86400) * timeline.MICROSECONDS
+        int(100.0 + 365 * 86400) * timeline.MICROSECONDS_PER_SECOND
     )
     process_timeline.add(core.note('any'))
-    assert process_timeline.events()[0].stamp == 100 * timeline.MICROSECONDS
+    assert (
+        process_timeline.events()[0].stamp
+        == 100 * timeline.MICROSECONDS_PER_SECOND
+    )
 
 
 def test_only_the_last_events_are_kept_and_filtered_by_field():
