--- a/src/agatepick/api/openapi.py
+++ b/src/agatepick/api/openapi.py
@@ -18,7 +18,7 @@
 from agatepick.api import web
 from agatepick.config import cluster
 
-FILE = pathlib.Path(__file__).with_name('openapi.json')
+DOCUMENT_FILE = pathlib.Path(__file__).with_name('openapi.json')
 _REF = '#/components/schemas/{name}'
 _Json = dict[str, typing.Any]
 
--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -61,11 +61,10 @@
         An entry whose clock is ahead writes a stamp that is ahead to the
         store's head row, and every later change comes into force late by the
         same amount: a clock that is an hour ahead lets a removed zone receive
-        tasks for an hour.
-        The local clock is distrusted once more than half of the peers differ
-        from it by more than the margin, measurement error deducted.  With a
-        single peer it can't be decided which clock is wrong, so both
-        processes distrust their own.
+        tasks for an hour.  The local clock is distrusted once more than half
+        of the peers differ from it by more than the margin, measurement error
+        deducted.  With a single peer it can't be decided which clock is wrong,
+        so both processes distrust their own.
         """
         return self._trusted
 
--- a/src/agatepick/config/dials.py
+++ b/src/agatepick/config/dials.py
@@ -16,7 +16,7 @@
         wanted: collections.abc.Mapping[str, str],
         connected: collections.abc.Container[str],
     ) -> list[object]:
-        """Dial the listed entries and hang up on the others.
+        """Dial the listed entries; hang up on others that have disconnected.
 
         :param wanted: addresses of the listed entries, by name.
         :param connected: names of the entries that are connected.
@@ -34,7 +34,7 @@
         wanted: collections.abc.Container[str],
         connected: collections.abc.Container[str],
     ) -> list[object]:
-        """Stop dialling a removed entry once it has disconnected.
+        """Stop dialling entry ``name`` if it is removed and has disconnected.
 
         A stopping entry is removed first and then finishes its jobs, whose
         answers still arrive over the connection.
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -11,21 +11,23 @@
 from agatepick import exceptions
 from agatepick.table import store
 
-CLUSTER = 'cluster'
-CHANGE = 'change'
-HEAD = 'head'
-SNAPSHOT = 'snapshot'
+CLUSTER_TABLE = 'cluster'
+CHANGE_TABLE = 'change'
+HEAD_KEY = 'head'
+SNAPSHOT_KEY = 'snapshot'
 VERSIONS_PER_SNAPSHOT = 256
 MAX_ROWS_PER_READ = 512
 NO_HEAD = cluster.Head(0, 0.0)
 
-READ_HEAD = store.ReadRow(CLUSTER, HEAD)
-READ_SNAPSHOT = store.ReadRow(CLUSTER, SNAPSHOT)
+READ_HEAD = store.ReadRow(CLUSTER_TABLE, HEAD_KEY)
+READ_SNAPSHOT = store.ReadRow(CLUSTER_TABLE, SNAPSHOT_KEY)
 
 
 def make_changes_request(version: int) -> store.ReadAfter:
     """Return the request that reads the change rows after a version."""
-    return store.ReadAfter(CHANGE, _format_key(version), MAX_ROWS_PER_READ)
+    return store.ReadAfter(
+        CHANGE_TABLE, _format_key(version), MAX_ROWS_PER_READ
+    )
 
 
 def make_renewal_transaction(
@@ -55,12 +57,16 @@
     """
     puts = [
         _make_head_row(row.version, stamp),
-        store.Row(CHANGE, _format_key(row.version), cluster.encode(row)),
+        store.Row(CHANGE_TABLE, _format_key(row.version), cluster.encode(row)),
     ]
     if row.version % VERSIONS_PER_SNAPSHOT == 0:
-        puts.append(store.Row(CLUSTER, SNAPSHOT, cluster.encode(after)))
+        puts.append(
+            store.Row(CLUSTER_TABLE, SNAPSHOT_KEY, cluster.encode(after))
+        )
     old = row.version - history.ROWS_KEPT
-    deletes = (store.RowName(CHANGE, _format_key(old)),) if old > 0 else ()
+    deletes = (
+        (store.RowName(CHANGE_TABLE, _format_key(old)),) if old > 0 else ()
+    )
     return store.Transact((_make_head_condition(head),), tuple(puts), deletes)
 
 
@@ -99,10 +105,10 @@
 
 def _make_head_condition(head: cluster.Head) -> store.Condition:
     value = None if head == NO_HEAD else cluster.encode(head)
-    return store.Condition(CLUSTER, HEAD, value)
+    return store.Condition(CLUSTER_TABLE, HEAD_KEY, value)
 
 
 def _make_head_row(version: int, stamp: float) -> store.Row:
     return store.Row(
-        CLUSTER, HEAD, cluster.encode(cluster.Head(version, stamp))
+        CLUSTER_TABLE, HEAD_KEY, cluster.encode(cluster.Head(version, stamp))
     )
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -24,7 +24,7 @@
 machine recovers from.  Until the removal, callers of the entry's jobs receive
 "outcome pending".
 """
-REMOVE_RANK_SECONDS = 2.0
+REMOVE_SECONDS_PER_RANK = 2.0
 """Additional delay of a remover per living entry that precedes it by name.
 
 It lets one entry write the removal, rather than all of them at once.
@@ -36,7 +36,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """State of one incarnation of an entry."""
+    """State of one incarnation of an entry.
+
+    :param dead_at: when its process was found dead; 0 while it may be alive.
+    """
 
     grant: readlease.PeerGrant = readlease.PeerGrant()
     last_message_at: float = 0.0
@@ -188,7 +191,7 @@
             return False
         peer = self._peers[_get_id(member)]
         alive = sorted({self._me.name, *self.alive()} - {member.name})
-        rank_delay = REMOVE_RANK_SECONDS * alive.index(self._me.name)
+        rank_delay = REMOVE_SECONDS_PER_RANK * alive.index(self._me.name)
         if peer.dead_at:
             return now >= peer.dead_at + REMOVE_DEAD_SECONDS + rank_delay
         return now >= peer.last_message_at + REMOVE_SILENT_SECONDS + rank_delay
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -27,7 +27,7 @@
 LOG = logging.getLogger(__name__)
 
 ENTRY = 'entry'
-HEADER = struct.Struct('>I')
+FRAME_HEADER = struct.Struct('>I')
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 """Largest accepted frame: a job of 130 tasks with 100 kB bodies fits."""
 MAX_UNSENT_BYTES = 64 * 1024 * 1024
@@ -55,7 +55,7 @@
 """
 REDIAL_DELAYS = backoff.BackoffDelays(first=0.075, most=1.5)
 REDIAL_RESET_SECONDS = 1.0
-"""Duration after which a connection resets the delay between dials.
+"""Duration of a connection after which the delay between dials is reset.
 
 A peer that accepts connections and closes them at once is dialled with
 increasing delays.
@@ -107,7 +107,10 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """Counters of the messages that a process sent and received."""
+    """Counters of the messages that a process sent and received.
+
+    :param by_kind: number of sent messages, by the name of their class.
+    """
 
     messages_out: int = 0
     messages_in: int = 0
@@ -205,10 +208,10 @@
             0 if self._logical_clock is None else self._logical_clock.stamp()
         )
         data = messages.encode(message, stamp)
-        self._traffic.count_sent(message, len(data) + HEADER.size)
+        self._traffic.count_sent(message, len(data) + FRAME_HEADER.size)
         if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._unsent.append(HEADER.pack(len(data)))
+        self._unsent.append(FRAME_HEADER.pack(len(data)))
         self._unsent.append(data)
 
     def close(self) -> None:
@@ -298,10 +301,10 @@
 
     def _read_frame(self) -> bytes | None:
         """Return the message of the next complete frame, if there is one."""
-        body = self._read_offset + HEADER.size
+        body = self._read_offset + FRAME_HEADER.size
         if len(self._unread) < body:
             return None
-        (size,) = HEADER.unpack_from(self._unread, self._read_offset)
+        (size,) = FRAME_HEADER.unpack_from(self._unread, self._read_offset)
         if size > MAX_FRAME_BYTES:
             raise exceptions.BadMessage(
                 f'frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes',
@@ -313,7 +316,7 @@
         return self._unread[body : self._read_offset]
 
     def _decode(self, data: bytes) -> messages.Message:
-        self._traffic.count_received(len(data) + HEADER.size)
+        self._traffic.count_received(len(data) + FRAME_HEADER.size)
         stamped = messages.decode_stamped(data)
         if self._logical_clock is not None:
             self._logical_clock.merge(stamped.stamp)
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -32,7 +32,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First message on a connection, which identifies the sender."""
+    """First message on a connection, which identifies the sender.
+
+    :param role: ``entry`` or ``agent``.
+    :param address: ``ip:port`` at which other processes can dial the sender;
+        empty if it accepts no connections.
+    :param version: last version of the cluster configuration that the sender
+        knows; 0 if it knows none.
+    """
 
     name: str
     role: str
@@ -77,6 +84,8 @@
 class Starts:
     """Request of an owner to an agent to start tasks before an instant.
 
+    :param version: last version of the cluster configuration that the owner
+        knows.
     :param start_before: end of the owner's read lease, by the owner's clock.
     :param waiting: number of tasks still queued at the owner, which is its
         demand for slots.
@@ -95,6 +104,7 @@
 class TaskReport:
     """State of a task at an agent; ``state`` is a ``TaskState``.
 
+    :param seconds: run time of the task, once it has ended.
     :param digest: digest that distinguishes the task from another one with
         the same index; only set in :class:`Orphans`.
     """
@@ -124,7 +134,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """State of an agent's upstream, and the slots the receiver may fill."""
+    """State of an agent's upstream, and the slots the receiver may fill.
+
+    :param credits: number of slots that are leased to the receiver, running
+        tasks included.
+    :param slots: number of all slots of the upstream.
+    """
 
     agent_incarnation: int
     credits: int
@@ -202,7 +217,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Members:
-    """The entries of the cluster, sent to agents."""
+    """The entries of the cluster, sent to agents.
+
+    :param version: version of the cluster configuration that lists them.
+    """
 
     version: int
     entries: tuple[Member, ...]
@@ -279,6 +297,8 @@
 class QuotaAsk:
     """Request to a team's quota coordinator for a share of the quota.
 
+    :param want: number of tasks that the sender could run, waiting or running.
+    :param running: number of tasks that the sender runs.
     :param promise: instant until which the sender stays within its grant; 0
         if it makes no such promise.
     :param held_until: end of the last grant that the sender has received.
@@ -293,7 +313,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """Grant of a share of a team's quota until an instant."""
+    """Grant of a share of a team's quota until an instant.
+
+    :param amount: number of slots.
+    """
 
     team: str
     amount: int
@@ -418,7 +441,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunReport:
-    """State of a run; ``state`` is a ``RunState``."""
+    """State of a run; ``state`` is a ``RunState``.
+
+    :param seconds: time from the request of the run to its end.
+    """
 
     job: str
     index: int
@@ -444,6 +470,7 @@
 class Renewal:
     """Request of an agent to an entry to renew the lease on the entry's runs.
 
+    :param sent: when the agent sent the request, by the agent's clock.
     :param trip: round trip time of the previous renewal, in seconds.
     """
 
@@ -455,6 +482,7 @@
 class Renewed:
     """Renewal of a lease, which starts when its :class:`Renewal` was sent.
 
+    :param sent: ``sent`` of that request.
     :param agents: number of agents from which the entry receives messages.
     """
 
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -78,7 +78,7 @@
     def real(cls) -> 'Dependencies':
         """Return dependencies with the real clock and a random seed.
 
-        The other dependencies follow from the settings.
+        The other dependencies keep their defaults.
         """
         rng = random.Random(secrets.randbits(_INCARNATION_BITS))
         return cls(clocks.ProcessClock.start(), rng)
@@ -282,13 +282,13 @@
         async def run_call(effect: store.CallStore) -> None:
             self.shell.feed(await client.call(effect))
 
-        def call(effect: store.CallStore) -> None:
+        def start_call(effect: store.CallStore) -> None:
             # The event loop keeps only weak references to its tasks.
             task = loop.create_task(run_call(effect))
             self._store_tasks.add(task)
             task.add_done_callback(self._store_tasks.discard)
 
-        self.shell.handle(store.CallStore, call)
+        self.shell.handle(store.CallStore, start_call)
 
     def _listen_http(self, contexts: tls.Contexts) -> None:
         front = web.Front(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -186,7 +186,7 @@
         assert values == list(range(20))
         frames = [messages.encode(messages.Ask(one)) for one in range(20)]
         assert writes[0] == b''.join(
-            links.HEADER.pack(len(frame)) + frame for frame in frames
+            links.FRAME_HEADER.pack(len(frame)) + frame for frame in frames
         )
         left.links.end()
         right.links.end()
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -29,14 +29,14 @@
 
 
 def test_the_file_names_the_routes_that_are_served(front):
-    paths = json.loads(openapi.FILE.read_text())['paths']
+    paths = json.loads(openapi.DOCUMENT_FILE.read_text())['paths']
     assert {path: set(item) for path, item in paths.items()} == list_routes(
         front
     )
 
 
 def test_the_file_matches_the_generated_document():
-    assert openapi.FILE.read_text() == openapi.render()
+    assert openapi.DOCUMENT_FILE.read_text() == openapi.render()
 
 
 def test_answers_have_the_fields_that_the_file_names(serve):
@@ -44,7 +44,9 @@
 
     Their clients would drop members that the file doesn't define.
     """
-    schemas = json.loads(openapi.FILE.read_text())['components']['schemas']
+    schemas = json.loads(openapi.DOCUMENT_FILE.read_text())['components'][
+        'schemas'
+    ]
     task = types.TaskAnswer('a', types.Outcome.FAILED, b'1', 'r', 's', 'p')
 
     def answer(event):
