--- a/src/agatepick/api/callers.py
+++ b/src/agatepick/api/callers.py
@@ -28,8 +28,9 @@
 from agatepick import types
 
 ASYNC_HOLD_SECONDS = 0.05
-"""An asynchronous request is held this long, so that its response already
-reports a rejection by admission control and saves a second request."""
+"""A request with ``Prefer: respond-async`` is held this long, so that its
+response already reports a rejection by admission control and saves a second
+request."""
 PENDING_RETRY_SECONDS = 1.0
 
 HTTP_STATUS_BY_CODE = {
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -21,8 +21,8 @@
 REMOVED_RETENTION_SECONDS = 600.0
 """How long a removed entry stays in the document.
 
-The owner of a job key of that age is still computed with the removed entry
-included.
+For job keys up to that age the owner can be computed with the removed entry
+included, as this entry may have started the job.
 """
 
 
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -24,7 +24,7 @@
             maxlen=ROWS_KEPT
         )
         self.head = cluster.Head(0, 0.0)
-        """The newest known head; its stamp is 0 until that version is read."""
+        """The newest known head; its stamp is 0 until that head is read."""
 
     @property
     def latest(self) -> cluster.ClusterConfig:
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -23,8 +23,9 @@
 MAX_ATTEMPTS = 8
 """Attempts to write one change, at most.
 
-Another entry renews the stamp about once a second and an attempt takes
-milliseconds, so a second attempt rarely fails as well.
+An attempt fails if another entry renews the stamp meanwhile.  That happens
+about once a second and an attempt takes milliseconds, so a second attempt
+rarely fails as well.
 """
 PROPOSAL_TIMEOUT_SECONDS = 8.0
 """Time limit for a proposal, the longest wait of an operator for a verdict.
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -94,7 +94,7 @@
         """Add a sample and update :attr:`best`."""
         self._samples.append(sample)
         del self._samples[:-SAMPLES_KEPT]
-        # The minimum is stored, as each start of a task reads it.
+        # The best sample is stored, since each start of a task reads it.
         self.best = min(
             self._samples, key=lambda kept_sample: kept_sample.error
         )
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -48,9 +48,9 @@
 _INCARNATION_BITS = 63
 _POLL_FENCE_SHARE = 1 / 6
 _RENEW_FENCE_SHARE = 0.23
-"""Intervals as fractions of the fence: between reads of the head, and
-between renewals and grants.  Two in a row of either may fail before a read
-lease expires."""
+"""Interval between renewals, and between grants, as a fraction of the fence;
+``_POLL_FENCE_SHARE`` is the one between reads of the head.  Two reads or two
+renewals or grants in a row may fail before a read lease expires."""
 
 
 Feed = typing.Callable[[object], None]
--- a/src/agatepick/telemetry/timeline.py
+++ b/src/agatepick/telemetry/timeline.py
@@ -23,8 +23,9 @@
 
 MICROSECONDS_PER_SECOND = 1_000_000
 MAX_LEAD_MICROSECONDS = 60 * MICROSECONDS_PER_SECOND
-"""A received timestamp further ahead of the local clock is ignored.
-Otherwise one process with a wrong clock would shift the timestamps of all."""
+"""Largest lead of a received timestamp over the local clock; a timestamp that
+is further ahead is ignored.  Otherwise one process with a wrong clock would
+shift the timestamps of all."""
 
 _log = logging.getLogger('agatepick')
 
@@ -80,7 +81,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskMark:
-    """One task in a :class:`TaskNote`, identified by its index in the job."""
+    """One task in a :class:`TaskNote`, identified by its index in the job.
+
+    :param state: state of the task at the agent; empty when it is sent.
+    """
 
     job: types.JobKey
     index: int
