--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -20,22 +20,26 @@
 REMOVE_SILENT_SECONDS = 10.0
 """Delay before a silent entry is removed.
 
-Three fences are longer than a pause that a healthy machine recovers from.
-Until the removal, callers of the entry's jobs receive "outcome pending".
+The delay exceeds three fences, which are longer than a pause that a healthy
+machine recovers from.  Until the removal, callers of the entry's jobs receive
+"outcome pending".
 """
-REMOVE_RANK_SECONDS = 2.0
-"""Additional delay per rank of an entry in the order of names.
+REMOVE_SECONDS_PER_RANK = 2.0
+"""Additional delay of a remover per living entry that precedes it by name.
 
 It lets one entry write the removal, rather than all of them at once.
 """
 
-Id = tuple[str, int]
+MemberId = tuple[str, int]
 """Name and incarnation of an entry."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """State of one incarnation of an entry."""
+    """State of one incarnation of an entry.
+
+    :param dead_at: when its process was found dead; 0 while it may be alive.
+    """
 
     grant: readlease.PeerGrant = readlease.PeerGrant()
     last_message_at: float = 0.0
@@ -48,7 +52,7 @@
     def __init__(self, me: messages.Member, rules: readlease.Rules):
         self._me = me
         self._rules = rules
-        self._peers: dict[Id, _Peer] = {}
+        self._peers: dict[MemberId, _Peer] = {}
         self._connected: dict[str, int] = {}
         self._others: tuple[messages.Member, ...] = ()
 
@@ -187,7 +191,7 @@
             return False
         peer = self._peers[_get_id(member)]
         alive = sorted({self._me.name, *self.alive()} - {member.name})
-        rank_delay = REMOVE_RANK_SECONDS * alive.index(self._me.name)
+        rank_delay = REMOVE_SECONDS_PER_RANK * alive.index(self._me.name)
         if peer.dead_at:
             return now >= peer.dead_at + REMOVE_DEAD_SECONDS + rank_delay
         return now >= peer.last_message_at + REMOVE_SILENT_SECONDS + rank_delay
@@ -203,9 +207,10 @@
     def _is_resolved_by(
         self, intent: cluster.Uncertain, grant: readlease.PeerGrant
     ) -> bool:
-        # The intent was sent at least one fence before its in_force_at.
+        # The intent was sent at least one fence before its in_force_at.  A
+        # grant sent later contains the change while its outcome is open.
         return grant.sent > intent.row.in_force_at - self._rules.fence
 
 
-def _get_id(member: messages.Member) -> Id:
+def _get_id(member: messages.Member) -> MemberId:
     return (member.name, member.incarnation)
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -54,7 +54,7 @@
         return abs(self.seconds) + self.error <= margin
 
 
-UNKNOWN = Offset(0.0, math.inf)
+UNKNOWN_OFFSET = Offset(0.0, math.inf)
 
 
 def compute_offset(
@@ -86,15 +86,15 @@
     """
 
     def __init__(self) -> None:
-        self.best = UNKNOWN
-        """The sample with the smallest error; :data:`UNKNOWN` if none."""
+        self.best = UNKNOWN_OFFSET
+        """Sample with the smallest error; :data:`UNKNOWN_OFFSET` if none."""
         self._samples: list[Offset] = []
 
     def add(self, sample: Offset) -> None:
         """Add a sample and update :attr:`best`."""
         self._samples.append(sample)
         del self._samples[:-SAMPLES_KEPT]
-        # The minimum is stored, as each start of a task reads it.
+        # The best sample is stored, since each start of a task reads it.
         self.best = min(
             self._samples, key=lambda kept_sample: kept_sample.error
         )
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -27,7 +27,7 @@
 LOG = logging.getLogger(__name__)
 
 ENTRY = 'entry'
-HEADER = struct.Struct('>I')
+FRAME_HEADER = struct.Struct('>I')
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 """Largest accepted frame: a job of 130 tasks with 100 kB bodies fits."""
 MAX_UNSENT_BYTES = 64 * 1024 * 1024
@@ -55,7 +55,7 @@
 """
 REDIAL_DELAYS = backoff.BackoffDelays(first=0.075, most=1.5)
 REDIAL_RESET_SECONDS = 1.0
-"""Duration after which a connection resets the delay between dials.
+"""Duration of a connection after which the delay between dials is reset.
 
 A peer that accepts connections and closes them at once is dialled with
 increasing delays.
@@ -83,7 +83,7 @@
 
 
 class LatencyModel(typing.Protocol):
-    """Interface of additional one-way latency to peers, for the bench."""
+    """Interface of a model of added one-way latency, for the bench."""
 
     def seconds(self, peer: types.PeerName) -> float:
         """Return the seconds by which delivery to ``peer`` is delayed."""
@@ -107,7 +107,10 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """Counters of the messages that a process sent and received."""
+    """Counters of the messages that a process sent and received.
+
+    :param by_kind: number of sent messages, by the name of their class.
+    """
 
     messages_out: int = 0
     messages_in: int = 0
@@ -181,7 +184,8 @@
             self._first_message.set_exception(
                 exc or ConnectionResetError('closed')
             )
-            # This marks the exception as retrieved, as no caller may await it.
+            # Possibly nobody awaits the future.  Reading its exception keeps
+            # asyncio from logging that it was never retrieved.
             self._first_message.exception()
         if not self.lost.done():
             self.lost.set_result(None)
@@ -204,10 +208,10 @@
             0 if self._logical_clock is None else self._logical_clock.stamp()
         )
         data = messages.encode(message, stamp)
-        self._traffic.count_sent(message, len(data) + HEADER.size)
+        self._traffic.count_sent(message, len(data) + FRAME_HEADER.size)
         if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._unsent.append(HEADER.pack(len(data)))
+        self._unsent.append(FRAME_HEADER.pack(len(data)))
         self._unsent.append(data)
 
     def close(self) -> None:
@@ -266,7 +270,8 @@
         try:
             step()
         except exceptions.AgatepickError as exc:
-            # A reducer raises it too, for a message that it rejects.
+            # Besides the decoder, a reducer raises the error for a message
+            # that it rejects.
             exc.peer = self.hello.name if self.hello else ''
             LOG.warning('event=bad_message reason="%s"', exc.show())
             self.close()
@@ -296,10 +301,10 @@
 
     def _read_frame(self) -> bytes | None:
         """Return the message of the next complete frame, if there is one."""
-        body = self._read_offset + HEADER.size
+        body = self._read_offset + FRAME_HEADER.size
         if len(self._unread) < body:
             return None
-        (size,) = HEADER.unpack_from(self._unread, self._read_offset)
+        (size,) = FRAME_HEADER.unpack_from(self._unread, self._read_offset)
         if size > MAX_FRAME_BYTES:
             raise exceptions.BadMessage(
                 f'frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes',
@@ -311,7 +316,7 @@
         return self._unread[body : self._read_offset]
 
     def _decode(self, data: bytes) -> messages.Message:
-        self._traffic.count_received(len(data) + HEADER.size)
+        self._traffic.count_received(len(data) + FRAME_HEADER.size)
         stamped = messages.decode_stamped(data)
         if self._logical_clock is not None:
             self._logical_clock.merge(stamped.stamp)
@@ -387,7 +392,7 @@
         return tuple(self._peers)
 
     def send(self, peer: types.PeerName, message: messages.Message) -> None:
-        """Send a message to a peer, or drop it without a connection."""
+        """Send a message to a peer; it is dropped if none is connected."""
         conn = self._peers.get(peer)
         if conn is None:
             return
@@ -399,7 +404,10 @@
         loop.call_later(seconds, conn.send, message)
 
     def dial(self, peer: types.PeerName, address: str) -> None:
-        """Maintain a connection to ``peer`` at ``ip:port`` until hangup."""
+        """Connect to ``peer`` at ``ip:port``, and again after each loss.
+
+        This ends with :meth:`hangup`.
+        """
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
@@ -486,7 +494,8 @@
         old = self._peers.get(hello.name)
         self._peers[hello.name] = conn
         if old is not None and old.hello is not None:
-            # The older connection is lost, possibly with some messages.
+            # The peer connected again, so it has lost the older connection,
+            # possibly with messages that were in transit.
             old.close()
             old_incarnation = old.hello.incarnation
             dead = old_incarnation != hello.incarnation
@@ -541,7 +550,7 @@
         conn = await self._connect(peer, host, int(port))
         if conn is None or not await self._receive_hello(conn, address):
             return False
-        self._check_name(conn, peer, address)
+        self._report_if_replaced(conn, peer, address)
         name = conn.hello.name if conn.hello else ''
         if name in self._peers:
             conn.close()
@@ -555,7 +564,9 @@
         if peer in self._peers:
             await self._lost_events.setdefault(peer, asyncio.Event()).wait()
 
-    def _check_name(self, conn: Connection, peer: str, address: str) -> None:
+    def _report_if_replaced(
+        self, conn: Connection, peer: str, address: str
+    ) -> None:
         # Another process has the address, so the dialled one is dead.
         actual = conn.hello.name if conn.hello else ''
         if peer not in (address, actual):
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -20,9 +20,9 @@
 SCHEMA = pathlib.Path(__file__).with_name('messages.capnp')
 MAX_NESTING = 8
 WORD_BYTES = 8
-TRAVERSALS = 2
+MAX_TRAVERSALS = 2
 SPARE_WORDS = 128
-"""Words that a reader may traverse, beyond ``TRAVERSALS`` times the message.
+"""Words a reader may traverse, beyond ``MAX_TRAVERSALS`` times the message.
 
 A valid message needs one traversal.  With a limit independent of the message's
 size, a few hundred bytes can declare a list of a million empty items, which
@@ -32,7 +32,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First message on a connection, which identifies the sender."""
+    """First message on a connection, which identifies the sender.
+
+    :param role: ``entry`` or ``agent``.
+    :param address: ``ip:port`` at which other processes can dial the sender;
+        empty if it accepts no connections.
+    :param version: last version of the cluster configuration that the sender
+        knows; 0 if it knows none.
+    """
 
     name: str
     role: str
@@ -77,6 +84,8 @@
 class Starts:
     """Request of an owner to an agent to start tasks before an instant.
 
+    :param version: last version of the cluster configuration that the owner
+        knows.
     :param start_before: end of the owner's read lease, by the owner's clock.
     :param waiting: number of tasks still queued at the owner, which is its
         demand for slots.
@@ -95,6 +104,7 @@
 class TaskReport:
     """State of a task at an agent; ``state`` is a ``TaskState``.
 
+    :param seconds: run time of the task, once it has ended.
     :param digest: digest that distinguishes the task from another one with
         the same index; only set in :class:`Orphans`.
     """
@@ -111,7 +121,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Results:
-    """Reports to an owner, with the slots that it holds at the agent."""
+    """Reports to an owner on its tasks at an agent.
+
+    :param credits: number of the agent's slots that are leased to the owner,
+        running tasks included.
+    """
 
     agent_incarnation: int
     credits: int
@@ -120,7 +134,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """State of an agent's upstream, and the slots the receiver may fill."""
+    """State of an agent's upstream, and the slots the receiver may fill.
+
+    :param credits: number of slots that are leased to the receiver, running
+        tasks included.
+    :param slots: number of all slots of the upstream.
+    """
 
     agent_incarnation: int
     credits: int
@@ -167,7 +186,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Orphans:
-    """Reports on a lost owner's tasks to the owner that succeeds it."""
+    """Reports on a lost owner's tasks to the owner that succeeds it.
+
+    :param last: whether no further message about that lost owner follows.
+    """
 
     owner: str
     owner_incarnation: int
@@ -195,7 +217,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Members:
-    """The entries of the cluster, sent to agents."""
+    """The entries of the cluster, sent to agents.
+
+    :param version: version of the cluster configuration that lists them.
+    """
 
     version: int
     entries: tuple[Member, ...]
@@ -247,7 +272,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IntentAck:
-    """Acknowledgement of the :class:`Intent` of that attempt."""
+    """Acknowledgement of the :class:`Intent` of that version and attempt."""
 
     version: int
     attempt: int
@@ -272,6 +297,8 @@
 class QuotaAsk:
     """Request to a team's quota coordinator for a share of the quota.
 
+    :param want: number of tasks that the sender could run, waiting or running.
+    :param running: number of tasks that the sender runs.
     :param promise: instant until which the sender stays within its grant; 0
         if it makes no such promise.
     :param held_until: end of the last grant that the sender has received.
@@ -286,7 +313,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """Grant of a share of a team's quota until an instant."""
+    """Grant of a share of a team's quota until an instant.
+
+    :param amount: number of slots.
+    """
 
     team: str
     amount: int
@@ -411,7 +441,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunReport:
-    """State of a run; ``state`` is a ``RunState``."""
+    """State of a run; ``state`` is a ``RunState``.
+
+    :param seconds: time from the request of the run to its end.
+    """
 
     job: str
     index: int
@@ -435,8 +468,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Renewal:
-    """Request of an agent to an entry to renew the lease on its runs.
+    """Request of an agent to an entry to renew the lease on the entry's runs.
 
+    :param sent: when the agent sent the request, by the agent's clock.
     :param trip: round trip time of the previous renewal, in seconds.
     """
 
@@ -448,6 +482,7 @@
 class Renewed:
     """Renewal of a lease, which starts when its :class:`Renewal` was sent.
 
+    :param sent: ``sent`` of that request.
     :param agents: number of agents from which the entry receives messages.
     """
 
@@ -525,7 +560,7 @@
         with _load_schema().Envelope.from_bytes(
             data,
             traversal_limit_in_words=(
-                TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
+                MAX_TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
             ),
             nesting_limit=MAX_NESTING,
         ) as envelope:
@@ -560,7 +595,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Content:
-    """Field of a kind of message in the envelope, with its reader."""
+    """Envelope field that holds one kind of message, with its decoder."""
 
     wire: typing.Any
     read: _Read
@@ -587,7 +622,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Field:
-    """A field of a message class and of its struct, looked up once.
+    """Field of a message class and of its Cap'n Proto struct, looked up once.
 
     Access through the schema's field object takes 0.3 us; access by attribute
     name takes 1.7 us, which was most of the codec's time.
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -48,9 +48,9 @@
 _INCARNATION_BITS = 63
 _POLL_FENCE_SHARE = 1 / 6
 _RENEW_FENCE_SHARE = 0.23
-"""Intervals as fractions of the fence: between reads of the head, and
-between renewals and grants.  Two in a row of either may fail before a read
-lease expires."""
+"""Interval between renewals, and between grants, as a fraction of the fence;
+``_POLL_FENCE_SHARE`` is the one between reads of the head.  Two reads or two
+renewals or grants in a row may fail before a read lease expires."""
 
 
 Feed = typing.Callable[[object], None]
@@ -63,7 +63,8 @@
     :param table: client of the table service; ``None`` creates one for the
         configured URL.
     :param make_upstream: creates the upstream that runs the agent's tasks,
-        given the agent's feed; ``None`` uses HTTP.
+        given the function that passes events to the agent's reducer;
+        ``None`` uses HTTP.
     :param latency: latency added to messages between processes.
     """
 
@@ -75,7 +76,10 @@
 
     @classmethod
     def real(cls) -> 'Dependencies':
-        """Return the real clock and random source; the rest is configured."""
+        """Return dependencies with the real clock and a random seed.
+
+        The other dependencies keep their defaults.
+        """
         rng = random.Random(secrets.randbits(_INCARNATION_BITS))
         return cls(clocks.ProcessClock.start(), rng)
 
@@ -278,13 +282,13 @@
         async def run_call(effect: store.CallStore) -> None:
             self.shell.feed(await client.call(effect))
 
-        def call(effect: store.CallStore) -> None:
+        def start_call(effect: store.CallStore) -> None:
             # The event loop keeps only weak references to its tasks.
             task = loop.create_task(run_call(effect))
             self._store_tasks.add(task)
             task.add_done_callback(self._store_tasks.discard)
 
-        self.shell.handle(store.CallStore, call)
+        self.shell.handle(store.CallStore, start_call)
 
     def _listen_http(self, contexts: tls.Contexts) -> None:
         front = web.Front(
