--- a/src/agatepick/bench/bench.py
+++ b/src/agatepick/bench/bench.py
@@ -1,4 +1,4 @@
-"""``agatepick bench``: measurement of one pattern on a real installation.
+"""``agatepick bench``: measurement under one pattern of load and faults.
 
 ``agatepick bench PATTERN --seed=N`` plays a pattern once
 (:mod:`agatepick.bench.bench_run`) and prints its report; ``--baselines`` also
@@ -24,7 +24,7 @@
 def add_baseline_figures(
     options: bench_run.Options, played: bench_run.PlayResult
 ) -> bench_run.PlayResult:
-    """Add the figures of each baseline policy on the same load."""
+    """Play the same load with each baseline policy; add its figures."""
     name = 'response_over_ideal_mean'
     figures: bench_run.Figures = {}
     own_mean = played.report.figures.get(name)
@@ -48,7 +48,12 @@
     played: bench_run.PlayResult,
     path: pathlib.Path,
 ) -> None:
-    """Plot work over time if a zone departed, else response by load."""
+    """Plot busy slots over time if a zone departed, else response by load.
+
+    A zone departs when it is taken out of service.
+    For the response by load the pattern is played again at each of
+    :data:`PLOTTED_LOADS`.
+    """
     if played.evidence.departures:
         bench_report.plot_work(played.report, played.evidence.departures, path)
         return
--- a/src/agatepick/bench/bench_arrivals.py
+++ b/src/agatepick/bench/bench_arrivals.py
@@ -23,6 +23,7 @@
 """Share of the load that the three hot teams send."""
 MAX_TASKS_PER_JOB = 130
 DEADLINE_SECONDS = 30.0
+"""Time from a job's arrival to its deadline, unless the pattern sets one."""
 SATURATION_WAIT_SECONDS = 2.0
 SATURATION_RUN_TIME_FACTOR = 2.0
 
@@ -38,9 +39,9 @@
     bench_plan.Pattern.FAILING_WORKER: 0.6,
     bench_plan.Pattern.SLOW_UPSTREAM: 0.6,
 }
-"""Share of all slots that the arrivals keep busy, by pattern."""
+"""Share of all slots that the arriving jobs keep busy, by pattern."""
 DEFAULT_LOAD = 0.8
-"""Load of the patterns that :data:`DEFAULT_LOADS` doesn't list."""
+"""Share of all slots, for the patterns not in :data:`DEFAULT_LOADS`."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,6 +50,7 @@
 
     :param seconds: actual run time.
     :param expected_seconds: run time that the caller declares.
+    :param cpu: cores that the caller declares.
     """
 
     kind: str
@@ -61,7 +63,8 @@
 class JobPlan:
     """One job and the planned behaviour of its caller.
 
-    :param at: arrival.
+    :param at: arrival, in seconds from the run's start.
+    :param timeout_seconds: time from the arrival to the deadline.
     :param resubmit_after: seconds after which the caller submits the job
         again, or None.
     :param to_other_entry: whether the resubmission goes to another entry.
@@ -72,7 +75,7 @@
     at: float
     team: str
     tasks: tuple[TaskPlan, ...]
-    deadline_after: float = DEADLINE_SECONDS
+    timeout_seconds: float = DEADLINE_SECONDS
     urgent: bool = False
     resubmit_after: float | None = None
     to_other_entry: bool = False
@@ -88,7 +91,10 @@
 class Load:
     """Jobs and faults of one run, determined by pattern and seed.
 
-    :param slow_factors: pairs of worker number and factor on run times.
+    :param seconds: period in which the jobs arrive.
+    :param load: share of all slots that the jobs keep busy.
+    :param slow_factors: pairs of a worker's number and the factor by which
+        its tasks run longer.
     :param failing_workers: numbers of the workers that fail every task.
     """
 
@@ -150,24 +156,25 @@
 
 
 def draw_hot_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """Draw a job of a load of which three teams send 80%."""
+    """Draw a job for a load of which three heavy teams send 80%."""
     return JobPlan(number, at, draw_hot_team(rng), draw_tasks(rng))
 
 
 def draw_saturating_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """Draw a job of at most 20 tasks with a deadline that a queue would miss.
+    """Draw a job of at most 20 tasks with an early deadline.
 
-    The deadline is two seconds plus twice the longest task.
+    The deadline is two seconds plus twice the longest task after the arrival,
+    so a job that waits long in a queue misses it.
     """
     tasks = draw_tasks(rng)[:20]
     longest = max(task.seconds for task in tasks)
     wait = SATURATION_WAIT_SECONDS + SATURATION_RUN_TIME_FACTOR * longest
     team = draw_team(rng)
-    return JobPlan(number, at, team, tasks, deadline_after=wait)
+    return JobPlan(number, at, team, tasks, timeout_seconds=wait)
 
 
 def draw_mixed_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """Draw a job: one in ten is long, all others are very short."""
+    """Draw a job: one in ten has long tasks, all others very short ones."""
     if rng.random() < 0.1:
         secs, kind, size = (4.0, 8.0), 'long', rng.randint(1, 8)
     else:
@@ -182,8 +189,8 @@
 ) -> JobPlan:
     """Draw a job with wrong declared run times.
 
-    Declared run times are a tenth, once or ten times the actual ones.  One
-    job in 50 fits on no worker.
+    The declared run time of a task is a tenth of the actual one, the actual
+    one or ten times that.  One job in 50 fits on no worker.
     """
     possible = rng.random() >= 0.02
     tasks = tuple(
@@ -200,9 +207,9 @@
 def draw_resubmitted_job(
     rng: random.Random, number: int, at: float
 ) -> JobPlan:
-    """Draw a job: one in ten is resubmitted.
+    """Draw a job, which its caller submits twice in one of ten cases.
 
-    Half of the resubmissions go to another entry.
+    Half of the second submissions go to another entry.
     """
     job = draw_plain_job(rng, number, at)
     if rng.random() >= 0.1:
@@ -215,9 +222,9 @@
 
 
 def draw_full_job(rng: random.Random, number: int, at: float) -> JobPlan:
-    """Return the largest job, of the shortest tasks.
+    """Return a job with the most tasks, each of the shortest run time.
 
-    Such jobs make the cost of dispatch dominate.
+    Such jobs make the cost of dispatch dominate over that of running tasks.
     """
     tasks = (TaskPlan('short', 0.05, 0.05),) * MAX_TASKS_PER_JOB
     return JobPlan(number, at, draw_team(rng), tasks)
@@ -276,10 +283,10 @@
 ) -> list[JobPlan]:
     """Draw Poisson arrivals whose work fills the given share of the slots.
 
-    Jobs are drawn until their work reaches the share; their instants are
+    Jobs are drawn until their work reaches the share; their arrivals are
     uniform over the run, which is a Poisson process conditioned on its number
-    of arrivals.  Otherwise the few large jobs of a seed would change the
-    load.
+    of arrivals.  With a fixed number of jobs, the few large ones that a seed
+    draws would change the load.
     """
     draw_job = JOB_FACTORIES.get(pattern, draw_plain_job)
     target_work = load * seconds * deployment.total_slots
--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -30,7 +30,10 @@
 
 
 class TaskBody(msgspec.Struct, frozen=True):
-    """One task of an answer; the body keeps the received bytes."""
+    """One task of an answer.
+
+    :param body: the upstream's JSON value, as the bytes that arrived.
+    """
 
     id: str
     outcome: types.Outcome
@@ -58,19 +61,22 @@
 
 @dataclasses.dataclass
 class RequestErrors:
-    """Numbers of requests that ended without an answer, by error."""
+    """Numbers of requests that ended without a response, by error."""
 
-    by_error: dict[str, int] = dataclasses.field(default_factory=dict)
+    count_by_error: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def add(self, error: str) -> None:
-        """Count one request."""
-        self.by_error[error] = self.by_error.get(error, 0) + 1
+        """Count one request that ended with ``error``."""
+        self.count_by_error[error] = self.count_by_error.get(error, 0) + 1
 
 
 class Callers:
     """All callers of one run.
 
     :param latency: one-way latency between a caller and an entry, seconds.
+    :ivar keys: idempotency keys of all submitted jobs, by job number.
+    :ivar open: keys of the jobs without a recorded reply, by job number.
+    :ivar cancelled: numbers of the jobs that their callers cancelled.
     """
 
     def __init__(
@@ -137,7 +143,7 @@
         resubmission: bool,
     ) -> None:
         sent_at = self._recorder.now()
-        give_up_at = sent_at + job.deadline_after + OUTCOME_WAIT_SECONDS
+        give_up_at = sent_at + job.timeout_seconds + OUTCOME_WAIT_SECONDS
         while True:
             answer, error = await self._post(key, body, url, give_up_at)
             final = answer is not None and (
@@ -203,7 +209,7 @@
     return msgspec.json.encode(
         {
             'team': job.team,
-            'timeout_seconds': job.deadline_after,
+            'timeout_seconds': job.timeout_seconds,
             'urgent': job.urgent,
             'tasks': [
                 {
@@ -222,10 +228,10 @@
 def read_answer(
     body: bytes, status: int, key: types.JobKey
 ) -> types.JobAnswer | None:
-    """Return the answer in an HTTP response, or None if there is none.
+    """Return the answer in an HTTP response; None if the body has none.
 
-    A refusal by admission control names no job, so its answer gets the key of
-    the request.
+    A refusal by admission control names no job, so ``key``, the idempotency
+    key of the request, becomes the answer's key.
     """
     try:
         parsed = msgspec.json.decode(body, type=AnswerBody)
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -54,9 +54,15 @@
 
 @dataclasses.dataclass
 class Counts:
-    """Counts of tasks sent to agents, tasks they refused, and notes.
+    """Counts of tasks sent to agents, of refused ones, and of events.
 
-    :param first_note_at: seconds from the run's start, by note name.
+    These events are the :class:`.core.Note` effects of the processes.
+
+    :param started: tasks that entries sent to agents to be started.
+    :param refused: those that the agents refused.
+    :param notes: number of notes, by name.
+    :param first_note_at: instant of the first note, in seconds from the run's
+        start, by name.
     """
 
     started: int = 0
@@ -73,7 +79,10 @@
 
 
 class CountingReducer:
-    """Wrapper of a reducer that counts the messages it sends."""
+    """Wrapper that counts the tasks and notes in a reducer's effects.
+
+    :param now: function that returns the seconds since the run's start.
+    """
 
     def __init__(
         self,
@@ -121,7 +130,10 @@
         return f'http://{self.process.http_address}'
 
     def is_ready(self) -> bool:
-        """Return whether the balancer's health check passes."""
+        """Return whether the entry runs and reports itself ready for jobs.
+
+        The balancer sends requests only to ready entries.
+        """
         now = self.process.dependencies.clock.now()
         return self.alive and self.process.entry.ready(now)
 
@@ -135,7 +147,7 @@
 
 
 class Cluster:
-    """All processes of one run, and the balancer of the callers."""
+    """All processes of one run; also the balancer that the callers use."""
 
     def __init__(
         self,
@@ -189,7 +201,7 @@
         return self._rng.choice(urls)
 
     def traffic(self) -> collections.Counter[str]:
-        """Return the number of messages sent by all processes, by kind."""
+        """Count the messages that all processes have sent so far, by kind."""
         total = collections.Counter(self._stopped_traffic)
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         for site in sites:
@@ -197,14 +209,14 @@
         return total
 
     def bytes_sent(self) -> int:
-        """Return the number of bytes that the processes sent each other."""
+        """Count the bytes sent by all processes except replaced agents."""
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         return sum(site.process.links.traffic.bytes_out for site in sites)
 
     def traffic_since(
         self, before: collections.Counter[str]
     ) -> bench_evidence.Traffic:
-        """Return the messages sent since the counts in ``before``."""
+        """Return the traffic since ``before``, a result of :meth:`traffic`."""
         counts = self.traffic() - before
         return bench_evidence.Traffic(counts, self.counts.refused_share)
 
@@ -234,7 +246,7 @@
         site.process.kill()
 
     async def replace_entry(self, number: int) -> None:
-        """Start a new entry, then stop the old one gracefully."""
+        """Start a new entry, then gracefully stop the one that it replaces."""
         new = await self._start_entry(number)
         await self._wait_until(new.is_ready)
         old = self.entries[number]
--- a/src/agatepick/bench/bench_evidence.py
+++ b/src/agatepick/bench/bench_evidence.py
@@ -15,7 +15,10 @@
 class Run:
     """One run of a task, recorded by a stand-in upstream.
 
-    :param start: seconds from the start of the bench run; ``end`` likewise.
+    :param task: task id that the caller chose.
+    :param worker: number of the worker.
+    :param start: seconds from the start of the bench run; ``end`` likewise,
+        infinite until the end is recorded.
     """
 
     key: types.JobKey
@@ -32,7 +35,9 @@
     """The reply to one submission of a job.
 
     :param sent_at: seconds from the run's start; ``received_at`` likewise.
+    :param job: number of the job; ``key`` is its idempotency key.
     :param answer: None if the connection broke or no answer arrived.
+    :param error: reason for a missing answer, if it is known.
     """
 
     job: int
@@ -47,7 +52,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneDeparture:
-    """Departure of a zone; instants are seconds from the run's start.
+    """Period in which an availability zone was out of service.
+
+    Instants are seconds from the run's start.
 
     :param requested_at: when the change was requested.
     :param accepted_at: when an entry accepted the change.
@@ -64,8 +71,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """Messages that the processes sent each other, by kind.
+    """Messages that the processes sent each other.
 
+    :param counts: numbers of messages, by kind.
     :param refused_starts: share of the tasks sent to agents that the agents
         refused.
     """
@@ -76,8 +84,8 @@
     def wasted_share(self, ignored: frozenset[str] = frozenset()) -> float:
         """Return the share of messages that are neither a start nor a result.
 
-        A batch counts as one message.  The refused share of starts and
-        results counts as wasted too.
+        A message with several starts or results counts as one.  Of these
+        messages the share ``refused_starts`` counts as wasted too.
 
         :param ignored: kinds of messages to leave out.
         """
--- a/src/agatepick/bench/bench_ideal.py
+++ b/src/agatepick/bench/bench_ideal.py
@@ -1,8 +1,9 @@
-"""The ideal scheduler that every run is compared with.
+"""Simulation of the ideal scheduler that every bench run is compared with.
 
-It has one central queue in order of arrival, no latency, no messages and exact
-knowledge of free slots.  It runs the same jobs with the same run times on the
-same slots.  A job's response time ends with its last task.
+The scheduler has one central queue in order of arrival, no latency, no
+messages and exact knowledge of free slots.  It runs the same jobs with the
+same run times on the same slots.  A job's response time ends with its last
+task.
 """
 
 import collections.abc
@@ -15,7 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Closure:
-    """An interval during which no task may start in a zone."""
+    """An interval during which no task may start in a zone.
+
+    :param since: seconds from the run's start; ``until`` likewise.
+    """
 
     zone: str
     since: float
@@ -24,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ideal:
-    """Schedule of the central queue.
+    """Schedule that the ideal scheduler made of one load.
 
     :param responses: response time in seconds, by job number.
     :param runs: start and end of each task, seconds from the run's start.
@@ -39,7 +43,7 @@
     deployment: bench_plan.Deployment,
     closures: collections.abc.Sequence[Closure] = (),
 ) -> Ideal:
-    """Simulate the central queue for the given jobs."""
+    """Return the ideal scheduler's schedule for the given jobs."""
     free = [
         (0.0, worker, slot)
         for worker in range(deployment.workers)
@@ -66,9 +70,12 @@
     deployment: bench_plan.Deployment,
     closures: collections.abc.Sequence[Closure],
 ) -> tuple[float, int, int]:
-    """Take the slot in which a task can start first.
+    """Remove and return the slot in which a task can start earliest.
 
-    :param at: arrival of the task.
+    :param free: heap of slots, each as the instant from which it is free,
+        worker number and slot number; a slot of a closed zone is put back with
+        the instant at which the zone reopens.
+    :param at: arrival of the task, in seconds from the run's start.
     :returns: start of the task, worker number and slot number.
     """
     while True:
@@ -94,7 +101,10 @@
     since: float,
     until: float,
 ) -> float:
-    """Return the slot-seconds that runs spent inside a window."""
+    """Return the slot-seconds that runs took between two instants.
+
+    :param runs: start and end of each run.
+    """
     return sum(
         max(0.0, min(stop, until) - max(start, since)) for start, stop in runs
     )
--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -1,8 +1,9 @@
 """Lag of the bench's own event loop.
 
-All processes of a run share one core, so a busy loop delays starts that
-separate processes would not delay.  With a high lag the response times reflect
-the bench more than agatepick, so the report shows both.
+All processes of a run share this loop and so one core: a busy loop delays
+starts that separate processes would not delay.  If the lag is high, the
+response times show the bench's own delays more than agatepick's, so the report
+shows the lag beside them.
 """
 
 import asyncio
@@ -13,7 +14,10 @@
 
 
 class LoopLag:
-    """Measurement of the event loop's lag by the overrun of short sleeps."""
+    """Measurement of the event loop's lag.
+
+    The lag is the time by which short sleeps end too late.
+    """
 
     def __init__(self) -> None:
         self._histogram = bench_measures.new_histogram()
@@ -32,7 +36,7 @@
         """Return the mean and 99th percentile of the lag in milliseconds."""
         return {
             'loop_lag_mean_ms': self._histogram.get_mean_value() / 1e3,
-            'loop_lag_p99_ms': bench_measures.get_quantile(
+            'loop_lag_p99_ms': bench_measures.get_percentile(
                 self._histogram, 99.0
             )
             / 1e3,
--- a/src/agatepick/bench/bench_ledger.py
+++ b/src/agatepick/bench/bench_ledger.py
@@ -1,7 +1,10 @@
-"""Cost of an agent's ledger: memory and processor time per task.
+"""Measurement of memory and processor time that an agent takes per task.
 
-``python -m agatepick.bench.bench_ledger`` prints one JSON object.  Memory is
-the growth of all Python allocations, so it includes the keys.
+It measures the ledger, the agent's record of its tasks, alone and then the
+whole agent.
+
+``python -m agatepick.bench.bench_ledger`` prints one JSON object.  Memory
+is the growth of all Python allocations, so it includes the job keys.
 """
 
 import json
@@ -102,7 +105,11 @@
 
 
 def _measure_agent_seconds() -> float:
-    """Measure the whole reducer: starts in batches of four, ends, results."""
+    """Return the processor seconds that the agent takes for all tasks.
+
+    Tasks arrive in messages of four; the time includes their starts, their
+    ends and the results that the agent sends.
+    """
     reducer = agent.Agent.from_config(agent.AgentConfig('agent'), 1)
     needs = types.Needs(64.0, 1 << 16, 0)
     reducer.reduce(
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -1,4 +1,9 @@
-"""Figures of one bench run: response over ideal, work, deadlines."""
+"""Figures of one bench run: response times, work done, missed deadlines.
+
+"Response over ideal" is a response time of the run, or a statistic of response
+times, divided by that of the same jobs in the simulation of
+:mod:`agatepick.bench.bench_ideal`.
+"""
 
 import collections.abc
 import dataclasses
@@ -18,10 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Responses:
-    """Ratios of the response time distribution to the ideal one.
+    """Ratios of measured response times to the ideal scheduler's.
 
-    :param own_median: median of the jobs' individual ratios.
-    :param own_p99: 99th percentile of the jobs' individual ratios.
+    :param median: measured median over the ideal median; ``p99`` likewise.
+    :param own_median: median of each job's ratio to its own ideal time.
+    :param own_p99: 99th percentile of these ratios.
+    :param mean_seconds: mean of the measured response times.
+    :param jobs: number of jobs compared.
     """
 
     response_over_ideal_mean: float
@@ -44,9 +52,9 @@
 def build_histogram(
     seconds: collections.abc.Iterable[float],
 ) -> histogram.HdrHistogram:
-    """Return a histogram of durations.
+    """Return a histogram of durations in microseconds.
 
-    :param seconds: the durations.
+    :param seconds: the durations in seconds.
     """
     hist = new_histogram()
     for value in seconds:
@@ -57,9 +65,9 @@
 def get_first_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
-    """Return the first submission's reply of each job not cancelled.
+    """Return the replies to the first submissions, by job number.
 
-    :returns: replies by job number.
+    Jobs that their callers cancelled are left out.
     """
     return {
         reply.job: reply
@@ -71,7 +79,10 @@
 def get_completed_replies(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, bench_evidence.Reply]:
-    """Return the first replies with status complete, by job number."""
+    """Return those of the first replies whose status is complete.
+
+    :returns: replies by job number.
+    """
     return {
         number: reply
         for number, reply in get_first_replies(evidence).items()
@@ -83,10 +94,11 @@
 def compute_response_times(
     evidence: bench_evidence.Evidence,
 ) -> dict[int, float]:
-    """Return the seconds from planned arrival to answer of completed jobs.
+    """Return the response times of the completed jobs, by job number.
 
-    Response times start at the planned arrival instead of the submission;
-    otherwise a bench that submits late would report too short times.
+    A response time is the seconds from the planned arrival to the answer.  If
+    it began with the submission, a bench that submits late would report too
+    short times.
     """
     plans = {job.number: job for job in evidence.load.jobs}
     return {
@@ -114,19 +126,20 @@
     return Responses(
         response_over_ideal_mean=measured.get_mean_value()
         / ideal_histogram.get_mean_value(),
-        median=get_quantile(measured, 50.0)
-        / get_quantile(ideal_histogram, 50.0),
-        p99=get_quantile(measured, 99.0) / get_quantile(ideal_histogram, 99.0),
-        own_median=get_quantile(own_ratios, 50.0) / 1e3,
-        own_p99=get_quantile(own_ratios, 99.0) / 1e3,
+        median=get_percentile(measured, 50.0)
+        / get_percentile(ideal_histogram, 50.0),
+        p99=get_percentile(measured, 99.0)
+        / get_percentile(ideal_histogram, 99.0),
+        own_median=get_percentile(own_ratios, 50.0) / 1e3,
+        own_p99=get_percentile(own_ratios, 99.0) / 1e3,
         mean_seconds=statistics.fmean(actual.values()),
         ideal_mean_seconds=statistics.fmean(ideal[num] for num in actual),
         jobs=len(actual),
     )
 
 
-def get_quantile(hist: histogram.HdrHistogram, percentile: float) -> float:
-    """Return a percentile of a histogram, at least its lowest value."""
+def get_percentile(hist: histogram.HdrHistogram, percentile: float) -> float:
+    """Return a percentile of a histogram in its unit, at least 1."""
     value = hist.get_value_at_percentile(percentile)
     return float(max(LOWEST_MICROSECONDS, value))
 
@@ -137,7 +150,8 @@
 ) -> float:
     """Return Jain's index of the teams' response over ideal.
 
-    1.0 means that the ratio is the same for all teams.
+    1.0 means that the ratio of measured to ideal response times is the same
+    for all teams; the more the ratios differ, the lower is the index.
     """
     by_team: dict[str, list[tuple[float, float]]] = {}
     plans = {job.number: job for job in evidence.load.jobs}
@@ -167,16 +181,16 @@
 def met_deadline(
     reply: bench_evidence.Reply, plan: bench_arrivals.JobPlan
 ) -> bool:
-    """Return whether a job was complete by its deadline."""
+    """Return whether a complete answer arrived by the job's deadline."""
     return (
         reply.answer is not None
         and reply.answer.status is types.JobStatus.COMPLETE
-        and reply.received_at <= plan.at + plan.deadline_after
+        and reply.received_at <= plan.at + plan.timeout_seconds
     )
 
 
 def is_refused(reply: bench_evidence.Reply) -> bool:
-    """Return whether the answer for the whole job was "not run"."""
+    """Return whether the entry answered "not run" for the whole job."""
     return (
         reply.answer is not None
         and reply.answer.status is types.JobStatus.NOT_RUN
@@ -184,7 +198,7 @@
 
 
 def compute_goodput(evidence: bench_evidence.Evidence) -> float:
-    """Return the share of all slot time spent on jobs that met deadlines."""
+    """Return the share of all slot-seconds spent on jobs completed in time."""
     plans = {job.number: job for job in evidence.load.jobs}
     on_time_keys = {
         reply.key
@@ -204,11 +218,11 @@
 def compute_work_ratio(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> float | None:
-    """Return the work done after a zone's departure, over the ideal's.
+    """Return the work done after a zone's departure over the ideal work.
 
-    The window begins with the request for the departure and ends with the
-    arrivals.  The ideal uses the zone until its departure is in force and
-    again from the instant of its return.
+    The work is counted from the request to take the zone out until the end
+    of the arrivals.  The ideal scheduler uses the zone until its departure is
+    in force, and again from the instant of its return.
 
     :returns: None if no zone departed.
     """
--- a/src/agatepick/bench/bench_plan.py
+++ b/src/agatepick/bench/bench_plan.py
@@ -1,4 +1,4 @@
-"""Parts of a bench run besides its jobs: pattern, deployment, planned steps.
+"""Pattern, deployment and planned operations of a bench run.
 
 Instants are seconds from the start of the run.
 """
@@ -28,7 +28,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """Size and one-way latencies (seconds) of one installation."""
+    """Size and latencies of one installation.
+
+    :param zone_latency: one-way latency between zones, seconds.
+    :param client_latency: one-way latency between a caller and an entry,
+        seconds.
+    :param cores: cores of each worker; ``memory_mb`` and ``slots`` likewise.
+    :param workers: number of workers, each with an agent.
+    :param rack_size: workers in one rack.
+    """
 
     name: str
     zones: tuple[str, ...]
@@ -72,7 +80,7 @@
 
 
 class Action(enum.StrEnum):
-    """Operations on the installation during a run."""
+    """Operations that a run carries out on the installation or its jobs."""
 
     ZONE_OUT = 'zone_out'
     ZONE_IN = 'zone_in'
@@ -88,7 +96,9 @@
 class Step:
     """One planned operation.
 
-    :param target: zone, or number of an entry or agent.
+    :param at: instant in seconds from the run's start.
+    :param target: name of a zone, or number of an entry or agent; empty for
+        operations on the table service or on jobs.
     """
 
     at: float
@@ -99,7 +109,7 @@
 def plan_steps(
     pattern: Pattern, seconds: float, deployment: Deployment
 ) -> tuple[Step, ...]:
-    """Return the steps that belong to a pattern."""
+    """Return the operations that a pattern includes, with their instants."""
     third = seconds / 3
     half = seconds / 2
     if pattern is Pattern.ZONE:
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -1,4 +1,8 @@
-"""Playback of one load, its jobs and steps, on a running installation."""
+"""Playback of one load on a running installation.
+
+A load has jobs, which callers submit, and steps: planned operations such as
+taking a zone out of service.
+"""
 
 import asyncio
 import collections.abc
@@ -13,11 +17,15 @@
 from agatepick.config import cluster
 
 DRAIN_SECONDS = 45.0
-"""Time after the end of arrivals during which the bench awaits answers."""
+"""Time after the last arrivals during which the bench waits for answers."""
 
 
 class Player:
-    """Player of one load on a running installation."""
+    """Player of one load on a running installation.
+
+    :ivar departures: zones taken out of service, by name.
+    :ivar step_errors: exceptions that steps raised, as text.
+    """
 
     def __init__(
         self,
@@ -51,8 +59,8 @@
     async def play(self) -> None:
         """Play all jobs and steps; wait for the answers.
 
-        Jobs without an answer :data:`DRAIN_SECONDS` after the arrivals are
-        cancelled in the bench.
+        :data:`DRAIN_SECONDS` after the arrivals the bench stops the callers
+        that still wait for an answer.
         """
         tasks = [
             asyncio.create_task(self._play_job(job)) for job in self._load.jobs
@@ -67,7 +75,7 @@
         await asyncio.gather(*tasks, step_task, return_exceptions=True)
 
     def list_unanswered(self) -> list[bench_evidence.Reply]:
-        """Return a reply without an answer for each job still open."""
+        """Return a reply without an answer for each job still unanswered."""
         now = self._recorder.now()
         return [
             bench_evidence.Reply(number, key, 0.0, now, None, error='silent')
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -13,7 +13,7 @@
 
 PLOT_DPI = 120
 WORK_BINS = 60
-"""Number of bins in the plot of work over time."""
+"""Number of intervals for which the plot of work shows the busy slots."""
 
 Figure = float | int | str | None
 
@@ -22,8 +22,8 @@
 class Report:
     """Figures of one run in the order in which they are shown.
 
-    :param series: work over time as triples (seconds, busy slots, busy slots
-        of the ideal).
+    :param series: work over time as triples: seconds from the run's start,
+        busy slots, busy slots of the ideal scheduler.
     """
 
     title: str
@@ -31,7 +31,7 @@
     series: tuple[tuple[float, float, float], ...] = ()
 
     def as_json(self) -> str:
-        """Return one JSON object with the figures as its members."""
+        """Return the figures as the members of one JSON object."""
         body = {name: round_figure(val) for name, val in self.figures.items()}
         return json.dumps(body, indent=2)
 
@@ -58,7 +58,7 @@
 ) -> Report:
     """Return the report with all figures of one run.
 
-    :param extra: further figures to add.
+    :param extra: further figures, to be shown last.
     """
     load = evidence.load
     figures: dict[str, Figure] = {
@@ -142,7 +142,7 @@
 def compute_departure_figures(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> dict[str, Figure]:
-    """Return the figures of the first zone departure, if there is one."""
+    """Return the figures of the first zone taken out of service, if any."""
     if not evidence.departures:
         return {}
     departure = evidence.departures[0]
@@ -162,7 +162,10 @@
 def compute_work_series(
     evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
 ) -> tuple[tuple[float, float, float], ...]:
-    """Return the busy slots over time, of the run and of the ideal."""
+    """Return the busy slots over time, of the run and of the ideal scheduler.
+
+    :returns: triples as in :attr:`Report.series`, one per bin.
+    """
     width = evidence.load.seconds / WORK_BINS
     spans = [(run.start, run.end) for run in evidence.runs]
     return tuple(
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -1,8 +1,8 @@
 """Run of one pattern on a real installation, with its measurement.
 
 Entries, agents and stand-ins start in the bench's own process; callers submit
-the pattern's jobs over HTTP.  The replies are compared with the ideal and with
-the upstreams' own records of starts.
+the pattern's jobs over HTTP.  The replies are compared with those of the ideal
+scheduler and with the stand-in upstreams' own records of starts.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 class Options:
     """Pattern, deployment and placement policy of one run.
 
-    :param seconds: length of the arrivals.
+    :param seconds: period in which jobs arrive.
     :param load: share of all slots to keep busy; None for the pattern's
         default.
     """
@@ -59,7 +59,7 @@
 
 
 def run(options: Options) -> PlayResult:
-    """Play one pattern; play ``hot`` a second time without heavy teams."""
+    """Play one pattern; for ``hot`` also play the light teams' jobs alone."""
     deployment = bench_plan.DEPLOYMENTS[options.deployment]
     load = bench_arrivals.draw_load(
         options.pattern,
@@ -90,7 +90,7 @@
     policy: str = '',
     first_changes: tuple[cluster.Change, ...] = (),
 ) -> PlayResult:
-    """Play one load once.
+    """Play one load on a new installation and report the figures.
 
     :param first_changes: configuration changes to apply before the load
         starts.
@@ -170,9 +170,13 @@
     player: bench_player.Player,
     installation: bench_cluster.Cluster,
 ) -> Figures:
-    """Return the figures that are measured by the bench itself."""
+    """Return the figures of requests, table service, steps and answers.
+
+    Figures of the table outage and of failing workers are added if the load
+    has them.
+    """
     figures: Figures = {
-        'cut_requests': sum(callers.request_errors.by_error.values()),
+        'cut_requests': sum(callers.request_errors.count_by_error.values()),
         'store_reads': installation.table.counts.reads,
         'store_writes': installation.table.counts.writes,
         'failed_steps': len(player.step_errors),
@@ -208,7 +212,7 @@
 
 
 def count_answer_codes(evidence: bench_evidence.Evidence) -> dict[str, int]:
-    """Count the first answers by status and code."""
+    """Count the replies to first submissions by status and code."""
     counts: dict[str, int] = {}
     for reply in bench_measures.get_first_replies(evidence).values():
         if reply.answer is None:
@@ -240,7 +244,10 @@
 def compute_light_figures(
     with_heavy: PlayResult, alone: PlayResult
 ) -> Figures:
-    """Return the light teams' mean response with and without heavy teams."""
+    """Return the light teams' mean response time with and without heavy ones.
+
+    :param alone: result of the light teams' jobs without those of heavy teams.
+    """
     plans = {job.number: job for job in with_heavy.evidence.load.jobs}
     times = bench_measures.compute_response_times(with_heavy.evidence)
     times_with_heavy = [
@@ -262,7 +269,7 @@
 
 
 def add_figures(played: PlayResult, figures: Figures) -> PlayResult:
-    """Return a run with further figures in its report."""
+    """Return a copy of the result with further figures in its report."""
     merged = {**played.report.figures, **figures}
     report = dataclasses.replace(played.report, figures=merged)
     return dataclasses.replace(played, report=report)
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -13,9 +13,9 @@
 
 
 class StartRecorder:
-    """Recorder of the starts at all upstreams of one run.
+    """Recorder of the task starts at all stand-in workers of one bench run.
 
-    Instants are seconds from the start of the run.
+    Instants are seconds from the start of the bench run.
     """
 
     def __init__(self, clock: types.Clock):
@@ -24,15 +24,15 @@
         self._run_started_at = clock.now()
 
     def start_run(self) -> None:
-        """Set the start of the run to the present instant."""
+        """Set the start of the bench run to the present instant."""
         self._run_started_at = self._clock.now()
 
     def now(self) -> float:
-        """Return the seconds since the start of the run."""
+        """Return the seconds since the start of the bench run."""
         return self.to_run_seconds(self._clock.now())
 
     def to_run_seconds(self, instant: float) -> float:
-        """Convert an instant to seconds since the start of the run."""
+        """Convert an instant of the clock to seconds since the run's start."""
         return instant - self._run_started_at
 
     def record_start(self, run: bench_evidence.Run) -> int:
@@ -41,7 +41,7 @@
         return len(self.runs) - 1
 
     def record_end(self, position: int, failed: bool) -> None:
-        """Record the end of a run."""
+        """Record the end of the task run at a position."""
         self.runs[position] = dataclasses.replace(
             self.runs[position], end=self.now(), failed=failed
         )
--- a/src/agatepick/bench/bench_violations.py
+++ b/src/agatepick/bench/bench_violations.py
@@ -16,7 +16,7 @@
 from agatepick.bench import bench_evidence
 from agatepick import types
 
-TASK_PREFIX = 't'
+TASK_ID_PREFIX = 't'
 MAX_LISTED_TASKS = 3
 
 
@@ -24,11 +24,15 @@
 class Violations:
     """Numbers of broken guarantees; each has to be 0.
 
+    :param duplicate_starts: starts of tasks beyond the first of each.
     :param starts_after_fence: starts in a zone while its departure was in
         force.
     :param lost: jobs without a final answer.
     :param false_not_run: tasks that were started although their answer is
         "not run".
+    :param incomplete_answers: final answers that lack tasks or have a wrong
+        status.
+    :param wrong_answers: answers of another job or with a false result.
     """
 
     duplicate_starts: int
@@ -74,9 +78,9 @@
 
 
 def describe_second_starts(evidence: bench_evidence.Evidence) -> str:
-    """List the first few tasks with several starts, with their runs.
+    """Return a text with the first few tasks started twice, and their runs.
 
-    The list lets a person trace these tasks.
+    With the list, a reader of the report can trace these tasks.
     """
     repeated_tasks = [
         pair
@@ -126,7 +130,7 @@
     plan: bench_arrivals.JobPlan,
     starts: collections.abc.Mapping[tuple[str, str], int],
 ) -> int:
-    """Count the tasks answered "not run" that an upstream started."""
+    """Count the tasks that were started although answered "not run"."""
     answer = reply.answer
     if answer is None:
         return 0
@@ -145,7 +149,7 @@
 
 def make_task_id(position: int) -> str:
     """Return the caller's id of a task by its index in the job."""
-    return f'{TASK_PREFIX}{position}'
+    return f'{TASK_ID_PREFIX}{position}'
 
 
 def is_incomplete_answer(
@@ -174,9 +178,10 @@
     reply: bench_evidence.Reply,
     starts: collections.abc.Mapping[tuple[str, str], int],
 ) -> bool:
-    """Return whether an answer is another job's or reports a false result.
+    """Return whether an answer is another job's or has a false result.
 
-    A result is false if its task was never started or has another body.
+    A finished task's result is false if no upstream started the task, or if
+    its body isn't the one that the stand-in upstream returns for the task.
     """
     answer = reply.answer
     if answer is None:
@@ -195,5 +200,5 @@
 
 def make_expected_body(key: types.JobKey, task: str) -> bytes:
     """Return the body with which the stand-in upstream answers a task."""
-    index = int(task.removeprefix(TASK_PREFIX))
+    index = int(task.removeprefix(TASK_ID_PREFIX))
     return msgspec.json.encode({'job': key, 'index': index})
