--- a/src/agatepick/capacity/capacity.py
+++ b/src/agatepick/capacity/capacity.py
@@ -1,9 +1,9 @@
 """Generator of the tables in ``docs/CAPACITY.md`` from a measurement's JSON.
 
-The page's figures for the planned size are all computed here: a line of
-:mod:`agatepick.capacity.slopes` is extrapolated to that size.  The tables are
-between markers in the page; ``update`` regenerates them, and a test fails if
-they don't match the measurement in the same folder.
+All figures for the planned size are computed here: the cost lines that
+:mod:`agatepick.capacity.slopes` fits are extrapolated to that size.  The
+tables are between markers in the page; :func:`update` regenerates them, and a
+test fails if they don't match the measurement in the same folder.
 """
 
 import collections.abc
@@ -21,16 +21,18 @@
 ZONES = 8
 CHANGES_PER_DAY = 31_000
 DAY_SECONDS = 86_400
-CORE_LIMIT = 0.041
-MEMORY_LIMIT = 64_000_000
-BYTES_LIMIT = 2048
-READS_LIMIT = 2000
-WRITES_LIMIT = 400
-"""Several hundred per second: the limit of the stand-in table."""
+MAX_CORE_SHARE = 0.041
+"""Largest share of one core that a process without tasks may take."""
+MAX_RESIDENT_BYTES = 64_000_000
+MAX_BYTES_PER_SECOND = 2048
+MAX_READS_PER_SECOND = 2000
+"""Limit of the stand-in table service."""
+MAX_WRITES_PER_SECOND = 400
+"""Several hundred per second: the limit of the stand-in table service."""
 ENTRY_CORE_SHARE = 0.7
 """Share of its core that an entry uses at the planned size.
 
-The rest is for bursts and for the work of a failed neighbour."""
+The rest is for bursts and for the work of a failed entry."""
 RETENTION_SECONDS = 600
 VMS_LOST_PER_DAY = 99
 VMS_REPLACED_PER_DAY = 690
@@ -43,12 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Sizes computed from the measurement.
+    """Sizes of the planned installation, computed from a measurement.
 
-    :param cpu_per_task: processor time of an entry, seconds.
-    :param entries: processes of one core each.
-    :param agents_per_entry: agents per entry within the byte limit.
-    :param entries_per_agent: entries that one agent then serves.
+    :param cpu_per_task: processor time that an entry takes per task, seconds.
+    :param entries: number of entry processes, with one core each.
+    :param agents_per_entry: agents that an entry can be connected to within
+        :data:`MAX_BYTES_PER_SECOND`.
+    :param entries_per_agent: entries that are then connected to one agent.
     """
 
     cpu_per_task: float
@@ -66,7 +69,7 @@
         )
         control_line = measurement.line('entry_control_bytes')
         agents_per_entry = max(
-            1, math.floor(control_line.size_at(BYTES_LIMIT))
+            1, math.floor(control_line.size_at(MAX_BYTES_PER_SECOND))
         )
         return cls(
             cpu_per_task,
@@ -81,10 +84,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """One row of the control table.
+    """One row of the control table: a cost that is compared with its limit.
 
+    :param role: process that has the cost.
     :param line_name: name of the measured line.
-    :param size: planned size.
+    :param size: planned size, to which the line is extrapolated.
+    :param limit: largest cost allowed, in the unit of the line; infinite for
+        none.
+    :param module: modules of agatepick that cause the cost.
     """
 
     role: str
@@ -147,7 +154,7 @@
 
 
 def make_plan_table(measurement: slopes.Slopes) -> list[str]:
-    """Return the table of sizes computed from the measured costs."""
+    """Return the table of the sizes in :class:`Plan`."""
     plan = Plan.from_slopes(measurement)
     jobs = STARTS_PER_SECOND / TASKS_PER_JOB / plan.entries
     rows = [
@@ -180,7 +187,7 @@
         (
             'agents that one entry can hear within 4.1% of a core',
             format_number(
-                measurement.line('entry_idle_core').size_at(CORE_LIMIT)
+                measurement.line('entry_idle_core').size_at(MAX_CORE_SHARE)
             ),
             'extrapolated',
         ),
@@ -189,7 +196,7 @@
 
 
 def list_costs(measurement: slopes.Slopes) -> list[Cost]:
-    """Return the control costs by role, with line, size and limit."""
+    """Return the rows of the control table, in their order."""
     entries = Plan.from_slopes(measurement).entries
     changes = CHANGES_PER_DAY / DAY_SECONDS
     return [
@@ -198,7 +205,7 @@
             'agents it hears, B/s',
             'entry_control_bytes',
             WORKERS,
-            BYTES_LIMIT,
+            MAX_BYTES_PER_SECOND,
             'links, dispatch',
         ),
         Cost(
@@ -206,7 +213,7 @@
             'idle core share over agents',
             'entry_idle_core',
             WORKERS,
-            CORE_LIMIT,
+            MAX_CORE_SHARE,
             'links, shell',
         ),
         Cost(
@@ -214,7 +221,7 @@
             'resident bytes over agents',
             'entry_resident',
             WORKERS,
-            MEMORY_LIMIT,
+            MAX_RESIDENT_BYTES,
             'dispatch, links',
         ),
         Cost(
@@ -222,7 +229,7 @@
             'resident bytes over remembered tasks',
             'entry_resident_by_tasks',
             RETENTION_SECONDS * STARTS_PER_SECOND / entries,
-            MEMORY_LIMIT,
+            MAX_RESIDENT_BYTES,
             'jobs',
         ),
         Cost(
@@ -238,7 +245,7 @@
             'other entries, B/s',
             'entry_control_bytes_by_entries',
             entries,
-            BYTES_LIMIT,
+            MAX_BYTES_PER_SECOND,
             'configuration, readlease',
         ),
         Cost(
@@ -246,7 +253,7 @@
             'changes, B/s',
             'entry_bytes_by_changes',
             changes,
-            BYTES_LIMIT,
+            MAX_BYTES_PER_SECOND,
             'configuration, headreader',
         ),
         Cost(
@@ -254,7 +261,7 @@
             'entries it hears, B/s',
             'agent_control_bytes',
             entries,
-            BYTES_LIMIT,
+            MAX_BYTES_PER_SECOND,
             'links, agent',
         ),
         Cost(
@@ -262,7 +269,7 @@
             'idle core share over entries',
             'agent_idle_core',
             entries,
-            CORE_LIMIT,
+            MAX_CORE_SHARE,
             'links, shell',
         ),
         Cost(
@@ -270,7 +277,7 @@
             'resident bytes over entries',
             'agent_resident',
             entries,
-            MEMORY_LIMIT,
+            MAX_RESIDENT_BYTES,
             'slots, ledger',
         ),
         Cost(
@@ -278,7 +285,7 @@
             'reads/s over entries',
             'table_reads',
             entries,
-            READS_LIMIT,
+            MAX_READS_PER_SECOND,
             'headreader, tablestore',
         ),
         Cost(
@@ -286,7 +293,7 @@
             'writes/s over entries',
             'table_writes',
             entries,
-            WRITES_LIMIT,
+            MAX_WRITES_PER_SECOND,
             'configuration, tablestore',
         ),
         Cost(
@@ -294,7 +301,7 @@
             'reads/s over changes/s',
             'table_reads_by_changes',
             changes,
-            READS_LIMIT,
+            MAX_READS_PER_SECOND,
             'configuration, tablestore',
         ),
         Cost(
@@ -302,14 +309,14 @@
             'writes/s over changes/s',
             'table_writes_by_changes',
             changes,
-            WRITES_LIMIT,
+            MAX_WRITES_PER_SECOND,
             'configuration, tablestore',
         ),
     ]
 
 
 def make_control_table(measurement: slopes.Slopes) -> list[str]:
-    """Return the table of control costs at the planned size."""
+    """Return the table of control costs at the planned size, with limits."""
     measured_names = {line.name for line in measurement.lines}
     rows = []
     for cost in list_costs(measurement):
@@ -359,7 +366,7 @@
 
 
 def make_work_table(measurement: slopes.Slopes) -> list[str]:
-    """Return the table of messages and bytes of task traffic."""
+    """Return the table of the messages and bytes that carry tasks."""
     plan = Plan.from_slopes(measurement)
     messages_per_task = (
         measurement.line('job_messages').at(TASKS_PER_JOB) / TASKS_PER_JOB
@@ -431,8 +438,8 @@
         (
             'start of everything at once',
             f'{format_number(listings)} listings at '
-            f'{format_number(WRITES_LIMIT)} writes/s',
-            f'{format_number(listings / WRITES_LIMIT)} s at least, '
+            f'{format_number(MAX_WRITES_PER_SECOND)} writes/s',
+            f'{format_number(listings / MAX_WRITES_PER_SECOND)} s at least, '
             'one head row: each listing is a compare-and-swap after another',
         ),
     ]
@@ -440,7 +447,8 @@
 
 
 MEAN_TASK_SECONDS = 0.4
-"""Most tasks run between 50 ms and one second, a few longer."""
+"""Assumed mean run time: most tasks run between 50 ms and one second, a few
+longer."""
 
 TABLES: dict[str, collections.abc.Callable[[slopes.Slopes], list[str]]] = {
     'lines': make_lines_table,
--- a/src/agatepick/capacity/slopes.py
+++ b/src/agatepick/capacity/slopes.py
@@ -1,7 +1,8 @@
-"""Costs as straight lines over a size: least squares, residual, JSON.
+"""Fit of costs by straight lines over a size, and their file in JSON.
 
-The capacity page extrapolates from these lines only.  A line includes its
-points, which show the measured range.
+A cost is, for example, bytes per second and the size the number of agents.
+The capacity page (``docs/CAPACITY.md``) extrapolates from these lines only.
+A line includes its points, which show the measured range.
 """
 
 import collections.abc
@@ -18,10 +19,13 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One cost over one size.
+    """Least-squares line of one cost over one size.
 
     :param over: the size that varies, such as ``agents``.
-    :param fixed: sizes that are constant meanwhile.
+    :param unit: unit of the cost.
+    :param fixed: other sizes and conditions, which stayed the same for all
+        points.
+    :param points: pairs of size and measured cost.
     :param source: ``wire`` for counters of the links, ``process`` for
         figures read from running processes.
     :param residual: root mean square error over the mean of all costs.
@@ -74,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LineSpec:
-    """Description of a line to fit; for its fields see :class:`Line`."""
+    """Description of a line to fit; its fields are as in :class:`Line`."""
 
     name: str
     over: str
@@ -89,7 +93,7 @@
 ) -> Line:
     """Fit a least-squares line through points of at least four sizes.
 
-    :raises agatepick.exceptions.BadSettings: for fewer sizes.
+    :raises agatepick.exceptions.BadSettings: if the points have fewer sizes.
     """
     sorted_points = tuple(sorted(points))
     if len({size for size, _ in sorted_points}) < MIN_SIZES:
@@ -150,7 +154,7 @@
 def fit_all(
     specs: collections.abc.Iterable[LineSpec], points: Points
 ) -> tuple[Line, ...]:
-    """Fit the lines of all specs that have points."""
+    """Fit the lines for which ``points`` has points under the line's name."""
     return tuple(
         fit(spec, points[spec.name]) for spec in specs if spec.name in points
     )
--- a/src/agatepick/capacity/slopes_command.py
+++ b/src/agatepick/capacity/slopes_command.py
@@ -1,9 +1,10 @@
-"""``agatepick bench slopes``: measurement of costs over sizes.
+"""``agatepick bench slopes``: measurement of costs over installation sizes.
 
-Without options the command measures, in its own process, the traffic that the
-links count.  The other options are for ``scripts/measure_slopes.sh``, which
-starts processes: ``--write=DIR`` writes their settings, ``--read=DIR``
-measures them, and ``--points=FILE`` adds the measured points to the lines.
+Without options the command measures, in its own process, the messages and
+bytes that the links between processes count.  The other options
+are for ``scripts/measure_slopes.sh``, which starts processes: ``--write=DIR``
+writes the settings of these processes, ``--read=DIR`` measures the processes
+and prints points, and ``--points=FILE`` fits lines to these points too.
 """
 
 import pathlib
--- a/src/agatepick/capacity/slopes_process.py
+++ b/src/agatepick/capacity/slopes_process.py
@@ -1,7 +1,8 @@
 """Processor time and memory of running processes, read by pid.
 
-agatepick's processes start no other process, so a script of the repository
-starts them; this module only reads the kernel's figures.
+No agatepick process starts another process, so the script
+``scripts/measure_slopes.sh`` starts the measured ones; this module only reads
+the kernel's figures of them.
 """
 
 import collections.abc
@@ -17,7 +18,7 @@
 class Sample:
     """Figures of one process at one instant.
 
-    :param cpu_seconds: user and system time since its start.
+    :param cpu_seconds: user and system time since the process started.
     :param resident_bytes: resident memory.
     """
 
@@ -30,7 +31,8 @@
 class Usage:
     """Resource usage of one process between two samples.
 
-    :param core_share: share of one core.
+    :param core_share: mean processor time, as a share of one core.
+    :param resident_bytes: resident memory at the second sample.
     """
 
     core_share: float
@@ -38,7 +40,10 @@
 
 
 def take_sample(pid: int, proc: pathlib.Path = PROC) -> Sample:
-    """Read the figures of one process; memory from ``VmRSS``."""
+    """Read the present figures of one process from ``/proc``.
+
+    :param proc: directory to read instead of ``/proc``.
+    """
     stat = (proc / str(pid) / 'stat').read_text()
     # The process name in parentheses may contain blanks.
     fields = stat.rpartition(')')[2].split()
@@ -48,7 +53,7 @@
 
 
 def read_resident_bytes(pid: int, proc: pathlib.Path = PROC) -> int:
-    """Return the resident bytes of a process."""
+    """Return the resident bytes of a process, from ``VmRSS``; 0 if missing."""
     for line in (proc / str(pid) / 'status').read_text().splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1]) * KIB
@@ -62,7 +67,7 @@
 
 
 def compute_mean_usage(usages: collections.abc.Sequence[Usage]) -> Usage:
-    """Compute the mean usage of the processes of one role."""
+    """Compute the mean usage of several processes."""
     count = len(usages)
     return Usage(
         sum(usage.core_share for usage in usages) / count,
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -3,7 +3,7 @@
 ``scripts/measure_slopes.sh`` starts the processes from the settings that
 :func:`write_settings` writes to a directory, and records their pids in it.
 :func:`measure_points` then samples the processes and returns points, which the
-command prints one per line.
+command ``agatepick bench slopes`` prints one per line.
 """
 
 import asyncio
@@ -33,8 +33,8 @@
 TASKS_PER_JOB = (1, 8, 32, 130)
 MEMORY_STEPS = 5
 MAX_OPEN_TASKS = 260
-"""Limit of tasks in submitted jobs without an answer.  Further tasks would
-only wait in the entry's queue."""
+"""Limit of tasks in submitted jobs that have no answer yet.  Further tasks
+would only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
 IDLE_BY_AGENTS = 'idle-by-agents'
@@ -83,9 +83,9 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured point: a line of JSON in the script's file.
+    """One measured point, which the script's file has as a line of JSON.
 
-    :param line: name of the line that the point belongs to.
+    :param line: name of the cost line that the point belongs to.
     """
 
     line: str
@@ -95,7 +95,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Program:
-    """One process to start: a command of ``agatepick`` and its settings."""
+    """One process for the script to start.
+
+    :param command: command of ``agatepick``, such as ``entry``.
+    :param config: path of the settings file.
+    """
 
     role: str
     command: str
@@ -107,7 +111,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that are free at present."""
+    """Return numbers of TCP ports that are free at present."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((HOST, 0))
@@ -121,22 +125,24 @@
     """Write settings for a table service, entries, agents and upstreams."""
     directory.mkdir(parents=True, exist_ok=True)
     ports = iter(find_free_ports(1 + 2 * entries + 2 * agents))
-    programs = [_write_table_settings(directory, table := next(ports))]
-    http, peers = [], []
+    programs = [_write_table_settings(directory, table_port := next(ports))]
+    http_ports, peer_ports = [], []
     for number in range(entries):
-        http.append(next(ports))
-        peers.append(next(ports))
-        text = _format_entry_settings(number, http[-1], peers[-1], table)
+        http_ports.append(next(ports))
+        peer_ports.append(next(ports))
+        text = _format_entry_settings(
+            number, http_ports[-1], peer_ports[-1], table_port
+        )
         programs.append(
             _write_program_settings(directory, 'entry', 'entry', number, text)
         )
     for number in range(agents):
-        announce, run = next(ports), next(ports)
-        text = _format_agent_settings(number, announce, peers)
+        announce_port, run_port = next(ports), next(ports)
+        text = _format_agent_settings(number, announce_port, peer_ports)
         programs.append(
             _write_program_settings(directory, 'agent', 'agent', number, text)
         )
-        text = _format_upstream_settings(number, announce, run)
+        text = _format_upstream_settings(number, announce_port, run_port)
         programs.append(
             _write_program_settings(
                 directory, 'upstream', 'standin upstream', number, text
@@ -144,7 +150,7 @@
         )
     lines = ''.join(program.as_line() + '\n' for program in programs)
     (directory / 'programs').write_text(lines)
-    urls = ''.join(f'http://{HOST}:{port}\n' for port in http)
+    urls = ''.join(f'http://{HOST}:{port}\n' for port in http_ports)
     (directory / 'urls').write_text(urls)
 
 
@@ -164,42 +170,48 @@
 
 
 def _format_entry_settings(
-    number: int, http: int, peers: int, table: int
+    number: int, http_port: int, peer_port: int, table_port: int
 ) -> str:
     return (
         f'[process]\nname = "entry-{number}"\nzone = "zone-{number % 4}"\n'
-        f'[http]\nlisten = "{HOST}:{http}"\n'
-        f'[peers]\nlisten = "{HOST}:{peers}"\n'
-        f'[store]\nurl = "http://{HOST}:{table}"\n'
+        f'[http]\nlisten = "{HOST}:{http_port}"\n'
+        f'[peers]\nlisten = "{HOST}:{peer_port}"\n'
+        f'[store]\nurl = "http://{HOST}:{table_port}"\n'
         f'[tokens]\noperator = "{OPERATOR_TOKEN}"\n'
         '[tls]\nenabled = false\n[log]\nlevel = "warning"\n'
     )
 
 
 def _format_agent_settings(
-    number: int, announce: int, peers: list[int]
+    number: int, announce_port: int, peer_ports: list[int]
 ) -> str:
-    seeds = ', '.join(f'"{HOST}:{port}"' for port in peers)
+    seeds = ', '.join(f'"{HOST}:{port}"' for port in peer_ports)
     return (
         f'[process]\nname = "agent-{number}"\nzone = "zone-{number % 4}"\n'
         f'rack = "rack-{number // 3}"\n'
         f'[entries]\nseeds = [{seeds}]\n'
-        f'[upstream]\nlisten = "{HOST}:{announce}"\n'
+        f'[upstream]\nlisten = "{HOST}:{announce_port}"\n'
         '[tls]\nenabled = false\n[log]\nlevel = "warning"\n'
     )
 
 
-def _format_upstream_settings(number: int, announce: int, run: int) -> str:
+def _format_upstream_settings(
+    number: int, announce_port: int, run_port: int
+) -> str:
     return (
         f'[worker]\nname = "worker-{number}"\n'
-        f'listen = "{HOST}:{run}"\n'
-        f'agent = "http://{HOST}:{announce}"\n'
+        f'listen = "{HOST}:{run_port}"\n'
+        f'agent = "http://{HOST}:{announce_port}"\n'
         f'kinds = ["short"]\nslots = {SLOTS}\n[log]\nlevel = "warning"\n'
     )
 
 
 def measure_points(directory: pathlib.Path, mode: str) -> list[Point]:
-    """Measure the processes that the script has started."""
+    """Measure the processes that the script has started.
+
+    :param mode: one of the constants :data:`IDLE_BY_AGENTS`,
+        :data:`IDLE_BY_ENTRIES`, :data:`LOADED` and :data:`REMEMBERED`.
+    """
     pids = _read_pids(directory)
     time.sleep(SETTLE_SECONDS)
     if mode in (LOADED, REMEMBERED):
@@ -328,21 +340,24 @@
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
     semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
 
-    async def submit_one(number: int) -> None:
+    async def submit_job(number: int) -> None:
         job = bench_arrivals.JobPlan(
             number, 0.0, f'team-{number % 4}', plan * tasks
         )
         async with semaphore:
             await callers.submit(job)
 
-    await asyncio.gather(*(submit_one(number) for number in range(count)))
+    await asyncio.gather(*(submit_job(number) for number in range(count)))
     return count
 
 
 def load_points(
     path: pathlib.Path,
 ) -> collections.abc.Mapping[str, list[tuple[float, float]]]:
-    """Load the points by line name from the script's file."""
+    """Load the points from the script's file.
+
+    :returns: pairs of size and cost, by name of the cost line.
+    """
     points: dict[str, list[tuple[float, float]]] = {}
     for line in path.read_bytes().splitlines():
         point = msgspec.json.decode(line, type=Point)
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -1,4 +1,4 @@
-"""Messages and bytes on the links, over the sizes of an installation.
+"""Measurement of messages and bytes on links, over installation sizes.
 
 The links count every frame exactly, so these figures need no separate
 processes, unlike processor time and memory
@@ -26,7 +26,8 @@
 LOADED_SHARE = 0.5
 TASK_SECONDS = 0.1
 SETTLE_SECONDS = 2.0
-"""Time until handshakes and the listing of entries are complete."""
+"""Time after the start until all links have completed their handshakes and the
+configuration lists all entries."""
 AGENT_COUNTS = (4, 8, 16, 32)
 ENTRY_COUNTS = (2, 3, 4, 6)
 FEW_AGENTS = 4
@@ -137,7 +138,8 @@
 class Reading:
     """Counters of one installation at one instant.
 
-    :param entries: messages and bytes of each entry; ``agents`` likewise.
+    :param entries: messages and bytes of each entry, both sent and received;
+        ``agents`` likewise.
     :param reads: requests to the table service; ``writes`` likewise.
     """
 
@@ -181,7 +183,7 @@
 
 
 def sum_traffic(traffic: links.Traffic) -> tuple[int, int]:
-    """Return messages and bytes in both directions."""
+    """Return the messages and the bytes, each the sum of both directions."""
     return (
         traffic.messages_in + traffic.messages_out,
         traffic.bytes_in + traffic.bytes_out,
@@ -193,7 +195,11 @@
     after: collections.abc.Sequence[tuple[int, int]],
     seconds: float,
 ) -> TrafficRate:
-    """Compute the mean traffic of the processes of one role."""
+    """Compute the mean traffic per process and second, for one role.
+
+    :param before: messages and bytes of each process; ``after`` likewise.
+    :param seconds: time between the two readings.
+    """
     count = len(before) * seconds
     pairs = list(zip(before, after, strict=True))
     return TrafficRate(
@@ -220,7 +226,11 @@
 async def measure_idle(
     points: Points, entries: int, agents: int, by_agents: bool
 ) -> None:
-    """Measure an installation without jobs."""
+    """Measure an installation without jobs; add the points of its lines.
+
+    :param by_agents: whether the points are for lines over the number of
+        agents; otherwise over that of entries.
+    """
     load, deployment, recorder = make_setup(entries, agents)
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
@@ -247,7 +257,10 @@
 
 
 async def measure_changes(points: Points, rate: float) -> None:
-    """Measure an installation whose configuration changes at a rate."""
+    """Measure an installation during changes of its configuration.
+
+    :param rate: changes per second.
+    """
     load, deployment, recorder = make_setup(FEW_ENTRIES, FEW_AGENTS)
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
@@ -278,7 +291,12 @@
 def make_even_jobs(
     deployment: bench_plan.Deployment, tasks: int, teams: int = 1
 ) -> tuple[bench_arrivals.JobPlan, ...]:
-    """Return jobs of equal size at equal intervals that fill the load."""
+    """Return jobs of equal size at equal intervals.
+
+    They keep :data:`LOADED_SHARE` of the slots busy.
+
+    :param tasks: tasks of each job.
+    """
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
     work = LOADED_SHARE * LOADED_SECONDS * deployment.total_slots
     count = max(4, round(work / (tasks * TASK_SECONDS)))
@@ -294,7 +312,10 @@
 
 
 async def measure_loaded(points: Points, tasks: int) -> None:
-    """Measure an installation under load with jobs of one size."""
+    """Measure messages and bytes per job, for jobs of one size.
+
+    :param tasks: tasks of each job.
+    """
     deployment = bench_plan.DEPLOYMENTS['lectores']
     jobs = make_even_jobs(deployment, tasks)
     load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
@@ -309,7 +330,10 @@
 
 
 async def measure_quotas(points: Points, teams: int) -> None:
-    """Measure the quota messages with a number of active teams."""
+    """Measure the quota messages per second with jobs of several teams.
+
+    :param teams: number of teams, each with a quota.
+    """
     deployment = bench_plan.DEPLOYMENTS['lectores']
     jobs = make_even_jobs(deployment, 4, teams)
     load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
