--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -53,7 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """Job to submit; its deadline is ``timeout_seconds`` after submission."""
+    """Job to submit.
+
+    :param timeout_seconds: time from the submission to the job's deadline.
+    """
 
     tasks: tuple[Task, ...]
     team: str = ''
@@ -78,7 +81,10 @@
 class JobResult:
     """Result of a job; ``tasks`` have the task ids chosen by the caller.
 
-    :param tries: number of requests sent.
+    :param run: status of the job.
+    :param retry_after: seconds after which the caller may submit the job
+        again; 0 if the entry named none.
+    :param tries: number of requests that the client sent for this result.
     """
 
     job: str
@@ -152,7 +158,10 @@
         self._http.close()
 
     async def submit(self, job: Job, key: str | None = None) -> JobResult:
-        """Submit a job and wait for its answer until the job's deadline.
+        """Submit a job, retrying until its deadline, and return its result.
+
+        The answer to the last request may take until
+        :data:`ANSWER_GRACE_SECONDS` after the deadline.
 
         :param key: UUIDv7 of an earlier submission, to join that job.
         :raises agatepick.exceptions.Unreachable: if no entry answered; the
@@ -176,7 +185,7 @@
         raise AssertionError('unreachable')
 
     async def ask(self, key: str) -> JobResult:
-        """Return the status of a job."""
+        """Return the present result of the job with an idempotency key."""
         return _unwrap(await self._fetch('GET', f'/v1/jobs/{key}'))
 
     async def cancel(self, key: str) -> JobResult:
@@ -275,7 +284,7 @@
 
 
 def decode(body: bytes) -> Job:
-    """Return the job in the JSON of a file.
+    """Return the job in the JSON text ``body``, such as a file's.
 
     :raises agatepick.exceptions.BadSettings: with the name of the invalid
         field.
@@ -291,9 +300,9 @@
 ) -> JobResult:
     """Return the job result in a response.
 
-    The job result of a response that isn't from agatepick, such as one from a
-    balancer, is pending.  The job may be running, and after "not run" the
-    caller would submit it again, so that it could run twice.
+    A response that isn't from agatepick, such as one from a balancer, gives
+    the status "pending", because the job may be running.  If the status were
+    "not run", the caller would submit the job again, and it could run twice.
     """
     try:
         reply = msgspec.json.decode(response.body, type=_Reply)
--- a/src/agatepick/cmd/command_tree.py
+++ b/src/agatepick/cmd/command_tree.py
@@ -248,7 +248,8 @@
             by second, queue and cause.
         """
         if summary:
-            # fire parses the word after the option as its value.
+            # fire takes the word after --summary as the option's value, though
+            # it is the first file.
             first = (summary,) if isinstance(summary, str) else ()
             words = (*first, *words)
             self._run = functools.partial(
@@ -367,7 +368,7 @@
 
 
 def parse_change(name: str, value: str) -> cluster.Change:
-    """Return the change for ``config set NAME VALUE``.
+    """Return the configuration change for ``config set NAME VALUE``.
 
     :raises agatepick.exceptions.BadUsage: if the value isn't allowed.
     """
--- a/src/agatepick/cmd/commands.py
+++ b/src/agatepick/cmd/commands.py
@@ -47,7 +47,9 @@
     """Entries and credentials that a command uses, and its output format.
 
     :param entries: URLs of entries.
-    :param as_json: print JSON for a script.
+    :param authority: path of the certificate of the authority that signed
+        the entries' certificates.
+    :param as_json: whether commands print JSON instead of text for people.
     """
 
     entries: tuple[str, ...]
@@ -62,9 +64,10 @@
         as_json: bool,
         environment: typing.Mapping[str, str] = os.environ,
     ) -> 'CommandContext':
-        """Return a context with the URLs in ``entry``.
+        """Return a context with the comma-separated URLs in ``entry``.
 
-        Without them ``AGATEPICK_ENTRY`` or the default is used.
+        If ``entry`` is empty, the URLs are those in ``AGATEPICK_ENTRY``, or
+        else :data:`DEFAULT_ENTRY`.
         """
         text = entry or environment.get('AGATEPICK_ENTRY', DEFAULT_ENTRY)
         entries = tuple(url.strip() for url in text.split(',') if url.strip())
@@ -153,9 +156,11 @@
     based_on: int | None = None,
     wait: bool = False,
 ) -> Output:
-    """Propose a change, by default based on the entry's current version.
+    """Propose a change of the configuration to the first entry.
 
-    :param wait: wait until the change is in force.
+    :param based_on: version that the change is based on; ``None`` for the
+        entry's current one.
+    :param wait: whether to wait until the change is in force.
     """
     operator = context.operator()
     try:
@@ -229,7 +234,7 @@
 async def show_timeline(
     context: CommandContext, job: str, task: str, zone: str
 ) -> Output:
-    """Show the merged events of all processes in ``--entry``."""
+    """Show the merged events of all processes in ``context.entries``."""
     clients = [context.operator(url) for url in context.entries]
     try:
         parts = await asyncio.gather(
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -40,10 +40,10 @@
 )
 LEAVING_ZONE = 'curico'
 SLOT_LOAD_SHARE = 0.4
-"""Share of all slots that is busy.  The two thirds of the workers that remain
-while a zone is out of service can still handle this load."""
+"""Share of all slots that the demo's jobs keep busy.  While a zone is out of
+service, the remaining two thirds of the workers can still handle this load."""
 SEED = 7
-SHORTEST_SECONDS = 15.0
+SHORTEST_LOAD_SECONDS = 15.0
 DRAIN_SECONDS = 30.0
 PROGRESS_SECONDS = 2.0
 CHECK_DELAY_SECONDS = 0.05
@@ -56,8 +56,9 @@
     :param reversions: how often an entry went back to an older version.
     :param operation_failure: why an operation of the demo failed; empty if all
         succeeded.
-    :param divergences: how often two entries with leases had different
-        versions in force.
+    :param divergences: in how many checks two entries with read leases had
+        different versions in force.
+    :param versions: version last seen in force, by entry name.
     """
 
     reversions: int = 0
@@ -68,7 +69,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Measures:
-    """Measurements of one demo; durations are in seconds."""
+    """Measurements of one demo: jobs by status, starts, response times.
+
+    :param mean_seconds: mean response time of the complete jobs.
+    :param longest_seconds: longest response time of a complete job.
+    """
 
     jobs: int
     complete: int
@@ -85,14 +90,16 @@
 class Demo:
     """One run of the demo.
 
-    :param print_line: prints a line of progress.
+    :param seconds: duration of the load, at least
+        :data:`SHORTEST_LOAD_SECONDS`.
+    :param print_line: function that prints a line of progress.
     """
 
     def __init__(
         self, seconds: float, print_line: typing.Callable[[str], None]
     ) -> None:
         self._print_line = print_line
-        self._seconds = max(seconds, SHORTEST_SECONDS)
+        self._seconds = max(seconds, SHORTEST_LOAD_SECONDS)
         self._clock = clocks.ProcessClock.start()
         self._recorder = bench_upstream.StartRecorder(self._clock)
         self._load = bench_arrivals.draw_load(
@@ -237,7 +244,7 @@
             )
 
     def _check_versions(self) -> None:
-        """Compare the versions in force at the entries."""
+        """Count reversions and divergences of the versions in force now."""
         now = self._clock.now()
         versions = set()
         for site in self._cluster.entries:
--- a/src/agatepick/cmd/draining.py
+++ b/src/agatepick/cmd/draining.py
@@ -17,6 +17,7 @@
     :param last_start_after_acceptance: seconds from the acceptance of the
         change to the last start in the zone; ``None`` if no task started
         after the acceptance.
+    :param version: version of the configuration that takes the zone out.
     :param entries_asked: number of entries whose tasks were counted.
     :param entries_listed: number of entries in the configuration.
     """
--- a/src/agatepick/cmd/explain.py
+++ b/src/agatepick/cmd/explain.py
@@ -30,7 +30,7 @@
     'task_failed': 'a task failed as often as its queue allows',
     'done': 'all tasks completed',
 }
-"""Explanation of each ``reason`` in the log."""
+"""Explanation of a job's outcome, by the ``reason`` that the log gives."""
 
 DELAY_TEXTS = {
     'run_failed': 'a task failed and ran again elsewhere',
@@ -39,7 +39,8 @@
     'run_over': 'a run ended through no fault of its own and was repeated',
     'run_unrenewed': 'its entry renewed the lease too late; runs were ended',
 }
-"""Explanations of the events that delay a job which still completes."""
+"""Explanation of the delay of a job that still completes, by the name of the
+logged event that shows the cause."""
 
 _RUNS_ENDED_BY_AGENT = ('run_unrenewed', 'run_abandoned')
 
@@ -48,7 +49,8 @@
 class Line:
     """One event of a log.
 
-    :param at: time of the process clock, in seconds since the epoch.
+    :param at: time of the event by the clock of the process that logged it,
+        in seconds since the epoch.
     """
 
     at: float
@@ -127,7 +129,10 @@
 
 
 def find_delay(lines: list[Line], end: Line) -> Delay:
-    """Return the cause of the delay of a completed job."""
+    """Return the cause of the delay of a completed job.
+
+    :param end: the line that logs the end of the job.
+    """
     for line in lines:
         if line.event in DELAY_TEXTS:
             # The entry logs run_stuck; agents log the other events.
--- a/src/agatepick/cmd/operator_client.py
+++ b/src/agatepick/cmd/operator_client.py
@@ -12,8 +12,9 @@
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 REQUEST_TIMEOUT_SECONDS = 20.0
-"""The entry answers a change after the table service has answered, which
-takes several table service timeouts during an outage."""
+"""The entry answers a proposed change only after the table service has
+answered the entry.  During an outage of the table service this takes several
+of the entry's timeouts for that service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,13 +47,13 @@
         self._http.close()
 
     async def get(self, path: str, **query: str) -> Answer:
-        """Get a resource."""
+        """Return the answer to a GET request."""
         if query:
             path = f'{path}?{urllib.parse.urlencode(query)}'
         return self._parse_response(await self._fetch('GET', path, None, None))
 
     async def get_lines(self, path: str, **query: str) -> bytes:
-        """Get a resource in JSON lines."""
+        """Return the body of a GET request, one JSON object per line."""
         path = f'{path}?{urllib.parse.urlencode(query)}'
         response = await self._fetch('GET', path, None, None)
         if response.code != 200:
@@ -62,9 +63,10 @@
     async def change(
         self, method: str, path: str, body: object, based_on: int | None
     ) -> Answer:
-        """Propose a change.
+        """Propose a change of the configuration.
 
-        :param based_on: expected current version; ``None`` for any.
+        :param based_on: version that the configuration must still have for
+            the change to be accepted; ``None`` for any.
         """
         data = msgspec.json.encode(body)
         response = await self._fetch(method, path, data, based_on)
--- a/src/agatepick/cmd/summary.py
+++ b/src/agatepick/cmd/summary.py
@@ -18,7 +18,8 @@
     'cancelled': 'cancelled',
     'given_up': 'given_up',
 }
-"""Outcome of a request by its ``verdict`` in the log."""
+"""Outcome of a request by its ``verdict`` in the log.  A complete request is
+counted only if it was late."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
@@ -40,7 +41,10 @@
 def count_failures(
     lines: typing.Iterable[str],
 ) -> tuple[collections.Counter[FailureGroup], int]:
-    """Return failed requests by group, and the number of all requests."""
+    """Count the requests that weren't completed in time, by group.
+
+    :returns: the counts, and the number of all requests in the log.
+    """
     lines_by_job: dict[str, list[explain.Line]] = {}
     for text in lines:
         line = explain.parse(text) if ' job=' in text else None
@@ -54,16 +58,19 @@
     )
     for job_lines in lines_by_job.values():
         job_lines.sort(key=lambda line: line.at)
-        group = _classify(job_lines, start)
+        group = _classify_failure(job_lines, start)
         if group is not None:
             counts[group] += 1
     return counts, len(lines_by_job)
 
 
-def _classify(
+def _classify_failure(
     job_lines: list[explain.Line], start: float
 ) -> FailureGroup | None:
-    """Return the group of a request; ``None`` if answered in time."""
+    """Return the group that counts a request, with outcome and cause.
+
+    :returns: ``None`` if the request was completed in time.
+    """
     second = int(job_lines[0].at - start)
     queues = [line.fields.get('queue', '') for line in job_lines]
     queue = next((queue_name for queue_name in queues if queue_name), '')
@@ -88,7 +95,7 @@
 
 
 def show(files: tuple[str, ...]) -> commands.Output:
-    """Return the table of groups, preceded by the total of each cause."""
+    """Return the counts by outcome and cause, then a table of all groups."""
     counts, request_count = count_failures(explain.read_lines(files))
     causes: collections.Counter[tuple[str, str]] = collections.Counter()
     for group, count in counts.items():
--- a/src/agatepick/conf/settings.py
+++ b/src/agatepick/conf/settings.py
@@ -70,7 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Process:
-    """Identity of this process; names are unique in the cluster."""
+    """Section with the identity of an entry's or agent's process.
+
+    :param name: name that no other process of the cluster has.
+    :param zone: availability zone that the process runs in.
+    :param rack: rack that an agent's machine is in; empty if unknown.
+    """
 
     name: Name
     zone: Name
@@ -79,8 +84,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Http:
-    """HTTP server: its address and the limits of a request.
-
+    """Section for an entry's HTTP server: address and limits of requests.
+
+    :param max_tasks: largest number of tasks in one job.
+    :param max_open: limit of requests that await their reply at once.
+    :param idle_seconds: time after which a connection without a request is
+        closed, and a request whose body hasn't arrived is refused.
+    :param max_hold_seconds: longest time that a request waits for the answer
+        to its job.
     :param plain_beyond_loopback: allows to listen on addresses other than
         loopback without TLS.
     """
@@ -97,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peers:
-    """Connections between agatepick processes.
+    """Section for the connections between agatepick processes.
 
     :param advertise: address that peers connect to; ``listen`` if empty.
     """
@@ -114,7 +125,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Store:
-    """The platform's table service."""
+    """Section for the platform's table service.
+
+    :param timeout_seconds: time that an entry waits for the service's answer
+        to a request.
+    """
 
     url: Url
     timeout_seconds: Seconds = 2.0
@@ -122,14 +137,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Durations that must be the same in all processes of a cluster.
+    """Section of durations that all processes of a cluster must share.
 
     :param fence_seconds: minimum time from the write of a change until it is
         in force; also the duration of a read lease, less the margin.
     :param margin_seconds: tolerated clock offset between peers.
+    :param heartbeat_seconds: interval between heartbeats to a peer.
     :param retention_seconds: how long a job and its answer are kept.
     :param skew_seconds: how far the timestamp of a key may lie in the future
         of the process clock.
+    :param stop_seconds: longest time that a stopping process waits for its
+        work to end.
     """
 
     fence_seconds: Seconds = 3.0
@@ -142,11 +160,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tls:
-    """Certificates and keys; paths are relative to the settings file.
+    """Section of certificates and keys, as paths relative to the file.
 
     :param enabled: ``false`` runs without encryption, on loopback addresses
         unless ``plain_beyond_loopback`` is set.
-    :param reload_seconds: interval between checks for changed files.
+    :param reload_seconds: interval between checks whether a certificate or
+        key has changed.
     """
 
     enabled: bool = True
@@ -169,7 +188,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tokens:
-    """Bearer tokens of the operators and of each team."""
+    """Section of the bearer tokens of the operators and of each team."""
 
     operator: Token
     teams: dict[Name, Token] = dataclasses.field(default_factory=dict)
@@ -177,14 +196,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metrics:
-    """Address that serves ``/metrics``; empty disables it."""
+    """Section for the ``/metrics`` server; an empty address disables it."""
 
     listen: Address = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Log:
-    """Logs, and the timeline kept in memory."""
+    """Section for the log, and for the timeline kept in memory.
+
+    :param timeline_events: number of latest events that the timeline keeps.
+    """
 
     level: Level = 'info'
     timeline_events: Count = 10_000
@@ -207,14 +229,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entries:
-    """Entries that an agent connects to first; they list the others."""
+    """Section of the entries that an agent connects to first.
+
+    :param seeds: peer addresses of these entries, from which the agent learns
+        the other entries.
+    """
 
     seeds: tuple[Address, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstreams:
-    """HTTP server on which the upstream announces itself to its agent."""
+    """Section for the server on which an upstream announces itself.
+
+    :param lease_seconds: longest term of an announcement, which the upstream
+        has to renew before the term ends.
+    """
 
     listen: Address
     lease_seconds: Seconds = 5.0
@@ -223,7 +253,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operators:
-    """HTTP server for an agent's timeline; an empty address disables it."""
+    """Section for the HTTP server of an agent's timeline.
+
+    An empty address disables the server.
+    """
 
     listen: Address = ''
     token: Token = ''
@@ -246,7 +279,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """Limits and latency of the stand-in table service."""
+    """Section for the stand-in table service.
+
+    :param write_seconds: delay until a request, read or write, takes effect.
+    """
 
     listen: Address
     reads_per_second: Count = 2000
@@ -264,7 +300,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worker:
-    """Stand-in worker with its upstream.
+    """Section for a stand-in worker with its upstream.
 
     :param agent: URL of the agent that the upstream announces itself to.
     :param task_seconds: run time of a task whose payload doesn't set one.
--- a/src/agatepick/conf/settings_files.py
+++ b/src/agatepick/conf/settings_files.py
@@ -68,7 +68,7 @@
 ) -> _T:
     """Return the settings in TOML text.
 
-    :param file: name of the text in fault messages.
+    :param file: name by which fault messages refer to the text.
     :param base: directory that paths in the settings are relative to.
     """
     data = typed_toml.parse_toml(text, file)
@@ -101,7 +101,10 @@
 
 
 def find_combination_faults(cfg: object) -> list[str]:
-    """Return the faults of values that are valid only separately."""
+    """Return the faults of values that aren't allowed together.
+
+    Each of these values is valid on its own.
+    """
     faults = []
     tls = getattr(cfg, 'tls', None)
     for name in ('http', 'peers', 'upstream', 'operators'):
--- a/src/agatepick/conf/typed_toml.py
+++ b/src/agatepick/conf/typed_toml.py
@@ -19,7 +19,9 @@
 
 
 def parse_toml(text: str, file: str) -> dict[str, typing.Any]:
-    """Return the tables in TOML text; ``file`` is its name in the error.
+    """Return the tables in TOML text.
+
+    :param file: name by which the error refers to the text.
 
     :raises agatepick.exceptions.BadSettings: if the text isn't valid TOML.
     """
@@ -36,8 +38,8 @@
 ) -> _T:
     """Return an instance of ``kind`` with the valid values in ``data``.
 
-    An invalid or missing value is added to ``faults`` and replaced by
-    ``None``, so that independent values can still be validated.
+    For an invalid or missing value, a message is added to ``faults`` and the
+    field becomes ``None``, so that the other values can still be validated.
     """
     return typing.cast(_T, _build_section(data, kind, '', faults))
 
