--- a/examples/configuration_cost.py
+++ b/examples/configuration_cost.py
@@ -1,9 +1,9 @@
 """Measurement of the cluster configuration's cost by number of entries.
 
 The script runs entries in one process over loopback sockets and a stand-in
-table service.  It prints a line for each size: bytes and store calls per
-second while idle, and the time until a change is accepted and until every
-entry has it.
+table service.  For each number of entries it prints a line: bytes sent per
+entry and second and requests to the table service per second while idle, and
+the milliseconds until a change is accepted and until every entry has it.
 """
 
 import asyncio
@@ -49,13 +49,16 @@
 
 
 def count_listed(process):
-    """Return the number of listed entries in one entry's configuration."""
+    """Return how many entries are listed in one entry's configuration."""
     now = process.dependencies.clock.now()
     return len(process.entry.configuration.in_force(now).listed())
 
 
 async def change(entries, change_number):
-    """Return the seconds until a change is accepted, and known everywhere."""
+    """Propose a change; return the seconds until it is accepted and known.
+
+    A change is known when every entry's configuration has it.
+    """
     started_at = time.monotonic()
 
     def propose(number):
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,4 +1,4 @@
-"""Use of the library's parts without the daemons.
+"""Use of agatepick as a library, without its entry and agent programs.
 
 The program accepts jobs over HTTP with the library's handlers and runs their
 tasks in its own reducer, which the library's shell feeds with events.  It has
@@ -37,7 +37,7 @@
 
 
 async def main() -> list[int]:
-    """Serve, submit one job over HTTP and return its tasks' results."""
+    """Serve HTTP, submit one job and return the results of its tasks."""
     clock = agatepick.ProcessClock.start()
     shell = agatepick.Shell(Adder(), clock)
     calls = agatepick.Calls(shell.feed)
--- a/examples/platform_path.py
+++ b/examples/platform_path.py
@@ -1,4 +1,4 @@
-"""Demo of the platform's programs with a stand-in store and workers.
+"""Demo of the platform's entries and agents with stand-in store and workers.
 
 Three entries and four agents run as separate processes, as the platform starts
 them, and callers submit jobs for some seconds.  The demo prints the history of
--- a/src/agatepick/standins/__init__.py
+++ b/src/agatepick/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for the platform, to run agatepick on one machine."""
+"""Stand-ins for the platform's table service and workers.
+
+With them agatepick runs on one machine.
+"""
--- a/src/agatepick/standins/standin_table.py
+++ b/src/agatepick/standins/standin_table.py
@@ -30,7 +30,7 @@
 
 
 class MemoryTable:
-    """Rows in memory with serialized transactions."""
+    """Table service in memory, whose transactions run one after another."""
 
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str], bytes] = {}
@@ -90,8 +90,8 @@
     :param answer_delay: seconds from the effect until the answer.
     :param answer_delays: answer delays of the next requests, one each, so
         that answers can overtake each other.
-    :param lost_answers: number of next transactions that take effect but
-        whose connection is closed without an answer.
+    :param lost_answers: how many of the next transactions take effect, but
+        have their connection closed without an answer.
     """
 
     outage: bool = False
@@ -102,7 +102,10 @@
     lost_answers: int = 0
 
     def next_answer_delay(self) -> float:
-        """Return the delay of the next answer in seconds."""
+        """Return the delay of the next answer in seconds.
+
+        Each call uses up one of ``answer_delays`` while there are any.
+        """
         if self.answer_delays:
             return self.answer_delays.pop(0)
         return self.answer_delay
@@ -163,13 +166,13 @@
     ) -> 'TableServer':
         """Start a server.
 
-        :param table: a new empty one if it is None.
+        :param table: table to serve; None for a new empty one.
         :param listen: address as ``ip:port``.
         """
         return cls(MemoryTable() if table is None else table, listen, rates)
 
     async def stop(self) -> None:
-        """Close the port and all connections."""
+        """Stop listening and close all connections."""
         self._http.stop()
         await self._http.close_all_connections()
 
@@ -200,7 +203,7 @@
 
 
 class _RequestHandler(tornado.web.RequestHandler):
-    """Handler of requests to the table."""
+    """Handler of reads and transactions."""
 
     def initialize(
         self, server: TableServer, kind: type[store.Request]
@@ -242,7 +245,7 @@
 
 
 class _FaultsHandler(tornado.web.RequestHandler):
-    """Handler that sets the faults."""
+    """Handler that replaces the server's faults by those in a request."""
 
     def initialize(self, server: TableServer) -> None:
         self._server = server
--- a/src/agatepick/standins/standin_upstream.py
+++ b/src/agatepick/standins/standin_upstream.py
@@ -1,9 +1,9 @@
 """A stand-in for a worker's upstream, for tests, the demo and the bench.
 
-It runs a task by waiting for the seconds in the task's payload, such as
-``{"seconds": 0.1}``, and can have the faults of real upstreams.  It counts the
-starts of each task itself, so that agatepick's answers can be checked against
-the counts.
+The stand-in runs a task by waiting for the seconds in the task's payload, such
+as ``{"seconds": 0.1}``, and can have the faults of real upstreams.  It counts
+the starts of each task itself, so that agatepick's answers can be checked
+against the counts.
 """
 
 import asyncio
@@ -47,7 +47,7 @@
 
     :param fail_all: whether every task fails as soon as it starts.
     :param slow_factor: factor on the run time of every task.
-    :param ignores_stop: whether tasks continue after a stop action.
+    :param ignores_stop: whether tasks continue when the agent stops them.
     :param dead: whether the worker is down: tasks neither start nor end.
     """
 
@@ -72,6 +72,7 @@
     """Worker that runs tasks on the event loop and counts their starts.
 
     :param default_seconds: run time of tasks whose payload has none.
+    :ivar max_running: largest number of tasks that ran at once.
     """
 
     def __init__(
@@ -91,7 +92,10 @@
         return len(self._runs)
 
     def start(self, task: TaskKey, payload: bytes, done: Done) -> None:
-        """Start a task; call ``done`` once, unless the worker crashes."""
+        """Start a task; call ``done`` once, unless the worker crashes.
+
+        :param done: function that gets the state, body and reason.
+        """
         if self.faults.dead:
             return
         self.starts[task] += 1
@@ -111,7 +115,7 @@
         self.max_running = max(self.max_running, self.running)
 
     def act(self, task: TaskKey, action: upstream.Action) -> None:
-        """Stop or throttle a task; a checkpoint has no effect here."""
+        """Stop or throttle a running task; ignore a checkpoint."""
         for run_id, (key, run) in list(self._runs.items()):
             if key != task:
                 continue
@@ -152,7 +156,7 @@
 
 
 class LocalUpstream:
-    """An :class:`.upstream.Upstream` in the agent's own process.
+    """Implementation of :class:`.upstream.Upstream` in the agent's process.
 
     :param feed: function that passes an event to the agent.
     """
@@ -169,7 +173,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        """Announce the worker, and renew the announcement until it crashes."""
+        """Announce the worker; renew this until :meth:`end` or a crash."""
         if self._worker.faults.dead:
             return
         self._feed(self._announced)
@@ -208,12 +212,12 @@
         self._worker.start(task, effect.payload, done)
 
     def stop(self, effect: upstream.StopTask) -> None:
-        """Pass an action to the worker."""
+        """Pass an action on a running task, such as a stop, to the worker."""
         self._worker.act((effect.job, effect.index), effect.action)
 
 
 class HttpWorker:
-    """The stand-in as a separate process, with HTTP server and client.
+    """HTTP server and client of a stand-in worker in a separate process.
 
     :param agent: URL of the agent for announcements.
     :param announced: announcement to send; :meth:`start` sets its ``url``.
@@ -247,7 +251,7 @@
         self._renewal: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen and announce until :meth:`leave` or :meth:`stop`."""
+        """Listen, and announce until :meth:`leave` or :meth:`stop`."""
         host, _, port = self._listen.rpartition(':')
         sockets = tornado.netutil.bind_sockets(int(port), host)
         self._server.add_sockets(sockets)
@@ -259,7 +263,7 @@
         self._renewal = loop.create_task(self._renew_announcement())
 
     async def leave(self) -> None:
-        """Announce the departure; running tasks continue."""
+        """Announce the worker's departure; its running tasks continue."""
         self._cancel_renewal()
         body = msgspec.json.encode(announce.Departure(self.announced.session))
         await self._call('DELETE', body)
