--- a/src/agatepick/api/calls.py
+++ b/src/agatepick/api/calls.py
@@ -98,13 +98,13 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    async def call(self, make_event: typing.Callable[[int], Event]) -> object:
+    async def call(self, make: typing.Callable[[int], Event]) -> object:
         """Pass an event to the reducer and return the answer to it.
 
         Cancelling this coroutine ends only the wait: the reducer still
         processes the event.
 
-        :param make_event: builds the event from the call number.
+        :param make: builds the event from the call number.
         :raises agatepick.exceptions.TooManyCalls: if the limit of pending
             calls is reached; the event does not reach the reducer.
         """
@@ -116,7 +116,7 @@
         fut = asyncio.get_running_loop().create_future()
         self._open[number] = fut
         try:
-            self._feed(make_event(number))
+            self._feed(make(number))
             return await fut
         finally:
             self._open.pop(number, None)
