--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -83,20 +83,25 @@
 """Time that a whole processor takes to read and answer a caller's request."""
 
 MESSAGE_SECONDS = 0.00005
-"""The same for one end of a message, or for any other event."""
+"""Time that a whole processor takes to send or receive a message.
+
+Any other event that a process handles takes as long.
+"""
 
 WORKER_CALL_SECONDS = 0.0001
-"""The same for a request to the worker."""
+"""Time that a whole processor takes for an agent's request to its worker."""
 
 FRAME_BYTES = 70
-"""Bytes that a message takes on a link in addition to its own."""
+"""Bytes that a message takes on a link in addition to its encoded size."""
 
 
 @dataclasses.dataclass
 class Caller:
-    """One job and its result.
+    """A caller that submits one job, and the answer that it gets.
 
-    :ivar objective: seconds from its submission.
+    :ivar objective: seconds from the job's submission within which its answer
+        is in time.
+    :ivar seconds: seconds from the job's submission to its answer.
     """
 
     queue: Queue
@@ -140,12 +145,13 @@
 
 
 class BusyWorld(repeatable_world.World):
-    """Entries, agents and workers, and callers for some seconds.
+    """Entries, agents, workers of two sizes, and callers that submit jobs.
 
     :param cores: mean cores of a task.
     :param sizes: cores of a fast and of a slow worker.
     :param link: bytes per second that an entry's link carries.
-    :param listed: whether agents choose the entries that they serve.
+    :param listed: whether agents get a list of the entries and choose those
+        that they serve; otherwise each is connected to every entry.
     :param queues: kinds of jobs that arrive.
     :param processor: share of a processor that each process has; infinite for
         events that take no time.
@@ -201,7 +207,10 @@
 
     @property
     def cores(self):
-        """Core-seconds per second, as counted by fast workers."""
+        """Capacity of all workers, in cores of a fast worker.
+
+        A slow worker's cores count for less, as its runs take longer.
+        """
         return sum(
             worker.capacity.cpu / worker.slowness
             for worker in self.workers.values()
@@ -298,7 +307,7 @@
     def get_run_seconds(self, task):
         return self.true_seconds[task]
 
-    def earned(self, since=0.0, until=math.inf):
+    def compute_earned_share(self, since=0.0, until=math.inf):
         """Return the share of the callers' total value that was earned.
 
         :param since: submission time of the first callers counted, in seconds.
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -21,8 +21,8 @@
 from agatepick import types
 
 START = 1_000_000.0
-DELAY = 0.001
-TICK = 0.05
+DELAY_SECONDS = 0.001
+TICK_SECONDS = 0.05
 RESEND_SECONDS = 1.3
 SILENCE_SECONDS = 1.2
 REDIAL_SECONDS = 0.1
@@ -163,8 +163,9 @@
     def __init__(self, entries=2, agents=3, seed=0, listed=False):
         """Create and start all processes.
 
-        :param listed: whether agents dial the entries that they serve;
-            otherwise all processes are connected.
+        :param listed: whether agents get a list of the entries and dial those
+            that they choose to serve; otherwise each agent is connected to
+            every entry from the start.
         """
         self.listed = listed
         self.store_unavailable = False
@@ -288,7 +289,7 @@
         self.waiting[call] = (name, spec)
         self.feed(name, events.JobArrived(call, spec))
 
-    def leave(self, key):
+    def close_caller(self, key):
         """Close the connection of a job's caller."""
         for call, (name, spec) in list(self.waiting.items()):
             if spec.key == key:
@@ -345,7 +346,7 @@
         if node.alive and node.incarnation == incarnation:
             if self.now >= node.frozen_until:
                 self.feed(name, core.Tick())
-            self.schedule(TICK, self._tick, name, incarnation)
+            self.schedule(TICK_SECONDS, self._tick, name, incarnation)
 
     def _announce(self, name, incarnation):
         node = self.nodes[name]
@@ -400,7 +401,7 @@
 
     def delay(self, node, message):
         """Return the seconds until a message that is sent now arrives."""
-        return DELAY
+        return DELAY_SECONDS
 
     def _deliver(self, pair, connection, to, sender, message):
         if self.connected.get(pair) == connection and pair not in self.cuts:
@@ -425,7 +426,9 @@
                     )
             case core.Dial():
                 self.dialled.add(frozenset((node.name, effect.peer)))
-                self.schedule(DELAY, self._connect, node.name, effect.peer)
+                self.schedule(
+                    DELAY_SECONDS, self._connect, node.name, effect.peer
+                )
             case core.Hangup():
                 pair = frozenset((node.name, effect.peer))
                 self.dialled.discard(pair)
@@ -504,8 +507,8 @@
                 event,
             )
             return
-        # Requests name the worker, not its incarnation: a new one accepts them
-        # too.
+        # Requests name the worker, not its incarnation, so a new incarnation
+        # accepts them too.
         result = worker.start(*args)
         event = workerapi.StartAnswered(effect.incarnation, effect.ref, result)
         self._answer(node, node.incarnation, event)
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -27,10 +27,10 @@
 from agatepick import types
 
 START = 1_800_000_000.0
-NETWORK = 0.001
-WRITE = 0.005
-TICK = 0.25
-REDIAL = 0.5
+NETWORK_SECONDS = 0.001
+WRITE_SECONDS = 0.005
+TICK_SECONDS = 0.25
+REDIAL_SECONDS = 0.5
 PERIODIC = (
     messages.Ask,
     messages.Changes,
@@ -115,7 +115,9 @@
     def submit_again(self, name, at):
         """Submit the same job again, under the same key."""
         job = self._submitted[name]
-        self._call(at, lambda number: calls.JobSubmitted(number, job), name)
+        self._call_entry(
+            at, lambda number: calls.JobSubmitted(number, job), name
+        )
 
     def owner_of(self, name):
         """Return the entry that sent a job's tasks to agents."""
@@ -127,7 +129,7 @@
 
     def propose(self, change, at='entry-1', based_on=None):
         """Propose a change of the configuration as an operator."""
-        self._call(
+        self._call_entry(
             at,
             lambda number: calls.ChangeProposed(number, change, based_on),
             f'{type(change).__name__} {cluster.subject(change)}',
@@ -160,11 +162,12 @@
         self._jobs[key] = name
         return key
 
-    def _call(self, at, make, description):
+    def _call_entry(self, at, make_event, description):
+        """Deliver a caller's request to the entry ``at`` and log it."""
         number = next(self._calls)
         self._log(f'caller > {at}: {description}')
         self.replies[number] = description
-        self._schedule(0.0, lambda: self._feed(at, make(number)))
+        self._schedule(0.0, lambda: self._feed(at, make_event(number)))
 
     def _add_entry(self, name, zone, seed):
         me = messages.Member(name, 1, f'{name}:1', zone, 0.0)
@@ -195,10 +198,10 @@
 
     def _tick(self, name):
         self._feed(name, core.Tick())
-        self._schedule(TICK, lambda: self._tick(name))
+        self._schedule(TICK_SECONDS, lambda: self._tick(name))
 
     def _wake(self, name, at):
-        at = max(at, self.now + NETWORK)
+        at = max(at, self.now + NETWORK_SECONDS)
         if at >= self._wakes.get(name, float('inf')):
             return
         self._wakes[name] = at
@@ -257,7 +260,7 @@
             self._connect(pair)
         elif not self.processes[peer].alive:
             self._feed(name, core.PeerDown(peer, 0, True))
-        self._schedule(REDIAL, lambda: self._dial(name, address))
+        self._schedule(REDIAL_SECONDS, lambda: self._dial(name, address))
 
     def _connect(self, pair):
         self._connected.add(pair)
@@ -279,7 +282,7 @@
                 received = core.Received(name, messages.decode(data))
                 self._feed(peer, received)
 
-        self._schedule(NETWORK, arrive)
+        self._schedule(NETWORK_SECONDS, arrive)
 
     def _start(self, name, effect):
         seconds = json.loads(effect.payload)
@@ -308,7 +311,7 @@
                 answer = exc
             self._feed(name, store.StoreAnswered(call.id, answer))
 
-        self._schedule(WRITE, execute)
+        self._schedule(WRITE_SECONDS, execute)
 
     def _reply(self, name, number, answer):
         description = self.replies[number]
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -10,11 +10,11 @@
 
 from tests import busy_world
 
-LINK_BYTES = 250_000.0
-"""Bytes per second of an entry's link in the sending direction."""
+LINK_BYTES_PER_SECOND = 250_000.0
+"""Rate at which an entry can send over its link."""
 
-NARROW_LINK_BYTES = 150_000.0
-"""A narrower link, of which the calm load takes a third."""
+NARROW_LINK_BYTES_PER_SECOND = 150_000.0
+"""Rate of a narrower link, of which the calm load takes a third."""
 
 CALM_LOAD = 0.5
 """Load outside bursts, as a share of the workers' capacity."""
@@ -28,7 +28,7 @@
 DRAIN_SECONDS = 10.0
 
 
-def simulate(seed, bursts, seconds, link=LINK_BYTES):
+def simulate(seed, bursts, seconds, link=LINK_BYTES_PER_SECOND):
     """Simulate a calm load with bursts.
 
     :param bursts: tuples of (begin, end, share of the workers).
@@ -53,10 +53,14 @@
     return world
 
 
-def earned(world, since, until):
-    """Return the share of the callers' value earned between two seconds."""
+def compute_earned_share(world, since, until):
+    """Return the share of the callers' value that was earned.
+
+    Only callers that submitted between the two instants count, in seconds
+    from the start of the load.
+    """
     offset = world.started_at - busy_world.repeatable_world.START
-    return world.earned(offset + since, offset + until)
+    return world.compute_earned_share(offset + since, offset + until)
 
 
 @pytest.mark.parametrize('seed', [1, 3])
@@ -68,10 +72,13 @@
     grants then arrive after the grants have expired, capacity is reserved in
     vain while starts are refused, and that keeps the link saturated.  From
     the third second after the burst callers got 0.32 to 0.57 of their value, a
-    third of all starts were refused, and it didn't end.
+    third of all starts were refused, and the congestion didn't end.
     """
     world = simulate(seed, [(3.0, 7.0, 1.0)], 14.0)
-    assert earned(world, 7.0 + RECOVERY_SECONDS, 14.0) >= RECOVERED_SHARE
+    assert (
+        compute_earned_share(world, 7.0 + RECOVERY_SECONDS, 14.0)
+        >= RECOVERED_SHARE
+    )
     assert world.double_runs == []
     assert world.false_refusals == []
 
@@ -84,8 +91,13 @@
     however long round trips took, callers got 0.38 to 0.73 of their value from
     the third second after the burst.
     """
-    world = simulate(seed, [(3.0, 7.0, 1.0)], 14.0, NARROW_LINK_BYTES)
-    assert earned(world, 7.0 + RECOVERY_SECONDS, 14.0) >= RECOVERED_SHARE
+    world = simulate(
+        seed, [(3.0, 7.0, 1.0)], 14.0, NARROW_LINK_BYTES_PER_SECOND
+    )
+    assert (
+        compute_earned_share(world, 7.0 + RECOVERY_SECONDS, 14.0)
+        >= RECOVERED_SHARE
+    )
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -104,7 +116,8 @@
     until = second_end + RECOVERY_SECONDS + 5.0
     world = simulate(seed, bursts, until)
     assert (
-        earned(world, second_end + RECOVERY_SECONDS, until) >= RECOVERED_SHARE
+        compute_earned_share(world, second_end + RECOVERY_SECONDS, until)
+        >= RECOVERED_SHARE
     )
     assert all(caller.answer for caller in world.callers.values())
     assert world.double_runs == []
--- a/tests/test_busy_world.py
+++ b/tests/test_busy_world.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope='module')
 def simulate():
-    """Return a function that simulates a load, once for all tests here."""
+    """Return a function that simulates each load once for all tests here."""
     simulated = {}
 
     def run_load(share, seed=0):
@@ -51,7 +51,7 @@
     world = simulate(0.6)
     callers = list(world.callers.values())
     assert sum(caller.in_time for caller in callers) >= 0.99 * len(callers)
-    assert world.earned() >= 0.99
+    assert world.compute_earned_share() >= 0.99
 
 
 def test_overload_does_not_make_all_late(simulate):
@@ -62,11 +62,15 @@
     before the share of the slack was learnt.
     """
     worlds = [simulate(1.15, seed) for seed in range(2)]
-    assert sum(world.earned() for world in worlds) / 2 >= 0.7
+    assert sum(world.compute_earned_share() for world in worlds) / 2 >= 0.7
 
 
 def test_few_are_refused_while_the_workers_keep_up(simulate):
-    """The share learnt during overload must not refuse callers later."""
+    """The load is below the workers' capacity.
+
+    Admission learns from late starts which share of its slack a job may wait.
+    A share that is too low would refuse callers without need.
+    """
     world = simulate(0.8)
     refused = [
         caller
@@ -74,7 +78,7 @@
         if caller.answer.verdict.value == 'not_run'
     ]
     assert len(refused) <= 0.02 * len(world.callers)
-    assert world.earned() >= 0.95
+    assert world.compute_earned_share() >= 0.95
 
 
 @pytest.mark.parametrize(('share', 'most'), [(0.6, 0.1), (0.95, 0.15)])
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -32,7 +32,7 @@
     assert len(pending_calls) == 0
 
 
-def test_a_reply_made_while_the_event_is_fed_is_not_lost():
+def test_a_reply_made_while_the_event_is_handled_is_not_lost():
     def feed(event):
         pending_calls.reply(calls.Reply(event.call, 'at once'))
 
@@ -40,7 +40,7 @@
     assert asyncio.run(pending_calls.call(calls.StatusAsked)) == 'at once'
 
 
-def test_a_call_over_the_limit_is_refused_before_it_is_fed():
+def test_a_call_over_the_limit_is_refused_before_it_reaches_the_reducer():
     """A burst of held requests reaches the limit of pending calls.
 
     A user immediately receives an error that nothing was done, and a
--- a/tests/test_clockwatch.py
+++ b/tests/test_clockwatch.py
@@ -5,7 +5,7 @@
 from agatepick.net import messages
 
 NOW = 1_800_000_000.0
-MARGIN = 0.25
+MARGIN_SECONDS = 0.25
 
 
 def pong(at, trip=0.001, offset=0.0):
@@ -22,7 +22,7 @@
     other's lease grants: in an outage of the store all leases would expire,
     and callers' jobs would be refused.
     """
-    watch = clockwatch.ClockWatch(MARGIN)
+    watch = clockwatch.ClockWatch(MARGIN_SECONDS)
     watch.add('e1', pong(NOW), NOW)
     later = NOW + links.SAMPLE_SECONDS + links.HEARTBEAT_SECONDS
     watch.add('a1', pong(later), later)
@@ -30,7 +30,7 @@
 
 
 def test_a_lost_peer_does_not_count_in_the_trust_of_the_clock():
-    watch = clockwatch.ClockWatch(MARGIN)
+    watch = clockwatch.ClockWatch(MARGIN_SECONDS)
     watch.add('e1', pong(NOW, offset=9.0), NOW)
     watch.add('a1', pong(NOW), NOW)
     watch.add('a2', pong(NOW), NOW)
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -75,7 +75,7 @@
     return None
 
 
-def run(world, seconds, step=virtual_cluster.STEP):
+def run(world, seconds, step=virtual_cluster.STEP_SECONDS):
     """Advance the time and check the invariants after every step."""
     for _ in range(max(1, round(seconds / step))):
         world.run(min(seconds, step))
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -22,8 +22,8 @@
 
 def run(world, seconds):
     """Advance the time and check the invariants after every step."""
-    for _ in range(round(seconds / virtual_cluster.STEP)):
-        world.run(virtual_cluster.STEP)
+    for _ in range(round(seconds / virtual_cluster.STEP_SECONDS)):
+        world.run(virtual_cluster.STEP_SECONDS)
         world.check_invariants()
     world.check_permits()
 
@@ -215,8 +215,8 @@
 def test_a_lost_answer_is_resolved_by_the_next_read(world):
     """An answer is lost while reads work.
 
-    The operator must receive the actual verdict within a second instead of
-    "unknown".
+    The operator must receive within a second whether the change was
+    accepted, instead of "unknown".
     """
     world.set_store('ok', 'lose')
     number = world.propose('x', ZONE_A_OUT)
@@ -244,8 +244,8 @@
 def test_a_delayed_write_fails_after_a_renewal(world):
     """A change reaches the store long after its ``in_force_at``.
 
-    If it took effect then, entries that had just read the head would start
-    tasks in a zone that was already out.
+    If it took effect then, entries that had just read the store's head row
+    would start tasks in a zone that was already out.
     """
     world.set_store('ok', 'hold_changes')
     number = world.propose('x', ZONE_A_OUT)
@@ -401,7 +401,10 @@
 
 
 def test_all_entries_are_replaced_one_by_one(world):
-    """A rolling update stops each entry gracefully and starts a new one."""
+    """A rolling update stops each entry gracefully and starts a new one.
+
+    The other entries must keep their leases, and the new one must get one.
+    """
     for name in 'xyz':
         world.feed(name, lambda conf, now: conf.leave(now, now))
         run(world, 5.0)
@@ -434,7 +437,10 @@
 
 
 def test_messages_of_an_old_version_do_not_revert_the_version(world):
-    """An old row, an old grant and a malformed row arrive from a peer."""
+    """An old row, an old grant and a malformed row arrive from a peer.
+
+    None of them may change the version in force.
+    """
     world.propose('x', ZONE_A_OUT)
     run(world, 5.0)
     old = cluster.ChangeRow(3, 1.0, cluster.PresetUse('peak'), 'x', 1, 9)
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -23,8 +23,8 @@
 from tests import agents
 from tests import test_at_most_once
 
-FENCE = 3.0
-LEASE = 2.75
+FENCE_SECONDS = 3.0
+LEASE_SECONDS = 2.75
 IN_FLIGHT_LIMIT = 25
 MOVES = 300
 JOBS = 4
@@ -56,7 +56,7 @@
         return [one for one in self._configs if one.in_force_at <= now][-1]
 
     def lease_until(self, now):
-        return self._read_at + LEASE
+        return self._read_at + LEASE_SECONDS
 
     def permits(self, now):
         lease = self.lease_until(now)
@@ -241,7 +241,7 @@
         latest = self.configs[-1]
         if len(latest.listed()) == 1 or latest.member(one.name) is None:
             return
-        at = self.now + FENCE
+        at = self.now + FENCE_SECONDS
         entries = tuple(
             dataclasses.replace(member, removed_at=at, stopped_at=stopped_at)
             if member.name == one.name
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -2,7 +2,7 @@
 from agatepick import types
 
 NOW = 1_800_000_000.0
-WINDOW = 600.0
+WINDOW_SECONDS = 600.0
 
 
 def spec(key, count=1):
@@ -21,7 +21,7 @@
 
 
 def test_only_a_job_whose_tasks_all_finished_is_complete():
-    all_jobs = jobs.Jobs(WINDOW)
+    all_jobs = jobs.Jobs(WINDOW_SECONDS)
     outcomes = types.Outcome
     for outcome, status in (
         (outcomes.FINISHED, types.JobStatus.COMPLETE),
@@ -46,7 +46,7 @@
 
     A caller that requests the job again must get the first answer.
     """
-    all_jobs = jobs.Jobs(WINDOW)
+    all_jobs = jobs.Jobs(WINDOW_SECONDS)
     job = all_jobs.add(spec('j', 2), NOW)
     job.end_task(0, types.Outcome.UNKNOWN)
     job.end_task(0, types.Outcome.FINISHED)
@@ -60,14 +60,14 @@
 
 
 def test_ended_jobs_are_deleted_after_the_window_and_not_before():
-    all_jobs = jobs.Jobs(WINDOW)
+    all_jobs = jobs.Jobs(WINDOW_SECONDS)
     all_jobs.refuse(refused_answer('a'), NOW)
     add_ended_job(all_jobs, 'b', NOW + 1)
     all_jobs.refuse(refused_answer('a'), NOW + 2)
     running = all_jobs.add(spec('c'), NOW)
-    all_jobs.delete_expired(NOW + WINDOW + 1)
+    all_jobs.delete_expired(NOW + WINDOW_SECONDS + 1)
     assert all_jobs.get('b') is None
     assert all_jobs.refusal('a') is not None
-    all_jobs.delete_expired(NOW + WINDOW + 2)
+    all_jobs.delete_expired(NOW + WINDOW_SECONDS + 2)
     assert all_jobs.refusal('a') is None
     assert all_jobs.running() == [running]
--- a/tests/test_mixes.py
+++ b/tests/test_mixes.py
@@ -57,8 +57,11 @@
 @pytest.mark.parametrize('queues', MIXES.values(), ids=MIXES)
 @pytest.mark.parametrize(('share', 'least'), [(0.5, 0.99), (0.8, 0.95)])
 def test_any_mix_is_served_while_workers_keep_up(queues, share, least):
-    """The mix of jobs changes, and no setting is changed."""
-    assert simulate(queues, share).earned() >= least
+    """The mix of jobs changes, and no setting is changed.
+
+    Callers must get nearly all of their value with each mix.
+    """
+    assert simulate(queues, share).compute_earned_share() >= least
 
 
 @pytest.mark.parametrize('queues', MIXES.values(), ids=MIXES)
@@ -68,14 +71,17 @@
     Only callers with tasks at that worker may notice it.
     """
     world = simulate(queues, 0.5, flapping=True)
-    assert world.earned() >= 0.9
+    assert world.compute_earned_share() >= 0.9
     assert world.double_runs == []
 
 
 def test_small_workers_are_filled():
-    """Workers of a quarter of the size have two or three slots each."""
+    """Workers of a quarter of the size have two or three slots each.
+
+    Callers must get nearly all of their value there as well.
+    """
     world = simulate(busy_world.QUEUES, 0.5, sizes=(4.0, 4.0))
-    assert world.earned() >= 0.95
+    assert world.compute_earned_share() >= 0.95
 
 
 @pytest.mark.parametrize(
@@ -89,7 +95,9 @@
     their value, and 0.87 and 0.76 once only significant updates were sent.
     """
     earned = [
-        simulate(MIXES[name], share, seed=seed, processor=PROCESSOR).earned()
+        simulate(
+            MIXES[name], share, seed=seed, processor=PROCESSOR
+        ).compute_earned_share()
         for seed in range(SEEDS)
     ]
     assert sum(earned) / SEEDS >= 0.7
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -15,7 +15,7 @@
 from tests import agents
 
 NOW = 1_800_000_000.0
-LEASE = 2.0
+LEASE_SECONDS = 2.0
 
 
 class Config:
@@ -24,7 +24,7 @@
     version = 1
 
     def __init__(self):
-        self.lease = NOW + LEASE
+        self.lease = NOW + LEASE_SECONDS
 
     def permits(self, now):
         lease = self.lease if now < self.lease else 0.0
@@ -86,11 +86,11 @@
     The first jobs after it resumes must not be refused.  They start a moment
     later, when the configuration has been read again.
     """
-    late = NOW + LEASE + 5
+    late = NOW + LEASE_SECONDS + 5
     effects = job_owner.submit(job('j'), jobs.LocalWaiter(1), late)
     effects += job_owner.advance(late)
     assert not replies(effects) and not starts(effects)
-    config.lease = late + LEASE
+    config.lease = late + LEASE_SECONDS
     (sent,) = starts(job_owner.advance(late + 0.01))
     assert sent.start_before == config.lease
 
@@ -100,7 +100,7 @@
 
     New jobs must get the answer "not run" at once instead of waiting.
     """
-    lapsed = NOW + LEASE
+    lapsed = NOW + LEASE_SECONDS
     job_owner.advance(lapsed)
     effects = submit(job_owner, 'j', lapsed + owner.LEASE_GRACE_SECONDS)
     (answer,) = replies(effects)
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -31,7 +31,7 @@
 
 
 def test_the_longest_chain_of_leases_ends_before_callers_retry():
-    """An entry dies just after it renewed, and the agent just after that.
+    """An entry dies just after it renewed its agent's lease, then the agent.
 
     A caller submits its job again 1.3 s later; if the old runs still continued
     then, its quote would be filed twice.
@@ -222,7 +222,7 @@
     world.submit(repeatable_world.make_job('j', 8, expected=3.0))
     world.run(0.1)
     assert world.workers['agent-0'].runs
-    world.leave('j')
+    world.close_caller('j')
     world.run(0.2)
     assert not world.workers['agent-0'].runs
 
@@ -346,7 +346,7 @@
         worker = rng.choice(list(world.workers.values()))
         worker.slowness = rng.choice((1.0, 6.0, 1000.0))
     else:
-        world.leave(f'j{rng.randrange(max(1, number))}')
+        world.close_caller(f'j{rng.randrange(max(1, number))}')
 
 
 # Seed 12: an agent restarted, and the end of a run of its earlier incarnation
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -14,7 +14,7 @@
 from agatepick import types
 
 NOW = 50.0
-SECONDS = 0.4
+EXPECTED_SECONDS = 0.4
 NEEDS = types.Needs(6.0, 64, 0)
 
 
@@ -42,12 +42,13 @@
         route=routes.Route('q', 'host', '/q/', 'p'),
         payload=b'',
         tasks=tuple(
-            jobs.Task(f'j.{index}', 0, NEEDS, SECONDS) for index in range(2)
+            jobs.Task(f'j.{index}', 0, NEEDS, EXPECTED_SECONDS)
+            for index in range(2)
         ),
         after=(frozenset(),),
         deadline=NOW + 60.0,
     )
-    job = owned_jobs.OwnedJob(1, spec, NOW, NOW + 1.0, SECONDS)
+    job = owned_jobs.OwnedJob(1, spec, NOW, NOW + 1.0, EXPECTED_SECONDS)
     job.queue_ready_tasks()
     for record in job.records:
         record.state = owned_jobs.TaskState.PLACED
@@ -58,7 +59,10 @@
 
 
 def find_delay(finder, job, until):
-    """Return when a run was first found, with a check every 50 ms."""
+    """Return the seconds until a run is found to be a straggler.
+
+    The job is checked every 50 ms; ``None`` if no run is found by ``until``.
+    """
     now = NOW
     while now < until:
         if finder.find(job, now):
@@ -73,7 +77,11 @@
     Their caller would wait until it gives up; with checks that are too rare,
     the runs would be moved after the caller's objective has passed.
     """
-    limit = stragglers.STRAGGLER_RATIO * stragglers.NO_SIBLING_FACTOR * SECONDS
+    limit = (
+        stragglers.STRAGGLER_RATIO
+        * stragglers.NO_SIBLING_FACTOR
+        * EXPECTED_SECONDS
+    )
     limit += stragglers.STRAGGLER_SPARE_SECONDS
     assert limit <= find_delay(finder, job, NOW + 10.0) <= limit + 0.1
 
@@ -84,8 +92,8 @@
     The expected run time is known now, so the limit is half as long.
     """
     assert finder.find(job, NOW + 0.1) == []
-    job.mark_finished(0, SECONDS)
-    limit = stragglers.STRAGGLER_RATIO * SECONDS
+    job.mark_finished(0, EXPECTED_SECONDS)
+    limit = stragglers.STRAGGLER_RATIO * EXPECTED_SECONDS
     limit += stragglers.STRAGGLER_SPARE_SECONDS
     assert limit <= find_delay(finder, job, NOW + 10.0) <= limit + 0.1
 
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -22,8 +22,8 @@
 RULES = readlease.Rules()
 CFG = configuration.ConfigurationSettings(RULES)
 ZONES = ('a', 'b')
-STEP = 0.1
-SILENCE = 5.0
+STEP_SECONDS = 0.1
+SILENCE_SECONDS = 5.0
 
 
 class Node:
@@ -163,7 +163,7 @@
             if self.partitions.get(pair) == since:
                 self._disconnect(pair)
 
-        self.schedule(SILENCE, disconnect)
+        self.schedule(SILENCE_SECONDS, disconnect)
 
     def heal(self):
         """End all faults of network and store; held requests arrive."""
