--- a/tests/agents.py
+++ b/tests/agents.py
@@ -54,7 +54,7 @@
         return self.feed(core.Received(peer, message))
 
     def connect(self, name, incarnation=1, ahead=0.0):
-        """Connect an entry whose clock is ``ahead`` of the agent's."""
+        """Connect an entry whose clock is ahead of the agent's, in seconds."""
         self.incarnations[name] = incarnation
         hello = messages.Hello(name, 'entry', incarnation, 'z', '', '', 0)
         effects = self.feed(core.PeerUp(hello))
@@ -95,7 +95,7 @@
         )
 
     def tick(self, seconds=0.25):
-        """Advance the time, with ticks at the shell's interval."""
+        """Advance the time, with a tick every 0.25 s as in a real process."""
         effects = []
         until = self.now + seconds
         while self.now < until:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -59,7 +59,10 @@
 
 GRACE_SECONDS = 6.0
 CUT_SLACK_SECONDS = 0.2
-"""Age up to which a request may fail as its connection is closed."""
+"""Time from its sending for which a request may fail on a closed connection.
+
+Only a later failure of a request is a violation by a stopping process.
+"""
 
 FAULT_WINDOW_SECONDS = 4.0
 """Time for which a fault excuses a request that a stopping process cut."""
@@ -645,7 +648,7 @@
 
     violations, answered = asyncio.run(main())
     if violations:
-        # The file lies beside the logs of the processes that explain it.
+        # The list of violations lies beside the logs that explain them.
         lines = [
             f'{violation.guarantee}: {violation.detail}\n'
             for violation in violations
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -60,9 +60,11 @@
 
 
 def test_settle_refuses_starts_that_have_not_arrived():
-    """A connection breaks with a start in flight, and the owner settles.
+    """A connection breaks with a start in flight.
 
-    The delayed start arrives after all.  If it ran, the task would run twice,
+    The owner reconnects and asks the agent to settle its tasks: to report
+    those that have started and to refuse all others for good.  Then the
+    delayed start arrives after all.  If it ran, the task would run twice,
     as the owner has placed it elsewhere meanwhile.
     """
     harness = agents.make_ready_agent()
@@ -91,7 +93,7 @@
 def test_a_start_past_its_permit_or_from_a_wrong_clock_is_refused(
     ahead, before, reason
 ):
-    """A start arrives after its permit has ended, or clocks are too far apart.
+    """A start is past its permit, or its entry's clock is too far off.
 
     If it ran, a task would start in a zone that operators took out.
     """
@@ -311,7 +313,8 @@
 def test_an_unreachable_upstream_gets_no_further_task():
     """A worker's process has ended before its announcement expires.
 
-    Each task sent to it until then would be lost, while it seems idle.
+    Each task sent to it until then would be lost, while the
+    worker seems idle.
     """
     harness = agents.make_ready_agent()
     task = agents.task(KEY)
@@ -367,8 +370,9 @@
 def test_a_permit_whose_end_is_not_a_time_has_expired(before):
     """An owner computes an end of its lease that is NaN or infinite.
 
-    With the comparison the other way round, a permit until NaN would never
-    expire, and tasks would start in a zone that was taken out.
+    Every comparison with NaN is false.  If the agent checked whether the
+    permit has ended, and not whether it is still valid, a permit until NaN
+    would never expire, and tasks would start in a zone that was taken out.
     """
     harness = agents.make_ready_agent()
     effects = harness.start('e', agents.task(KEY), before=before)
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -23,7 +23,7 @@
 
 
 def call(*calls, **cfg):
-    """Return status and JSON of each answer, and the events fed."""
+    """Return each answer's status and JSON, and the events of the calls."""
     events = []
 
     async def main():
@@ -86,7 +86,7 @@
     ],
 )
 def test_a_fault_in_an_announcement_names_its_field(change, field):
-    """A new upstream is set up with an invalid value.
+    """A new upstream announces itself with an invalid value.
 
     Without the field's name its operator could not find the fault.  If it
     were accepted, a task could be sent to a machine that must not get it.
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -128,7 +128,7 @@
             self.handle_offer(worker, message.agent_incarnation)
 
     def handle_offer(self, worker, incarnation):
-        """End the tasks of earlier incarnations of an agent as lost."""
+        """Count tasks of the agent's earlier incarnations as lost."""
         for index, last_start in self.last_starts.items():
             if last_start is None or last_start.name != worker.name:
                 continue
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -23,19 +23,25 @@
 from tests import busy_world
 
 LISTS_A_SECOND = 220
-"""Bound for a worker that answers each request for its lists at once."""
+"""Most requests for its lists in one second to a worker, whatever it answers.
+
+A worker that answers each request at once gets the most.
+"""
 
 FAILED_LISTS_A_SECOND = 20
-"""Bound for a worker that answers none."""
+"""Most requests for its lists in one second to a worker that answers none."""
 
 STORE_CALLS_A_SECOND = 12
-"""Bound for one process that watches a table of a store that fails at once."""
+"""Most calls in one second to a store that fails at once.
+
+They are those of one process that watches a table.
+"""
 
 DIALS_A_SECOND = 10
-"""Bound for a peer that accepts connections and closes them at once."""
+"""Most dials in one second to a peer that closes connections at once."""
 
 STARTS_A_TASK = 12
-"""Bound for one task that every worker refuses, in its first second."""
+"""Most starts, in its first second, of a task that every worker refuses."""
 
 MAX_REQUESTS = 20_000
 """Number of requests after which the simulation stops sending them."""
@@ -92,8 +98,9 @@
 def test_a_worker_that_resets_gets_requests_at_a_bounded_rate():
     """A worker repeatedly goes down and comes up, and resets connections.
 
-    Meanwhile it got 2,000 requests a second: each opened a connection and
-    wrote a log line, and its agent did nothing else.
+    Without a pause after a failure such a worker got 2,000 requests a second:
+    each opened a connection and wrote a log line, and the worker's agent did
+    nothing else.
     """
     requests = simulate_worker(['resets'], 8.0)
     assert most_in_a_second(requests) <= FAILED_LISTS_A_SECOND
@@ -108,7 +115,11 @@
 
 
 def test_a_worker_that_answers_again_gets_requests_as_before():
-    """If the pause stayed long, the ends of short jobs would arrive late."""
+    """A worker resets its connections, then answers requests again.
+
+    If the pause between requests stayed as long as after the failures, its
+    agent would learn late of the ends of short jobs.
+    """
     requests = simulate_worker(['resets'] * 12 + ['lists'] * 1000, 6.0)
     assert most_in_a_second(requests[12:]) >= 25
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -24,7 +24,10 @@
 
 
 def test_clients_that_failed_together_retry_at_different_instants():
-    """A store returns, and hundreds of processes call it at one instant."""
+    """Hundreds of processes fail to reach a store at one instant.
+
+    Without jitter all of them would call it again at one instant.
+    """
     delays = {
         backoff.Backoff(DELAYS, random.Random(seed)).record_failure()
         for seed in range(50)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -95,7 +95,10 @@
 
 
 def test_every_fault_of_a_file_has_its_line(capsys, tmp_path):
-    """An operator starts a program with several faults in its settings."""
+    """An operator starts a program with several faults in its settings.
+
+    Each fault must be reported, on a line of its own that names the file.
+    """
     path = tmp_path / 'agent.toml'
     path.write_text('[entries]\nseeds = 3\n[upstream]\nlisten = "here"\n')
     assert cli.main(['agent', f'--config={path}']) == 2
@@ -107,7 +110,10 @@
 
 
 def test_an_address_in_use_is_named(capsys, tmp_path):
-    """An operator starts an agent on an address that is already in use."""
+    """An operator starts an agent on an address that is already in use.
+
+    The error must name the address and say that the agent can't listen there.
+    """
     (sock,) = conftest.bind_free_port()
     address = '127.0.0.1:%d' % sock.getsockname()[1]
     path = tmp_path / 'agent.toml'
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -319,8 +319,8 @@
 ):
     """A worker is ejected, and no job arrives for a long time.
 
-    A trial starts only with work; if its due time woke the idle entry at
-    once each time, the process would use a whole core.
+    A trial of the worker needs a waiting task.  If a due trial woke the idle
+    entry at once each time, the process would use a whole core.
     """
     dispatcher = make_dispatch(agents=2, slots=8)
     now = 0.0
@@ -343,8 +343,8 @@
 def test_an_entry_without_slots_asks_at_intervals(make_dispatch, make_job):
     """A job arrives at an entry whose slots all went to other entries.
 
-    Without asks its callers would wait for ever; without an interval the
-    asks would overload the agents.
+    If the entry didn't ask the agents for slots, its callers would wait for
+    ever; if it asked without a pause, it would overload the agents.
     """
     dispatcher = make_dispatch(agents=0)
     info = dispatch.AgentInfo('a', 1, 'z', 'r')
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -11,7 +11,10 @@
 
 
 def test_a_worker_that_fails_costs_more_within_a_few_runs():
-    """A worker fails each task at once, so it is always free for more."""
+    """A worker fails each task at once, so it is always free for more.
+
+    Unless its cost rises, it is chosen for most of the tasks.
+    """
     record = health.Health()
     for _ in range(5):
         record.record_end(False, 0.0, NOW)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -218,7 +218,7 @@
 
     A coroutine that reads a stream takes three reads and three iterations of
     the event loop for each: 165 to 185 us of CPU time for a message sent and
-    received, and 92 to 107 us with one of each.
+    received, and 92 to 107 us with one read and one iteration.
     """
 
     async def main():
--- a/tests/test_list_requests.py
+++ b/tests/test_list_requests.py
@@ -22,7 +22,8 @@
 def test_overdue_lists_are_requested_once_more():
     """One request in twenty gets no answer.
 
-    Until it timed out, no end of a run there would be reported.
+    Until that request timed out, the agent would learn of no end of a run at
+    this worker.
     """
     timing = request_lists()
     late = NOW + WAIT + list_requests.HEDGE_SECONDS
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -40,9 +40,9 @@
 
 
 def test_answers_have_the_fields_that_the_file_names(serve):
-    """Callers generate their types from the file.
+    """Callers generate their types from the OpenAPI file.
 
-    Their clients would drop members that the file doesn't define.
+    Their clients would drop members that the OpenAPI file doesn't define.
     """
     schemas = json.loads(openapi.FILE.read_text())['components']['schemas']
     task = types.TaskAnswer('a', types.Outcome.FAILED, b'1', 'r', 's', 'p')
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -59,8 +59,9 @@
 def test_a_planned_stop_leaves_no_new_key_suspect():
     """An operator replaces entries one by one while callers submit jobs.
 
-    No entry has accepted a new key that the next owner gets.  If the key were
-    suspect, its job would fail after every planned stop.
+    A stopped entry has accepted none of the new keys that pass to the next
+    owner.  If one counted as suspect, that is as possibly started, its job
+    would fail after every planned stop.
     """
     lost = member('a', NOW - 60, NOW)
     stopped = dataclasses.replace(lost, stopped_at=NOW - 3)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -54,7 +54,11 @@
 
 
 def test_a_worker_on_trial_gets_the_next_task_but_no_urgent_one():
-    """Without a probe a repaired worker would stay ejected permanently."""
+    """An ejected worker is on trial after some time.
+
+    Without a task to test it, a repaired worker would stay ejected
+    permanently.
+    """
     trial = _worker('trial', running=7)
     trial.on_trial = True
     index = _index(_worker('good'), trial)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -394,8 +394,9 @@
 def test_the_lists_of_another_incarnation_are_recognised():
     """A worker crashes and restarts under its id without any runs.
 
-    It accepts requests meant for its earlier incarnation, so starts sent
-    before may run there: only its own lists show which runs are over.
+    The new incarnation accepts requests meant for the earlier one, so starts
+    sent before may run there.  Only the lists of runs that the new incarnation
+    itself sends show which runs are over.
     """
 
     async def main():
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -37,7 +37,7 @@
 
 
 def test_only_open_and_fresh_workers_of_the_pool_are_used(workers):
-    """A frozen machine renews nothing; runs sent there would be lost."""
+    """A frozen machine renews no worker; runs sent there would be lost."""
     silent = make_worker('silent')
     silent.renewed_at = NOW - pool.MAX_RENEWAL_AGE_SECONDS - 0.01
     for worker in (
@@ -103,7 +103,7 @@
 
 
 def test_a_nearly_full_fast_worker_comes_after_a_slower_one_with_room():
-    """Another entry may have taken its last slot since the last update."""
+    """Another entry may have filled the fast worker since its last update."""
     nearly_full = make_worker('fast', free=7.0)
     roomy = make_worker('slow', free=40.0, cost=1.3)
     assert pick([nearly_full, roomy], TASK, NONE_AVOIDED) is roomy
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -52,8 +52,8 @@
 def test_an_opened_worker_is_published_at_once():
     """A worker started, and its first list shows that no run is left there.
 
-    After a power loss all callers wait for that, and the update on its
-    capacity, a moment before, must not delay it.
+    After a power loss all callers wait for the update that the worker is open.
+    The change of its capacity, a moment before, must not delay that update.
     """
     capacity = sharing.SharedCapacity()
     publisher = publishing.Publisher(1, capacity, health.Health())
@@ -110,9 +110,9 @@
 
 @pytest.mark.parametrize('seed', range(3))
 def test_significant_changes_are_published_soon(seed):
-    """An entry that assumes slots that are used sends starts in vain.
+    """An entry that counts used slots as free sends starts in vain.
 
-    If it gets no update on released ones, its callers wait.
+    If it gets no update on released slots, its callers wait.
     """
     longest, _ = simulate(random.Random(seed), 3, 20.0)
     assert longest['places'] <= publishing.MIN_UPDATE_SECONDS + 0.002
@@ -146,7 +146,10 @@
 
 
 def test_a_leaving_entry_gets_an_update_at_once():
-    """Another entry replaced it; starts that it sends would be refused."""
+    """An agent serves another entry instead of one of its entries.
+
+    Starts that the leaving entry still sends would be refused.
+    """
     capacity = sharing.SharedCapacity()
     capacity.resize(TASK)
     publisher = publishing.Publisher(1, capacity, health.Health())
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -28,7 +28,11 @@
 
 
 def test_an_expired_lease_is_not_restored_by_peers():
-    """A resumed process reads recent grants from its buffers."""
+    """A resumed process reads recent grants from its buffers.
+
+    They must not restore its expired lease, as a change may have come into
+    force during the pause.
+    """
     assert extend_lease(readlease.PeerGrant(5, 100.0), lease=100.0) == 100.0
 
 
@@ -39,8 +43,8 @@
 def test_a_grant_never_expires_only_if_its_peer_died_while_it_was_valid():
     """A dead process writes no change, but a silent one may have written one.
 
-    The death of a process must not end the others' leases, unless its grant
-    had expired before.
+    The death of a process must not end the leases of its peers, unless its
+    grant to them had expired before.
     """
     grant = readlease.PeerGrant(5, 90.0)
     assert grant.mark_dead(92.75, RULES).compute_end(RULES) == math.inf
@@ -48,7 +52,10 @@
 
 
 def test_the_intent_of_a_dead_peer_is_uncertain():
-    """A writer dies after its peers acknowledged its intent."""
+    """A writer dies after its peers acknowledged its intent.
+
+    The change may have reached the store, so they must count it as possible.
+    """
     change = uncertain_change(cluster.PresetUse('peak'))
     grant = readlease.PeerGrant(5, 99.0, intent=change)
     assert grant.uncertain_changes() == ()
--- a/tests/test_repeatable_admission.py
+++ b/tests/test_repeatable_admission.py
@@ -30,9 +30,10 @@
 
 
 def test_a_slow_round_trip_alone_does_not_stop_admission():
-    """A small machine's round trips take 30 ms, and a burst cut the share.
+    """A small machine's round trips take 30 ms, and a burst has just ended.
 
-    If the share also limited the round trip, each job would be refused, none
+    The burst has lowered the share of a job's slack that its start may wait.
+    If this share also limited the round trip, each job would be refused, none
     would start, and the share would stay low permanently although workers are
     idle.
     """
--- a/tests/test_run_controller.py
+++ b/tests/test_run_controller.py
@@ -114,7 +114,10 @@
 
 
 def test_an_unanswered_start_is_kept_after_its_worker_is_gone(controller):
-    """The worker's port is closed while a start is in transit."""
+    """The worker's port is closed while a start is in transit.
+
+    The start may still be carried out, so its run isn't over.
+    """
     event = workerapi.ListsFailed('w@1', refused=True)
     controller.handle_list_failure(event, NOW + 0.01)
     assert controller.worker is None
@@ -144,7 +147,7 @@
 
 
 def test_a_draining_worker_is_not_persisted(controller):
-    """The next incarnation of this process would start tasks at it."""
+    """The agent's next incarnation would start tasks at this worker."""
     effects = controller.handle_announcement(
         make_announcement(2, draining=True), NOW
     )
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -17,7 +17,7 @@
 
 
 class Events(list):
-    """Received events, with a method to wait for further ones."""
+    """List of received events, with a method to wait for further ones."""
 
     def __init__(self):
         super().__init__()
