--- a/tests/agents.py
+++ b/tests/agents.py
@@ -28,6 +28,10 @@
 
 
 def announced(session='s', slots=8, term=5.0):
+    """Return the announcement of an upstream.
+
+    :param term: seconds until the announcement expires unless renewed.
+    """
     return upstream.Announced(
         session, ('k',), slots, CAPACITY, 'http://127.0.0.1:1', term
     )
@@ -45,7 +49,7 @@
         self.incarnations = {}
 
     def feed(self, event):
-        """Handle one event and return its effects."""
+        """Let the agent handle one event; return its effects."""
         effects = self.agent.reduce(event, self.now)
         self.effects += effects
         return effects
@@ -123,7 +127,10 @@
 
 
 def sent(effects, kind, peer=None):
-    """Return the messages of a kind that were sent."""
+    """Return the messages of one kind among the effects of an agent.
+
+    :param peer: the entry that they are sent to; any entry if ``None``.
+    """
     return [
         one.message
         for one in effects
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -201,6 +201,7 @@
 
 @pytest.fixture
 def make_job():
+    """Builds a job of identical tasks, each with a run time of ``seconds``."""
     numbers = iter(range(10**6))
 
     def make(team='t', tasks=1, kind='k', deadline=1e6, seconds=0.0, **more):
@@ -217,6 +218,8 @@
 
 @pytest.fixture
 def make_dispatch():
+    """Builds a dispatcher with agents in four zones and racks of three."""
+
     def make(agents=10, slots=8, kinds=('k',), **settings):
         cfg = dispatch.DispatchSettings(**settings)
         dispatcher = dispatch.Dispatch.from_config(cfg, random.Random(1))
--- a/tests/playing.py
+++ b/tests/playing.py
@@ -8,7 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job with its arrival time and the run times of its tasks."""
+    """A job with its arrival time and the run times of its tasks.
+
+    :ivar seconds: run time of each task, in the order of the job's tasks.
+    """
 
     at: float
     job: types.JobSpec
@@ -20,7 +23,7 @@
     """Results of a simulation.
 
     :ivar ended: time at which all tasks of a job had ended, by key.
-    :ivar refused: refusals by key.
+    :ivar refused: refusals of jobs, by key.
     :ivar expired: keys of jobs with tasks that expired in the queue.
     :ivar failed: times of failed tasks, by agent.
     :ivar starts: times of task starts, by agent.
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -100,7 +100,7 @@
             return result.STALE_RUN
         if not self.has_room(name):
             return result.NO_ROOM
-        self.world.check_start(self, name)
+        self.world.record_start(self, name)
         self.highest_runs[name] = run
         seconds = self.world.get_run_seconds(name) * self.slowness
         self.runs[name] = (run, self.world.now + seconds, until)
@@ -250,7 +250,10 @@
         )
 
     def kill(self, name, back_after=0.5):
-        """Kill a process; its callers and peers get broken connections."""
+        """Kill a process; its callers and peers get broken connections.
+
+        :param back_after: seconds until the process is started again.
+        """
         node = self.nodes[name]
         node.alive = False
         for pair in [pair for pair in self.connected if name in pair]:
@@ -279,7 +282,10 @@
     # Callers
 
     def submit(self, spec, to=None):
-        """Submit a job at a running entry, or later if none is running."""
+        """Submit a job at a running entry, or later if none is running.
+
+        :param to: name of the entry; by default one is drawn.
+        """
         running = [node.name for node in self.entries() if node.alive]
         if not running:
             self.schedule(RESEND_SECONDS, self.submit, spec)
@@ -300,7 +306,8 @@
         """Return the true run time of a task."""
         return 0.05 + (sum(task.encode()) % 40) / 100.0
 
-    def check_start(self, worker, name):
+    def record_start(self, worker, name):
+        """Record the start of a task and any other run that it still has."""
         key = name.rpartition('.')[0]
         self.started_jobs.add(key)
         for other in self.workers.values():
@@ -313,6 +320,7 @@
     # Time
 
     def schedule(self, seconds, action, *args):
+        """Call an action after some seconds of virtual time."""
         item = (self.now + seconds, next(self._order), action, args)
         heapq.heappush(self._heap, item)
 
@@ -325,6 +333,7 @@
         self.now = end
 
     def feed(self, name, event):
+        """Let a process handle an event, unless it is dead or suspended."""
         node = self.nodes[name]
         if not node.alive:
             return
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -191,6 +191,8 @@
     """The observations and the violations of the guarantees.
 
     :ivar done: number of completed runs by task.
+    :ivar running: name of the worker that runs a task, by task.
+    :ivar started: keys of jobs of which a task has started.
     :ivar closed: instants at which zones were closed, by zone.
     :ivar removed_prefixes: instants at which queues were removed, by prefix.
     :ivar faults: instants of injected faults.
@@ -301,13 +303,13 @@
         path.write_text(yaml.safe_dump(fields))
         return path
 
-    def send(self, number):
+    def send_signal(self, number):
         """Send a signal to the process if it runs."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def stop_all(self):
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         self.process.wait()
         self.store.stop()
         self.links.stop()
@@ -392,7 +394,7 @@
     async def _end_faults(self):
         """End all lasting faults."""
         for process in [*self.entries, *self.agents]:
-            process.send(signal.SIGCONT)
+            process.send_signal(signal.SIGCONT)
             process.store.mode = process.links.mode = 'calm'
         for worker in self.workers:
             worker.silent = False
@@ -426,7 +428,7 @@
             elif process.stopping_at is not None:
                 if _now() > process.stopping_at + GRACE_SECONDS:
                     self.checks.faults.append(_now())
-                    process.send(signal.SIGKILL)
+                    process.send_signal(signal.SIGKILL)
 
     # Callers
 
@@ -528,32 +530,32 @@
 
     async def kill(self):
         self._record_fault()
-        self._choose_process().send(signal.SIGKILL)
+        self._choose_process().send_signal(signal.SIGKILL)
 
     async def kill_most(self):
         self._record_fault()
         for process in [*self.entries, *self.agents]:
             if self.rng.random() < 0.7:
-                process.send(signal.SIGKILL)
+                process.send_signal(signal.SIGKILL)
 
     async def stop(self):
         process = self._choose_process()
         if process.stopping_at is None:
             process.stopping_at = _now()
-            process.send(signal.SIGTERM)
+            process.send_signal(signal.SIGTERM)
 
     async def pause(self):
         process = self._choose_process()
         self._record_fault()
-        process.send(signal.SIGSTOP)
+        process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
-        process.send(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         self._record_fault()
 
     async def reload(self):
         process = self._choose_process()
         process.write_settings()
-        process.send(signal.SIGHUP)
+        process.send_signal(signal.SIGHUP)
 
     async def disturb_links(self):
         await self._disturb_proxy(self._choose_process().links)
@@ -572,14 +574,15 @@
         self._record_fault()
         self._choose_process().links.reset()
 
-    async def store_away(self):
+    async def fail_store_calls(self):
+        """Let the store refuse calls, or not answer writes, for a while."""
         self._record_fault()
         self.store.mode = self.rng.choice(('busy', 'many', 'lost'))
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
         self.store.mode = platform_standins.CALM
         self._record_fault()
 
-    async def forget_history(self):
+    async def discard_store_history(self):
         self.store.discard_history()
 
     async def crash_worker(self):
@@ -595,6 +598,7 @@
         self._record_fault()
 
     async def change_routes(self):
+        """Add a queue, or remove one that was added before."""
         if self.extra_prefixes and self.rng.random() < 0.5:
             prefix = self.extra_prefixes.pop()
             self.checks.removed_prefixes[prefix] = _now()
@@ -603,7 +607,8 @@
             self.extra_prefixes.append(prefix)
         self._publish()
 
-    async def evacuate(self):
+    async def close_zone(self):
+        """Close one zone for some seconds, unless a zone is closed already."""
         zone = self.rng.choice(ZONES)
         if self.checks.closed:
             return
@@ -623,12 +628,12 @@
     Soak.disturb_links,
     Soak.disturb_store,
     Soak.reset_links,
-    Soak.store_away,
-    Soak.forget_history,
+    Soak.fail_store_calls,
+    Soak.discard_store_history,
     Soak.crash_worker,
     Soak.silence_worker,
     Soak.change_routes,
-    Soak.evacuate,
+    Soak.close_zone,
 )
 
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -141,7 +141,7 @@
     assert agents.reports(effects) == {1: ('refused', 'no_slot')}
 
 
-def test_results_that_end_together_are_sent_together():
+def test_results_of_tasks_that_end_together_are_sent_together():
     harness = agents.make_ready_agent()
     tasks = [agents.task(KEY, index) for index in range(5)]
     harness.start('e', *tasks)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -116,7 +116,7 @@
     assert job_result.run == types.JobStatus.PENDING
 
 
-def test_no_entry_at_all_is_an_error_that_names_it():
+def test_a_submission_without_any_running_entry_fails_and_says_so():
     """No entry is running.
 
     The error reports that no entry answered, not that the job didn't run.
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -93,7 +93,7 @@
     assert dead_entries.exclude_dead(early, members) == members
 
 
-def test_a_lost_successor_of_a_dead_entry_is_taken_over_from():
+def test_the_jobs_of_a_lost_successor_of_a_dead_entry_are_taken_over():
     """One entry is killed, another serves its new keys and is lost as well.
 
     The second is removed while the first is still listed.  Unless the third
--- a/tests/test_list_requests.py
+++ b/tests/test_list_requests.py
@@ -1,14 +1,14 @@
 from agatepick.repeatable import list_requests
 
 NOW = 50.0
-WAIT = list_requests.WAIT_SECONDS
+LIST_WAIT_SECONDS = list_requests.WAIT_SECONDS
 
 
 def request_lists():
     """Return the requests of a worker whose lists were just requested."""
     timing = list_requests.ListRequests()
     timing.reset(NOW)
-    timing.record_request(WAIT, NOW)
+    timing.record_request(LIST_WAIT_SECONDS, NOW)
     return timing
 
 
@@ -26,10 +26,10 @@
     this worker.
     """
     timing = request_lists()
-    late = NOW + WAIT + list_requests.HEDGE_SECONDS
+    late = NOW + LIST_WAIT_SECONDS + list_requests.HEDGE_SECONDS
     assert not timing.is_due(late - 0.01)
     assert timing.is_due(late)
-    timing.record_request(WAIT, late)
+    timing.record_request(LIST_WAIT_SECONDS, late)
     assert not timing.is_due(late + 5.0)
     timing.record_answer(late + 0.01)
     timing.record_failure(late + 0.1)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -83,6 +83,7 @@
 
 
 def make_damaged(seed):
+    """Return an encoded message with changed bytes, possibly cut short."""
     rng = random.Random(seed)
     data = bytearray(messages.encode(rng.choice(SAMPLES)))
     for _ in range(rng.choice([1, 2, 5])):
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -12,7 +12,7 @@
 
 
 def list_routes(front):
-    """Return the path templates that a server handles, with methods."""
+    """Return the path templates that a server handles, with their methods."""
     openapi_front = front(lambda event: None)
     methods_by_path = {}
     for route in [
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -63,10 +63,12 @@
 
 
 def replies(effects):
+    """Return the answers to callers among the effects."""
     return [one.answer for one in effects if isinstance(one, calls.Reply)]
 
 
 def starts(effects):
+    """Return the ``Starts`` messages to agents among the effects."""
     return [
         one.message
         for one in effects
@@ -76,6 +78,7 @@
 
 
 def report(state, attempt=0):
+    """Return an agent's message that reports the state of one task."""
     one = messages.TaskReport('j', 0, attempt, state, b'1', 'why', 0.1)
     return messages.Results(7, 2, (one,))
 
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -69,6 +69,7 @@
 def simulate(rng, places, seconds):
     """Simulate an entry and others that start and end runs at one worker.
 
+    :param places: number of runs that fit at the worker at a time.
     :returns: the longest time for which the entry assumed a wrong number of
         slots, and a wrong number of cores; and the updates per start or end.
     """
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -40,7 +40,7 @@
     assert extend_lease(readlease.PeerGrant(6, 100.0)) == 101.0
 
 
-def test_a_grant_never_expires_only_if_its_peer_died_while_it_was_valid():
+def test_a_grant_stays_valid_only_if_its_peer_died_before_its_end():
     """A dead process writes no change, but a silent one may have written one.
 
     The death of a process must not end the leases of its peers, unless its
--- a/tests/test_repeatable_admission.py
+++ b/tests/test_repeatable_admission.py
@@ -92,7 +92,7 @@
     assert margin.share == admission.MAX_WAIT_SHARE
 
 
-def test_one_late_job_in_nineteen_changes_nothing():
+def test_one_late_start_in_nineteen_keeps_the_share():
     margin = admission.Margin()
     margin.record_start(in_time=False)
     before = margin.share
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -27,10 +27,12 @@
 
 
 def dialled(effects):
+    """Return the names of the entries that the agent dials."""
     return {effect.peer for effect in effects if isinstance(effect, core.Dial)}
 
 
 def disconnected(effects):
+    """Return the names of the entries that the agent disconnects."""
     return {
         effect.peer for effect in effects if isinstance(effect, core.Hangup)
     }
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -149,6 +149,7 @@
         self.session.submit(self.names[-1], [0.2, 0.4, 2.0], at=at)
 
     def _again(self, at):
+        """Submit the newest job again, to the entry ``at``."""
         if self.names:
             self.session.submit_again(self.names[-1], at)
 
@@ -163,9 +164,11 @@
         self.session.kill(name)
 
     def _out(self, at):
+        """Take zone b out by a request to the entry ``at``."""
         self.session.propose(cluster.ZoneOut('b'), at)
 
     def _in(self, at):
+        """Return zone b to service by a request to the entry ``at``."""
         self.session.propose(cluster.ZoneIn('b'), at)
 
     def _wait(self, seconds):
--- a/tests/test_standin_upstream.py
+++ b/tests/test_standin_upstream.py
@@ -42,7 +42,7 @@
     )
 
 
-def test_it_runs_tasks_counts_starts_and_fails_on_request():
+def test_the_stand_in_runs_tasks_counts_starts_and_fails_on_request():
     async def main():
         events = Events()
         worker, local_upstream = make_local_upstream(events)
@@ -58,7 +58,7 @@
     run(main)
 
 
-def test_it_stops_a_task_unless_it_ignores_stops():
+def test_the_stand_in_stops_a_task_unless_it_ignores_stops():
     async def main():
         events = Events()
         worker, local_upstream = make_local_upstream(events)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -33,11 +33,16 @@
 
 
 def report(index, state):
+    """Return an agent's report on one task of the lost entry's job."""
     digest = ledger.task_digest('team', 'k', b'{}')
     return messages.TaskReport(KEY, index, 1, state, b'1', digest=digest)
 
 
 def make_takeover(*reports, last=True):
+    """Return the takeover at the successor, with an agent's reports.
+
+    :param last: whether the agent has sent all its reports.
+    """
     job_takeover = takeover.Takeover('heir', 600.0, 2.0)
     orphans = messages.Orphans('lost', 1, reports, last)
     job_takeover.on_orphans('x', 7, orphans)
@@ -53,6 +58,7 @@
 
 
 def outcomes(job):
+    """Return the outcome of each task; ``None`` for one without an answer."""
     return [one.answer and one.answer.outcome.value for one in job.tasks]
 
 
