--- a/tests/busy_world.py
+++ b/tests/busy_world.py
@@ -25,7 +25,10 @@
 """Multiple of the objective up to which a late answer still has some value."""
 
 LATE_WORTH = 0.2
+"""Share of a job's value that such a late answer has."""
+
 SLOW_FACTOR = 1.3
+"""Factor on run times at a slow worker."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -66,6 +69,7 @@
     Queue('quick', 0.711, 2, 0.4, 0.01, 1, 300),
 )
 CORES = 3.1
+"""Mean cores of a task."""
 
 
 def _mix(*shares):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -201,7 +201,7 @@
 
 @pytest.fixture
 def make_job():
-    """Builds a job of identical tasks, each with a run time of ``seconds``."""
+    """Builds a job of identical tasks, each declared to take ``seconds``."""
     numbers = iter(range(10**6))
 
     def make(team='t', tasks=1, kind='k', deadline=1e6, seconds=0.0, **more):
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -22,10 +22,18 @@
 
 START = 1_000_000.0
 DELAY_SECONDS = 0.001
+"""Time that a message takes on a link."""
+
 TICK_SECONDS = 0.05
 RESEND_SECONDS = 1.3
+"""Pause before a caller submits a job again that was not answered."""
+
 SILENCE_SECONDS = 1.2
+"""Time from the cut of a connection until both ends close it."""
+
 REDIAL_SECONDS = 0.1
+"""Pause before two processes are connected again."""
+
 ROUTE = routes.Route('q', 'host', '/q/', 'pool')
 CAPACITY = types.Needs(64.0, 1024, 0)
 NEEDS = types.Needs(6.0, 64, 0)
@@ -333,7 +341,7 @@
         self.now = end
 
     def feed(self, name, event):
-        """Let a process handle an event, unless it is dead or suspended."""
+        """Let a process handle an event, later if the process is suspended."""
         node = self.nodes[name]
         if not node.alive:
             return
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -28,9 +28,15 @@
 
 START = 1_800_000_000.0
 NETWORK_SECONDS = 0.001
-WRITE_SECONDS = 0.005
+"""Time that a message takes over the network."""
+
+STORE_CALL_SECONDS = 0.005
+"""Time that a call of the table service takes."""
+
 TICK_SECONDS = 0.25
 REDIAL_SECONDS = 0.5
+"""Pause before a process dials a peer again that isn't connected."""
+
 PERIODIC = (
     messages.Ask,
     messages.Changes,
@@ -311,7 +317,7 @@
                 answer = exc
             self._feed(name, store.StoreAnswered(call.id, answer))
 
-        self._schedule(WRITE_SECONDS, execute)
+        self._schedule(STORE_CALL_SECONDS, execute)
 
     def _reply(self, name, number, answer):
         description = self.replies[number]
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -58,6 +58,8 @@
 """Time after the end of all faults until jobs must complete again."""
 
 GRACE_SECONDS = 6.0
+"""Time that a process has to stop before it is killed."""
+
 CUT_SLACK_SECONDS = 0.2
 """Time from its sending for which a request may fail on a closed connection.
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -47,6 +47,11 @@
 """Number of requests after which the simulation stops sending them."""
 
 ANSWER_KINDS = ('at_once', 'lists', 'fails', 'resets', 'hangs')
+"""Kinds of a worker's answer to a request for its lists.
+
+They are the lists at once or after 30 ms, or a failure: at once, after a step
+of the simulation, or after a timeout.
+"""
 
 
 def most_in_a_second(instants):
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -26,6 +26,7 @@
 """Share of the callers' value from which the service counts as recovered."""
 
 DRAIN_SECONDS = 10.0
+"""Time after the last arrival until all callers have their answers."""
 
 
 def simulate(seed, bursts, seconds, link=LINK_BYTES_PER_SECOND):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -38,7 +38,10 @@
     ],
 )
 def test_the_cause_of_three_kinds_of_failure_is_named(job, text):
-    """Jobs are rejected, fail on faulty workers or are lost with an entry."""
+    """Jobs are rejected, fail on faulty workers or are lost with an entry.
+
+    The explanation must name the cause of each.
+    """
     lines = explain.collect_lines([*ENTRY, *AGENT], job)
     assert explain.find_cause(lines).startswith(text)
 
@@ -73,7 +76,10 @@
     ],
 )
 def test_the_cause_of_a_late_answer_is_named(lines, text):
-    """All tasks complete, but the answer misses the deadline."""
+    """All tasks complete, but the answer misses the deadline.
+
+    The explanation must name what made it late.
+    """
     cause = explain.find_cause(explain.collect_lines(lines, 'd4'))
     assert cause.startswith('late by 0.3 s: ')
     assert text in cause
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -197,7 +197,7 @@
 def test_messages_sent_before_a_hangup_arrive():
     """A process sends a goodbye and hangs up at once.
 
-    Its peer must receive the goodbye, or it waits for a dead process.
+    Its peer must receive the goodbye, or the peer waits for a dead process.
     """
 
     async def main():
--- a/tests/test_owned_jobs.py
+++ b/tests/test_owned_jobs.py
@@ -40,7 +40,7 @@
 
 
 def test_a_started_job_precedes_more_urgent_ones():
-    """More jobs wait than fit, and a wide one has some of its slots.
+    """More jobs wait than fit, and a wide one has started some of its tasks.
 
     If each job that is slightly more urgent overtook it, its caller would wait
     for its last task, and the work of its first ones would be wasted.
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -131,7 +131,11 @@
 
 
 def test_free_capacity_is_published_after_a_grant_or_refusal():
-    """An entry answered a grant or was refused; capacity is free again."""
+    """An entry has answered a grant, or a start of it was refused.
+
+    It sends no starts until the next update, so without one it would send none
+    although capacity is free.
+    """
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(60.0, 640, 0))
     publisher = publishing.Publisher(1, capacity, health.Health())
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -108,7 +108,11 @@
 
 
 def test_a_new_entry_has_no_share_before_old_loans_end():
-    """Entries join while a team's whole quota is lent to one of them."""
+    """Entries join while a team's whole quota is lent to one of them.
+
+    With shares of their own before the loan ends, the team would exceed its
+    quota.
+    """
     cluster = _Cluster(('e0', 'e1'))
     cluster.set_waiting('e0', 50)
     cluster.advance(3.0)
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -23,7 +23,10 @@
 
 
 def test_a_lease_ends_within_a_fence_from_now():
-    """The only listed entry needs no grants, but may write a change itself."""
+    """The only listed entry needs no grants of others to extend its lease.
+
+    As the entry may write a change itself, its lease must still end.
+    """
     assert extend_lease() == 102.75
 
 
--- a/tests/test_repeatable.py
+++ b/tests/test_repeatable.py
@@ -40,7 +40,7 @@
 
 
 def test_a_killed_entry_s_job_is_done_once_at_another():
-    """The entry is killed during a job; its caller uses another one.
+    """An entry is killed during a job, and its caller uses another entry.
 
     The caller gets a broken connection and waits 1.3 s.
     """
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -76,7 +76,10 @@
 
 
 def test_a_substitute_is_disconnected_once_its_runs_are_over():
-    """The entry is back: the substitute's callers must not lose their runs."""
+    """An entry is back after another one has replaced it for a while.
+
+    Callers of the substitute must not lose their runs.
+    """
     agent, first = make_agent(8)
     reachable = first - {min(first)}
     now = NOW + serving.DISCONNECTED_SECONDS
@@ -92,7 +95,7 @@
 
 
 def test_an_entry_at_another_address_is_dialled_there():
-    """Its machine was replaced by one with the same name."""
+    """An entry's machine was replaced by one with the same name."""
     agent, first = make_agent(3)
     moved = tuple(
         events.ListedEntry(entry.name, f'new:{entry.name}', entry.zone)
--- a/tests/test_worker_record.py
+++ b/tests/test_worker_record.py
@@ -137,7 +137,10 @@
 
 
 def test_an_unavailable_store_does_not_delay_the_start():
-    """The agent is back before the store and waits for an announcement."""
+    """An agent restarts while the store refuses calls.
+
+    It must start without its stored worker and wait for an announcement.
+    """
 
     async def main():
         agent = Incarnations()
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -23,7 +23,10 @@
 CFG = configuration.ConfigurationSettings(RULES)
 ZONES = ('a', 'b')
 STEP_SECONDS = 0.1
+"""Virtual time between two checks of the invariants."""
+
 SILENCE_SECONDS = 5.0
+"""Time from the cut of a connection until both ends close it."""
 
 
 class Node:
