--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -109,10 +109,15 @@
         self.workers = [Worker(self, 'x'), Worker(self, 'y')]
 
     def post(self, target, worker, message):
+        """Send a message; the oldest in flight are lost past the limit."""
         self.in_flight.append((target, worker, message))
         del self.in_flight[:-IN_FLIGHT_LIMIT]
 
     def deliver(self, number, keep):
+        """Deliver one message in flight.
+
+        :param keep: whether a copy of the message stays in flight.
+        """
         if not self.in_flight:
             return
         at = number % len(self.in_flight)
@@ -150,6 +155,7 @@
             self.answers[report.index] = report.state
 
     def start(self, worker, index):
+        """Send a start of a task, unless it may run or has ended already."""
         if self.last_starts[index] is not None or index in self.answers:
             return
         self.attempts[index] += 1
@@ -169,6 +175,7 @@
         self.post('agent', worker, starts)
 
     def settle(self, worker):
+        """Ask an agent for the states of the tasks that were sent to it."""
         refs = tuple(
             messages.TaskRef(JOB, index, last_start.attempt)
             for index, last_start in self.last_starts.items()
@@ -181,6 +188,10 @@
         self.post('agent', worker, settle)
 
     def act(self, move, which, number):
+        """Make a move, with an agent or its worker.
+
+        :param which: index of the worker.
+        """
         worker = self.workers[which]
         if move == 'start':
             self.start(worker, number % TASKS)
@@ -202,6 +213,7 @@
             getattr(worker, move)()
 
     def check(self):
+        """Check that no task started twice and every refusal is true."""
         assert all(count == 1 for count in self.starts.values())
         assert not self.refused & self.started
         for index, state in self.answers.items():
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -83,7 +83,7 @@
 
 
 def recover(world):
-    """End every fault and let the entries settle."""
+    """End every fault; run until all entries can hold their leases again."""
     world.heal()
     for name, node in world.nodes.items():
         if node.paused:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def world():
-    """Return a cluster of three listed and settled entries."""
+    """Return a cluster of three listed entries that hold their leases."""
     simulation = virtual_cluster.Cluster()
     run(simulation, 10.0)
     assert simulation.leases() == ['x', 'y', 'z']
@@ -29,10 +29,12 @@
 
 
 def conf(world, name):
+    """Return an entry's configuration component."""
     return world.nodes[name].conf
 
 
 def document(world, name):
+    """Return the configuration that is in force at an entry by its clock."""
     return conf(world, name).in_force(world.clock(name))
 
 
@@ -41,6 +43,7 @@
 
 
 def zone_open(world, name, zone='a'):
+    """Return whether an entry may start tasks in a zone."""
     return conf(world, name).start_before(zone, world.clock(name)) > 0.0
 
 
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -135,16 +135,17 @@
         self.statuses = collections.Counter()
         members = tuple(agents.member(name) for name in 'abc')
         self.configs = [cluster.ClusterConfig(1, 0.0, entries=members)]
-        self.entries = [self.entry(one) for one in members]
+        self.entries = [self.make_entry(member) for member in members]
         self.agents = [Node(self, name, 'agent') for name in 'xy']
-        for one in self.agents:
-            self.start_agent(one)
-        self.nodes = {one.name: one for one in self.entries + self.agents}
-        for one in self.agents:
-            self.connect_all(one)
+        for node in self.agents:
+            self.start_agent(node)
+        self.nodes = {node.name: node for node in self.entries + self.agents}
+        for node in self.agents:
+            self.connect_all(node)
         self.drain()
 
-    def entry(self, member):
+    def make_entry(self, member):
+        """Return an entry that is connected to the other entries."""
         node = Node(self, member.name, 'entry')
         cfg = entry.EntryConfig(
             member,
@@ -168,33 +169,42 @@
         node.feed(agents.announced(session, slots=3, term=1e6))
 
     def connect_all(self, node):
-        for one in self.entries:
-            self.connect(one, node)
+        """Connect an agent to all entries."""
+        for entry_node in self.entries:
+            self.connect(entry_node, node)
 
-    def connect(self, one, node):
-        if one.dead or one.paused:
+    def connect(self, entry_node, node):
+        """Connect an entry to an agent, unless the entry is dead or paused."""
+        if entry_node.dead or entry_node.paused:
             return
-        node.feed(core.PeerUp(one.hello()))
+        node.feed(core.PeerUp(entry_node.hello()))
         pong = messages.Pong(self.now, self.now, self.now)
-        node.feed(core.Received(one.name, pong))
-        one.feed(core.PeerUp(node.hello()))
+        node.feed(core.Received(entry_node.name, pong))
+        entry_node.feed(core.PeerUp(node.hello()))
 
-    def disconnect(self, one, node):
-        if one.dead or one.paused:
+    def disconnect(self, entry_node, node):
+        """Close the connection of an entry and an agent."""
+        if entry_node.dead or entry_node.paused:
             return
-        node.feed(core.PeerDown(one.name, one.incarnation))
-        if node.name in one.reducer.owner.agents:
-            one.feed(core.PeerDown(node.name, node.incarnation))
+        node.feed(core.PeerDown(entry_node.name, entry_node.incarnation))
+        if node.name in entry_node.reducer.owner.agents:
+            entry_node.feed(core.PeerDown(node.name, node.incarnation))
 
     def post(self, node, effect):
+        """Send a message; the oldest in flight are lost past the limit."""
         self.in_flight.append((node.name, effect.peer, effect.message))
         del self.in_flight[:-IN_FLIGHT_LIMIT]
 
     def drain(self):
+        """Deliver all messages in flight."""
         while self.in_flight:
             self.deliver(0)
 
     def deliver(self, number, keep=False):
+        """Deliver one message in flight.
+
+        :param keep: whether a copy of the message stays in flight.
+        """
         if not self.in_flight:
             return
         at = number % len(self.in_flight)
@@ -210,8 +220,9 @@
         if is_connected or source in node.reducer.owner.agents:
             node.feed(core.Received(source, message))
 
-    def submit(self, one, number):
-        if one.dead or one.paused:
+    def submit(self, entry_node, number):
+        """Submit one of a few jobs at an entry, possibly once more."""
+        if entry_node.dead or entry_node.paused:
             return
         number %= JOBS
         if number not in self.jobs:
@@ -221,9 +232,10 @@
             key = agents.key(self.rng.randrange(1 << 40), self.now)
             self.jobs[number] = types.JobSpec(key, 'team', tasks, 0.0)
         spec = dataclasses.replace(self.jobs[number], deadline=self.now + 60)
-        one.feed(calls.JobSubmitted(0, spec))
+        entry_node.feed(calls.JobSubmitted(0, spec))
 
     def check_answer(self, answer):
+        """Check a job's answer against what ran; keep its outcomes."""
         self.statuses[answer.status.value, answer.code] += 1
         keys = [(answer.key, index) for index in range(TASKS)]
         if answer.status == types.JobStatus.COMPLETE:
@@ -236,15 +248,15 @@
             elif task.outcome == types.Outcome.FINISHED:
                 assert key in self.finished
 
-    def remove(self, one, stopped_at=0.0):
+    def remove(self, entry_node, stopped_at=0.0):
         """Write an entry's removal, which is in force after the fence."""
         latest = self.configs[-1]
-        if len(latest.listed()) == 1 or latest.member(one.name) is None:
+        if len(latest.listed()) == 1 or latest.member(entry_node.name) is None:
             return
         at = self.now + FENCE_SECONDS
         entries = tuple(
             dataclasses.replace(member, removed_at=at, stopped_at=stopped_at)
-            if member.name == one.name
+            if member.name == entry_node.name
             else member
             for member in latest.entries
         )
@@ -253,8 +265,8 @@
         )
 
     def restart_agent(self, node):
-        for one in self.entries:
-            self.disconnect(one, node)
+        for entry_node in self.entries:
+            self.disconnect(entry_node, node)
         node.incarnation += 1
         node.running.clear()
         self.start_agent(node)
@@ -267,33 +279,34 @@
                 node.feed(core.Tick())
 
     def step(self):
+        """Take one random step and check that no task started twice."""
         kind = self.rng.choice(_KINDS)
         number = self.rng.randrange(1 << 20)
-        one = self.rng.choice(self.entries)
+        entry_node = self.rng.choice(self.entries)
         node = self.rng.choice(self.agents)
         if kind in ('deliver', 'copy'):
             self.deliver(number, keep=kind == 'copy')
         elif kind == 'lose' and self.in_flight:
             del self.in_flight[number % len(self.in_flight)]
         elif kind == 'submit':
-            self.submit(one, number)
+            self.submit(entry_node, number)
         elif kind == 'end':
             node.end(number)
         elif kind == 'tick':
             self.tick(number % 6 / 10)
         elif kind == 'reconnect':
-            self.disconnect(one, node)
-            self.connect(one, node)
+            self.disconnect(entry_node, node)
+            self.connect(entry_node, node)
         elif kind == 'remove':
-            self.remove(one)
-        elif kind == 'stop' and not one.paused:
-            one.feed(core.StopRequested())
+            self.remove(entry_node)
+        elif kind == 'stop' and not entry_node.paused:
+            entry_node.feed(core.StopRequested())
         elif kind == 'kill':
-            one.dead = True
+            entry_node.dead = True
         elif kind == 'pause':
-            one.paused = True
+            entry_node.paused = True
         elif kind == 'resume':
-            one.paused = False
+            entry_node.paused = False
         elif kind == 'restart_agent':
             self.restart_agent(node)
         assert all(count == 1 for count in self.starts.values())
