--- a/tests/test_busy_world.py
+++ b/tests/test_busy_world.py
@@ -35,6 +35,7 @@
 
 
 def refused_share(world):
+    """Return the share of starts that agents refused for lack of capacity."""
     return world.refused_starts / (world.refused_starts + world.starts)
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -9,6 +9,7 @@
 
 
 def apply_all(*changes):
+    """Return the configuration after these changes, from version 1 on."""
     config = cluster.ClusterConfig()
     for number, change in enumerate(changes, 1):
         config = cluster.apply(config, row(number, change, 10.0 * number))
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -12,11 +12,13 @@
 
 
 def key_at(instant, seed):
+    """Return a key that is stamped with an instant."""
     text = f'{int(instant * 1000):012x}'
     return f'{text[:8]}-{text[8:]}-7{seed % 4096:03x}-8000-{seed:012x}'
 
 
 def owner(key, dead_entries):
+    """Return the entry that owns a key, given the detected deaths."""
     members = dead_entries.exclude_dead(key, MEMBERS)
     return ownership.find_owner(key, members, SKEW)
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -6,11 +6,13 @@
 
 
 def spec(key, count=1):
+    """Return the specification of a job with ``count`` tasks."""
     tasks = tuple(types.TaskSpec(f't{i}', 'k') for i in range(count))
     return types.JobSpec(key, 'team', tasks, NOW + 60)
 
 
 def add_ended_job(all_jobs, key, at):
+    """Add a job that ends at the instant of its arrival."""
     job = all_jobs.add(spec(key), at)
     job.end_task(0, types.Outcome.FINISHED)
     return all_jobs.settle(job, at)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,12 +16,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
+    """Configuration part of an entry's status."""
+
     in_force: cluster.ClusterConfig = IN_FORCE
     accepted: cluster.ClusterConfig = ACCEPTED
 
 
 @dataclasses.dataclass(frozen=True)
 class Status:
+    """Status that the fake reducer answers."""
+
     configuration: View = View()
     zones: tuple[str, ...] = ('curico', 'talca')
 
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -10,6 +10,7 @@
 
 
 def config(process):
+    """Return the status of an entry's configuration."""
     return process.entry.configuration.status(now(process))
 
 
@@ -18,12 +19,14 @@
 
 
 def last_suspect_stamp(process):
+    """Return the last stamp of keys that a lost entry may have started."""
     entries = config(process).in_force.entries
     removed_at = max(one.removed_at for one in entries)
     return removed_at + local_cluster.TIMING.skew_seconds
 
 
 async def until(check):
+    """Wait until a condition holds."""
     async with asyncio.timeout(local_cluster.TIMEOUT_SECONDS):
         while not check():
             await asyncio.sleep(0.02)
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -7,11 +7,13 @@
 
 
 def uncertain_change(change, stamp=90.0, at=103.0):
+    """Return a change that may be in the store, in force from ``at`` on."""
     row = cluster.ChangeRow(6, at, change, 'w', 1, 1)
     return cluster.Uncertain(row, stamp)
 
 
 def extend_lease(*peers, lease=101.0, changes=()):
+    """Return the end of a lease after its extension at instant 100."""
     return readlease.extend(lease, 100.0, 5, peers, changes, RULES)
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -7,6 +7,7 @@
 
 
 def make_capacity(cores=64.0):
+    """Return the empty capacity of a worker that two entries share."""
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(cores, 4096, 0))
     for name in ('near', 'far'):
@@ -15,11 +16,16 @@
 
 
 def make_want(slack, count=1):
+    """Return the want of an entry with some waiting tasks.
+
+    :param slack: seconds until the latest start of the most urgent one.
+    """
     total = types.Needs(6.0 * count, 64 * count, 0)
     return messages.Want(count, TASK, slack, total)
 
 
 def acquire_all(capacity):
+    """Acquire capacity for runs until no further run fits."""
     while capacity.acquire(TASK):
         pass
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,6 +8,7 @@
 
 
 def make_slots(*owners, total=8):
+    """Return an agent's slots, leased to these entries."""
     leases = slots.Slots()
     leases.resize(total)
     for owner in owners:
