--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -21,11 +21,19 @@
 from agatepick import types
 
 START = 1_000_000.0
-DELAY = 0.001
-TICK = 0.05
+DELAY_SECONDS = 0.001
+"""Time that a message takes on a link."""
+
+TICK_SECONDS = 0.05
 RESEND_SECONDS = 1.3
+"""Pause before a caller submits a job again that was not answered."""
+
 SILENCE_SECONDS = 1.2
+"""Time from the cut of a connection until both ends close it."""
+
 REDIAL_SECONDS = 0.1
+"""Pause before two processes are connected again."""
+
 ROUTE = routes.Route('q', 'host', '/q/', 'pool')
 CAPACITY = types.Needs(64.0, 1024, 0)
 NEEDS = types.Needs(6.0, 64, 0)
@@ -100,7 +108,7 @@
             return result.STALE_RUN
         if not self.has_room(name):
             return result.NO_ROOM
-        self.world.check_start(self, name)
+        self.world.record_start(self, name)
         self.highest_runs[name] = run
         seconds = self.world.get_run_seconds(name) * self.slowness
         self.runs[name] = (run, self.world.now + seconds, until)
@@ -163,8 +171,9 @@
     def __init__(self, entries=2, agents=3, seed=0, listed=False):
         """Create and start all processes.
 
-        :param listed: whether agents dial the entries that they serve;
-            otherwise all processes are connected.
+        :param listed: whether agents get a list of the entries and dial those
+            that they choose to serve; otherwise each agent is connected to
+            every entry from the start.
         """
         self.listed = listed
         self.store_unavailable = False
@@ -249,7 +258,10 @@
         )
 
     def kill(self, name, back_after=0.5):
-        """Kill a process; its callers and peers get broken connections."""
+        """Kill a process; its callers and peers get broken connections.
+
+        :param back_after: seconds until the process is started again.
+        """
         node = self.nodes[name]
         node.alive = False
         for pair in [pair for pair in self.connected if name in pair]:
@@ -278,7 +290,10 @@
     # Callers
 
     def submit(self, spec, to=None):
-        """Submit a job at a running entry, or later if none is running."""
+        """Submit a job at a running entry, or later if none is running.
+
+        :param to: name of the entry; by default one is drawn.
+        """
         running = [node.name for node in self.entries() if node.alive]
         if not running:
             self.schedule(RESEND_SECONDS, self.submit, spec)
@@ -288,7 +303,7 @@
         self.waiting[call] = (name, spec)
         self.feed(name, events.JobArrived(call, spec))
 
-    def leave(self, key):
+    def close_caller(self, key):
         """Close the connection of a job's caller."""
         for call, (name, spec) in list(self.waiting.items()):
             if spec.key == key:
@@ -299,7 +314,8 @@
         """Return the true run time of a task."""
         return 0.05 + (sum(task.encode()) % 40) / 100.0
 
-    def check_start(self, worker, name):
+    def record_start(self, worker, name):
+        """Record the start of a task and any other run that it still has."""
         key = name.rpartition('.')[0]
         self.started_jobs.add(key)
         for other in self.workers.values():
@@ -312,6 +328,7 @@
     # Time
 
     def schedule(self, seconds, action, *args):
+        """Call an action after some seconds of virtual time."""
         item = (self.now + seconds, next(self._order), action, args)
         heapq.heappush(self._heap, item)
 
@@ -324,6 +341,7 @@
         self.now = end
 
     def feed(self, name, event):
+        """Let a process handle an event, later if the process is suspended."""
         node = self.nodes[name]
         if not node.alive:
             return
@@ -345,7 +363,7 @@
         if node.alive and node.incarnation == incarnation:
             if self.now >= node.frozen_until:
                 self.feed(name, core.Tick())
-            self.schedule(TICK, self._tick, name, incarnation)
+            self.schedule(TICK_SECONDS, self._tick, name, incarnation)
 
     def _announce(self, name, incarnation):
         node = self.nodes[name]
@@ -400,7 +418,7 @@
 
     def delay(self, node, message):
         """Return the seconds until a message that is sent now arrives."""
-        return DELAY
+        return DELAY_SECONDS
 
     def _deliver(self, pair, connection, to, sender, message):
         if self.connected.get(pair) == connection and pair not in self.cuts:
@@ -425,7 +443,9 @@
                     )
             case core.Dial():
                 self.dialled.add(frozenset((node.name, effect.peer)))
-                self.schedule(DELAY, self._connect, node.name, effect.peer)
+                self.schedule(
+                    DELAY_SECONDS, self._connect, node.name, effect.peer
+                )
             case core.Hangup():
                 pair = frozenset((node.name, effect.peer))
                 self.dialled.discard(pair)
@@ -504,8 +524,8 @@
                 event,
             )
             return
-        # Requests name the worker, not its incarnation: a new one accepts them
-        # too.
+        # Requests name the worker, not its incarnation, so a new incarnation
+        # accepts them too.
         result = worker.start(*args)
         event = workerapi.StartAnswered(effect.incarnation, effect.ref, result)
         self._answer(node, node.incarnation, event)
--- a/tests/test_deaths.py
+++ b/tests/test_deaths.py
@@ -12,11 +12,13 @@
 
 
 def key_at(instant, seed):
+    """Return a key that is stamped with an instant."""
     text = f'{int(instant * 1000):012x}'
     return f'{text[:8]}-{text[8:]}-7{seed % 4096:03x}-8000-{seed:012x}'
 
 
 def owner(key, dead_entries):
+    """Return the entry that owns a key, given the detected deaths."""
     members = dead_entries.exclude_dead(key, MEMBERS)
     return ownership.find_owner(key, members, SKEW)
 
@@ -93,7 +95,7 @@
     assert dead_entries.exclude_dead(early, members) == members
 
 
-def test_a_lost_successor_of_a_dead_entry_is_taken_over_from():
+def test_the_jobs_of_a_lost_successor_of_a_dead_entry_are_taken_over():
     """One entry is killed, another serves its new keys and is lost as well.
 
     The second is removed while the first is still listed.  Unless the third
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -12,7 +12,7 @@
 
 
 def list_routes(front):
-    """Return the path templates that a server handles, with methods."""
+    """Return the path templates that a server handles, with their methods."""
     openapi_front = front(lambda event: None)
     methods_by_path = {}
     for route in [
@@ -40,9 +40,9 @@
 
 
 def test_answers_have_the_fields_that_the_file_names(serve):
-    """Callers generate their types from the file.
+    """Callers generate their types from the OpenAPI file.
 
-    Their clients would drop members that the file doesn't define.
+    Their clients would drop members that the OpenAPI file doesn't define.
     """
     schemas = json.loads(openapi.DOCUMENT_FILE.read_text())['components'][
         'schemas'
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -52,8 +52,8 @@
 def test_an_opened_worker_is_published_at_once():
     """A worker started, and its first list shows that no run is left there.
 
-    After a power loss all callers wait for that, and the update on its
-    capacity, a moment before, must not delay it.
+    After a power loss all callers wait for the update that the worker is open.
+    The change of its capacity, a moment before, must not delay that update.
     """
     capacity = sharing.SharedCapacity()
     publisher = publishing.Publisher(1, capacity, health.Health())
@@ -69,6 +69,7 @@
 def simulate(rng, places, seconds):
     """Simulate an entry and others that start and end runs at one worker.
 
+    :param places: number of runs that fit at the worker at a time.
     :returns: the longest time for which the entry assumed a wrong number of
         slots, and a wrong number of cores; and the updates per start or end.
     """
@@ -110,9 +111,9 @@
 
 @pytest.mark.parametrize('seed', range(3))
 def test_significant_changes_are_published_soon(seed):
-    """An entry that assumes slots that are used sends starts in vain.
+    """An entry that counts used slots as free sends starts in vain.
 
-    If it gets no update on released ones, its callers wait.
+    If it gets no update on released slots, its callers wait.
     """
     longest, _ = simulate(random.Random(seed), 3, 20.0)
     assert longest['places'] <= publishing.MIN_UPDATE_SECONDS + 0.002
@@ -130,7 +131,11 @@
 
 
 def test_free_capacity_is_published_after_a_grant_or_refusal():
-    """An entry answered a grant or was refused; capacity is free again."""
+    """An entry has answered a grant, or a start of it was refused.
+
+    It sends no starts until the next update, so without one it would send none
+    although capacity is free.
+    """
     capacity = sharing.SharedCapacity()
     capacity.resize(types.Needs(60.0, 640, 0))
     publisher = publishing.Publisher(1, capacity, health.Health())
@@ -146,7 +151,10 @@
 
 
 def test_a_leaving_entry_gets_an_update_at_once():
-    """Another entry replaced it; starts that it sends would be refused."""
+    """An agent serves another entry instead of one of its entries.
+
+    Starts that the leaving entry still sends would be refused.
+    """
     capacity = sharing.SharedCapacity()
     capacity.resize(TASK)
     publisher = publishing.Publisher(1, capacity, health.Health())
