--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -199,7 +199,7 @@
     loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
     loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
-    proc.measures.register(proc.gauges, lambda: store.counts)
+    proc.measures.register(proc.gauges, lambda: store.call_counts)
     _serve_metrics(cfg, proc.measures)
     tasks = [loop.create_task(coroutine) for coroutine in coroutines]
     tasks.append(loop.create_task(_reload(cfg, path, store, reload_requested)))
--- a/src/agatepick/platform/rows.py
+++ b/src/agatepick/platform/rows.py
@@ -71,12 +71,12 @@
 class RowStore:
     """A client of the store at one address.
 
-    :ivar counts: number of calls, by path and status or ``no_answer``.
+    :ivar call_counts: number of calls, by path and status or ``no_answer``.
     """
 
     def __init__(self, address: str):
         self.address = address
-        self.counts: collections.Counter[tuple[str, str]] = (
+        self.call_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
         self._client: httpcalls.Client | None = None
@@ -228,9 +228,9 @@
                 method, path + query, timeout_seconds, body, JSON_HEADERS
             )
         except OSError as exc:
-            self.counts[path, 'no_answer'] += 1
+            self.call_counts[path, 'no_answer'] += 1
             raise self._make_error(repr(exc), path) from exc
-        self.counts[path, str(answer.status)] += 1
+        self.call_counts[path, str(answer.status)] += 1
         return answer.status, answer.body
 
     def _make_error(self, what: str, step: str) -> exceptions.StoreUnavailable:
--- a/src/agatepick/platform/worker.py
+++ b/src/agatepick/platform/worker.py
@@ -104,7 +104,7 @@
         while len(self._samples) > 1 and self._samples[0][0] < oldest:
             self._samples.pop(0)
 
-    def get_instant(self, seconds: float) -> int:
+    def get_instant(self, delay_seconds: float) -> int:
         """Return the instant of the worker's clock some seconds from now.
 
         :returns: milliseconds.
@@ -112,7 +112,7 @@
         # Each sample of the offset is too low by the transit time of its
         # message; the highest is closest.
         offset = max((sample[1] for sample in self._samples), default=0.0)
-        return int((self._clock.now() + seconds) * 1000.0 + offset)
+        return int((self._clock.now() + delay_seconds) * 1000.0 + offset)
 
 
 class WorkerClient:
@@ -154,7 +154,7 @@
         """Extend the lease and request the running and ended runs."""
         body: dict[str, typing.Any] = {
             'fencing_token': FENCING_TOKEN,
-            'last_seen': effect.last_end,
+            'last_seen': effect.last_end_number,
             'wait_ms': int(effect.wait_seconds * 1000),
         }
         if effect.lease_seconds:
@@ -163,7 +163,7 @@
             )
         self._spawn(self._request_lists(effect, body))
 
-    async def fetch_born(self, name: str) -> int:
+    async def fetch_born(self, worker_id: str) -> int:
         """Return the instant of the worker's start, in milliseconds.
 
         The request has no effect: it extends no lease, and the worker lists
@@ -175,7 +175,7 @@
         try:
             status, data = await self._post(
                 '/v1/hold',
-                make_incarnation(name, 0),
+                make_incarnation(worker_id, 0),
                 body,
                 REQUEST_TIMEOUT_SECONDS,
             )
@@ -256,10 +256,10 @@
         self, effect: workerapi.RequestLists, body: dict[str, typing.Any]
     ) -> None:
         sent_at = self._clock.now()
-        seconds = effect.wait_seconds + LISTS_MARGIN_SECONDS
+        timeout_seconds = effect.wait_seconds + LISTS_MARGIN_SECONDS
         try:
             status, data = await self._post(
-                '/v1/hold', effect.incarnation, body, seconds
+                '/v1/hold', effect.incarnation, body, timeout_seconds
             )
         except OSError as exc:
             refused = isinstance(exc, ConnectionRefusedError)
@@ -315,14 +315,14 @@
         path: str,
         incarnation: str,
         body: dict[str, typing.Any],
-        seconds: float,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
         headers = {
             **rows.JSON_HEADERS,
             'X-Target-Instance': get_id(incarnation),
         }
         answer = await self._client.call(
-            'POST', path, seconds, msgspec.json.encode(body), headers
+            'POST', path, timeout_seconds, msgspec.json.encode(body), headers
         )
         return answer.status, answer.body
 
@@ -345,12 +345,12 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def make_incarnation(name: str, born: int) -> str:
+def make_incarnation(worker_id: str, born: int) -> str:
     """Return the name of one incarnation of a worker.
 
     A worker may restart under the same id.
     """
-    return f'{name}@{born}'
+    return f'{worker_id}@{born}'
 
 
 def get_id(incarnation: str) -> str:
--- a/src/agatepick/repeatable/events.py
+++ b/src/agatepick/repeatable/events.py
@@ -20,7 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """Event: the caller of a request closed its connection."""
+    """Event: the caller of a request closed its connection.
+
+    :param call: number of the request.
+    """
 
     call: int
 
@@ -64,7 +67,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Effect: answer a caller's request."""
+    """Effect: answer a caller's request.
+
+    :param call: number of the request.
+    """
 
     call: int
     answer: jobs.Answer
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -244,7 +244,7 @@
         return _LEVELS[max(0, min(tasks, MAX_COUNTED_TASKS))]
 
     def _build_update(
-        self, owner: runs.Owner, free: types.Needs, grant: int = 0
+        self, owner: runs.Owner, free: types.Needs, grant_number: int = 0
     ) -> messages.Room:
         """Return a capacity update for one entry."""
         worker = self._worker
@@ -255,7 +255,7 @@
             worker.labels if worker else (),
             worker.capacity if worker else types.Needs(),
             free,
-            grant,
+            grant_number,
             owner.last_start_number,
             self._entry_count,
             self._cost,
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -79,8 +79,8 @@
         self._on_refused = on_refused
         self._list_requests = list_requests.ListRequests()
         self._announced_at = 0.0
-        self._last_end_handled = 0
-        self._last_end_acknowledged = 0
+        self._last_handled_end_number = 0
+        self._last_acknowledged_end_number = 0
         self._lease_until = 0.0
         self._unowned_stopped_at = 0.0
         # Whether no run that an earlier incarnation of this process started is
@@ -189,11 +189,11 @@
         self, event: workerapi.WorkerAnnounced, now: float
     ) -> list[object]:
         self.worker = event
-        self._last_end_handled = 0
+        self._last_handled_end_number = 0
         # Runs that an earlier incarnation of this process started continue
         # until their lease expires, and use capacity meanwhile: the next list
         # shows them.
-        self._last_end_acknowledged = NO_LIST_YET
+        self._last_acknowledged_end_number = NO_LIST_YET
         self._earlier_runs_over = False
         self._list_requests.reset(now)
         until = now + leases.MAX_WORKER_EXPIRY_SECONDS
@@ -357,7 +357,7 @@
         busy = bool(self.runs)
         silent = self._list_requests.is_silent(now)
         acknowledged = (
-            self._last_end_acknowledged == self._last_end_handled
+            self._last_acknowledged_end_number == self._last_handled_end_number
             and self._earlier_runs_over
         )
         if acknowledged and not busy and not silent:
@@ -366,13 +366,13 @@
         if busy and not silent and self._has_renewed_run(now):
             lease = leases.WORKER_LEASE_SECONDS
             self._extend_lease(now)
-        first_request = self._last_end_acknowledged == NO_LIST_YET
+        first_request = self._last_acknowledged_end_number == NO_LIST_YET
         waits = busy or not self._earlier_runs_over and not first_request
         wait = list_requests.WAIT_SECONDS if waits else 0.0
         self._list_requests.record_request(wait, now)
         return [
             workerapi.RequestLists(
-                worker.incarnation, self._last_end_handled, lease, wait
+                worker.incarnation, self._last_handled_end_number, lease, wait
             )
         ]
 
@@ -406,7 +406,7 @@
         if worker is None or worker.incarnation != event.incarnation:
             return []
         self._list_requests.record_answer(now)
-        self._last_end_acknowledged = self._last_end_handled
+        self._last_acknowledged_end_number = self._last_handled_end_number
         effects: list[object] = []
         for end in event.ended:
             effects += self._handle_end(end, now)
@@ -437,9 +437,9 @@
         return [core.note('worker_silent', life=event.incarnation)]
 
     def _handle_end(self, end: workerapi.EndedRun, now: float) -> list[object]:
-        if end.number <= self._last_end_handled:
+        if end.number <= self._last_handled_end_number:
             return []
-        self._last_end_handled = end.number
+        self._last_handled_end_number = end.number
         run = self.runs.get(end.name)
         if run is None or run.ref.run != end.run:
             return []
--- a/src/agatepick/repeatable/sharing.py
+++ b/src/agatepick/repeatable/sharing.py
@@ -40,13 +40,13 @@
 class Share:
     """Capacity request and grant of one entry.
 
-    :ivar grant: number of its grant; 0 if it has none.
+    :ivar grant_number: number of its grant; 0 if it has none.
     :ivar grant_seconds: seconds for which a grant to it is valid.
     """
 
     want: messages.Want | None = None
     want_received_at: float = 0.0
-    grant: int = 0
+    grant_number: int = 0
     granted_capacity: types.Needs = types.Needs()
     granted_at: float = 0.0
     grant_seconds: float = GRANT_SECONDS
@@ -59,7 +59,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Capacity reserved for one entry."""
+    """Capacity reserved for one entry.
+
+    :param number: number by which the entry answers the grant.
+    """
 
     entry: types.PeerName
     number: int
@@ -84,7 +87,7 @@
         """Capacity that is neither used nor reserved for an entry."""
         free = self._capacity - self._used
         for share in self._shares.values():
-            if share.grant:
+            if share.grant_number:
                 free = free - share.granted_capacity
         return free
 
@@ -130,14 +133,14 @@
             )
             share.grant_seconds = min(grant_seconds, MAX_GRANT_SECONDS)
 
-    def end_grant(self, entry: types.PeerName, grant: int) -> None:
+    def end_grant(self, entry: types.PeerName, grant_number: int) -> None:
         """End a grant that the entry answered.
 
         The runs that the answer starts acquire their capacity separately.
         """
         share = self._shares.get(entry)
-        if share is not None and share.grant == grant:
-            share.grant = 0
+        if share is not None and share.grant_number == grant_number:
+            share.grant_number = 0
             self.change_count += 1
 
     def acquire(self, needs: types.Needs) -> bool:
@@ -177,7 +180,7 @@
         ends = [
             share.granted_at + share.grant_seconds
             for share in self._shares.values()
-            if share.grant
+            if share.grant_number
         ]
         return min(ends, default=None)
 
@@ -189,18 +192,21 @@
         capacity = capacity.at_most(share.want.total)
         self._last_grant_number += 1
         self.change_count += 1
-        share.grant = self._last_grant_number
+        share.grant_number = self._last_grant_number
         share.granted_capacity = capacity
         share.granted_at = now
         # The entry's answer to the grant contains a new request if tasks still
         # wait.
         share.want = None
-        return Grant(name, share.grant, capacity)
+        return Grant(name, share.grant_number, capacity)
 
     def _expire(self, now: float) -> None:
         for share in self._shares.values():
-            if share.grant and now >= share.granted_at + share.grant_seconds:
-                share.grant = 0
+            if (
+                share.grant_number
+                and now >= share.granted_at + share.grant_seconds
+            ):
+                share.grant_number = 0
                 self.change_count += 1
             if share.want and now >= share.want_received_at + WANT_TTL_SECONDS:
                 share.want = None
@@ -208,4 +214,6 @@
 
 def _can_grant(share: Share, free: types.Needs) -> bool:
     want = share.want
-    return want is not None and not share.grant and want.least.fits(free)
+    return (
+        want is not None and not share.grant_number and want.least.fits(free)
+    )
--- a/src/agatepick/repeatable/workerapi.py
+++ b/src/agatepick/repeatable/workerapi.py
@@ -77,6 +77,7 @@
 class StartRun:
     """Effect: start a run at the worker.
 
+    :param name: name of the task at the worker.
     :param lease_seconds: time by which the worker's lease is extended.
     """
 
@@ -99,7 +100,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRun:
-    """Effect: stop a run; the worker won't start it later either."""
+    """Effect: stop a run; the worker won't start it later either.
+
+    :param name: name of the task at the worker.
+    :param run: number of the run.
+    """
 
     incarnation: str
     name: str
@@ -108,7 +113,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopAnswered:
-    """Event: the worker acknowledged a stop, or the stop failed."""
+    """Event: the worker acknowledged a stop, or the stop failed.
+
+    :param name: name of the task at the worker.
+    :param run: number of the run.
+    """
 
     incarnation: str
     name: str
@@ -120,14 +129,14 @@
 class RequestLists:
     """Effect: extend the worker's lease and request its lists of runs.
 
-    :param last_end: number of the last end that the agent has handled.
+    :param last_end_number: number of the last end that the agent has handled.
     :param lease_seconds: time by which the lease is extended; 0 for none.
     :param wait_seconds: time for which the worker may delay its lists until a
         run ends.
     """
 
     incarnation: str
-    last_end: int
+    last_end_number: int
     lease_seconds: float
     wait_seconds: float
 
@@ -142,7 +151,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningRun:
-    """One run that is running at the worker."""
+    """One run that is running at the worker.
+
+    :param name: name of the task at the worker.
+    :param run: number of the run.
+    """
 
     name: str
     run: int
@@ -153,6 +166,8 @@
     """One run that ended at the worker.
 
     :param number: sequence number among the worker's ends.
+    :param name: name of the task at the worker.
+    :param run: number of the run.
     """
 
     number: int
--- a/tests/repeatable_world.py
+++ b/tests/repeatable_world.py
@@ -120,13 +120,15 @@
         for name, (run, end_at, before) in self.runs.items():
             self.runs[name] = (run, end_at, max(before, until))
 
-    def list_runs(self, last_end):
+    def list_runs(self, last_end_number):
         self.expire()
         running = tuple(
             workerapi.RunningRun(name, run[0])
             for name, run in self.runs.items()
         )
-        ended = tuple(end for end in self.ended if end.number > last_end)
+        ended = tuple(
+            end for end in self.ended if end.number > last_end_number
+        )
         return running, ended
 
     def _end(self, name, run, kind, reason):
@@ -558,7 +560,7 @@
 
     def _answer_list_request(self, node, incarnation, effect, requested_at):
         worker = self.workers[node.name]
-        running, ended = worker.list_runs(effect.last_end)
+        running, ended = worker.list_runs(effect.last_end_number)
         event = workerapi.ListsReceived(
             worker.incarnation, requested_at, running, ended
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -277,8 +277,8 @@
         store.mode = platform_standins.CALM
         await asyncio.wait_for(task, 10)
         assert len(store.rows) == 1
-        assert client.counts['/v1/rows-tx', 'no_answer'] >= 1
-        assert client.counts['/v1/rows-tx', '200'] == 1
+        assert client.call_counts['/v1/rows-tx', 'no_answer'] >= 1
+        assert client.call_counts['/v1/rows-tx', '200'] == 1
         await client.close()
 
     run(main)
