--- a/src/agatepick/repeatable/admission.py
+++ b/src/agatepick/repeatable/admission.py
@@ -316,7 +316,7 @@
                 job.spec.tasks[index].needs.cpu for index in job.waiting
             )
         workers = self._pool.usable_workers(spec.route.pool, '', now)
-        median = pool.median_cost(workers)
+        median = pool.compute_median_cost(workers)
         free, share = 0.0, 0.0
         for worker in workers:
             if worker.room is None or not pool.is_healthy(worker, median):
--- a/src/agatepick/repeatable/entry.py
+++ b/src/agatepick/repeatable/entry.py
@@ -306,7 +306,7 @@
                 all_began=_format_seconds(
                     job.arrived_at, job.get_last_sent_at()
                 ),
-                slowest=f'{job.slowest():.3f}',
+                slowest=f'{job.compute_longest_run():.3f}',
                 late=f'{now - job.objective_ends_at:.3f}',
             ),
             *[events.Reply(call, answer) for call in job.calls],
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -118,7 +118,7 @@
         if job.answered:
             self._jobs.remove_if_ended(job)
             return []
-        if not job.open_tasks:
+        if not job.open_task_count:
             return self._end_job(job, jobs.Answer(jobs.Verdict.COMPLETE), now)
         if job.queue_ready_tasks():
             self._waiting.add(job)
@@ -132,10 +132,10 @@
         now: float,
     ) -> list[object]:
         record = job.records[report.index]
-        record.failures += 1
+        record.failure_count += 1
         record.agents_to_avoid = record.agents_to_avoid | {worker.name}
         effects: list[object] = []
-        if record.failures >= job.spec.route.max_attempts:
+        if record.failure_count >= job.spec.route.max_attempts:
             record.state = owned_jobs.TaskState.ENDED
             if not job.answered:
                 answer = jobs.Answer(jobs.Verdict.FAILED, 'task_failed')
@@ -152,9 +152,9 @@
     ) -> list[object]:
         record = job.records[report.index]
         if report.reason in _WORKER_REASONS:
-            record.refusals += 1
-            if record.refusals > 1:
-                pause = REFUSED_DELAYS.get_delay(record.refusals - 1)
+            record.refusal_count += 1
+            if record.refusal_count > 1:
+                pause = REFUSED_DELAYS.get_delay(record.refusal_count - 1)
                 record.retry_at = now + pause
         if report.reason == 'stale_run':
             record.run += STALE_RUN_STEP
--- a/src/agatepick/repeatable/owned_jobs.py
+++ b/src/agatepick/repeatable/owned_jobs.py
@@ -35,22 +35,22 @@
     """Record of one task of an owned job.
 
     :ivar run: number of its last run.
-    :ivar failures: number of runs that failed.
+    :ivar failure_count: number of runs that failed.
     :ivar agents_to_avoid: agents at which the task failed or was slow.
     :ivar stopping: whether a stop was sent for its run.
-    :ivar moves: times that a slow run was moved to another worker.
-    :ivar refusals: number of starts that workers refused.
+    :ivar move_count: times that a slow run was moved to another worker.
+    :ivar refusal_count: number of starts that workers refused.
     :ivar retry_at: instant from which it may be sent to a worker again.
     """
 
     state: TaskState = TaskState.BLOCKED
     agent: types.PeerName = ''
     run: int = 0
-    failures: int = 0
+    failure_count: int = 0
     placed_at: float = 0.0
     stopping: bool = False
-    moves: int = 0
-    refusals: int = 0
+    move_count: int = 0
+    refusal_count: int = 0
     retry_at: float = 0.0
     agents_to_avoid: frozenset[types.PeerName] = frozenset()
 
@@ -66,7 +66,7 @@
     :ivar check_at: instant of the next check for stragglers.
     :ivar calls: requests that wait for its answer; more than one if a caller
         submitted the job again.
-    :ivar open_tasks: number of tasks that haven't finished.
+    :ivar open_task_count: number of tasks that haven't finished.
     :ivar run_seconds: run times of finished tasks by step.
     """
 
@@ -88,7 +88,7 @@
         self.started_at: float | None = None
         self.answered = False
         self.check_at = 0.0
-        self.open_tasks = len(spec.tasks)
+        self.open_task_count = len(spec.tasks)
         self.run_seconds: dict[int, list[float]] = {}
         self._open_by_step = [0] * len(spec.after)
         for task in spec.tasks:
@@ -143,7 +143,7 @@
         step = self.spec.tasks[index].step
         self.run_seconds.setdefault(step, []).append(seconds)
         self._open_by_step[step] -= 1
-        self.open_tasks -= 1
+        self.open_task_count -= 1
         # The expected run time of the other tasks of this step has changed, so
         # their runs are checked for stragglers again.
         self.check_at = 0.0
@@ -154,7 +154,7 @@
             return None
         return max(record.placed_at for record in self.records)
 
-    def slowest(self) -> float:
+    def compute_longest_run(self) -> float:
         """Return the longest run time of the finished tasks."""
         longest_runs = [max(seconds) for seconds in self.run_seconds.values()]
         return max(longest_runs, default=0.0)
@@ -172,7 +172,7 @@
         ):
             return False
         return last_sent_at > self.arrived_at + self.spec.route.slack(
-            self.slowest()
+            self.compute_longest_run()
         )
 
     def placed_indexes(self) -> list[int]:
--- a/src/agatepick/repeatable/placing.py
+++ b/src/agatepick/repeatable/placing.py
@@ -179,7 +179,7 @@
                 record.run,
                 task.name,
                 task.needs,
-                expected_run_seconds(self._estimator, job, index),
+                estimate_run_seconds(self._estimator, job, index),
             )
         )
 
@@ -251,7 +251,7 @@
         return more_urgent and now >= self.sent_at + MIN_WANT_INTERVAL_SECONDS
 
 
-def expected_run_seconds(
+def estimate_run_seconds(
     estimator: estimating.Estimator, job: owned_jobs.OwnedJob, index: int
 ) -> float:
     """Return the expected seconds of one task's run."""
--- a/src/agatepick/repeatable/pool.py
+++ b/src/agatepick/repeatable/pool.py
@@ -192,7 +192,7 @@
 
     def __init__(self, workers: list[Worker], rng: random.Random) -> None:
         self._rng = rng
-        median = median_cost(workers)
+        median = compute_median_cost(workers)
         self.workers = [
             worker for worker in workers if _accepts_work(worker, median)
         ]
@@ -234,7 +234,7 @@
         return steps, jitter - emptiness
 
 
-def median_cost(workers: list[Worker]) -> float:
+def compute_median_cost(workers: list[Worker]) -> float:
     """Return the median cost, to which each worker's cost is compared."""
     if not workers:
         return 1.0
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -220,7 +220,7 @@
         effects: list[object] = []
         for run in list(self.runs.values()):
             # A start that is still in transit may reach the next incarnation.
-            if not run.unanswered_starts:
+            if not run.unanswered_start_count:
                 effects += self._end_run(run, types.RunState.OVER, reason, now)
         return effects
 
@@ -251,7 +251,7 @@
         worker = self.worker
         assert worker is not None
         run.start_count += 1
-        run.unanswered_starts += 1
+        run.unanswered_start_count += 1
         run.start_sent_at = now
         self._extend_lease(now)
         return [
@@ -284,14 +284,17 @@
         run = self._find_run(event.incarnation, event.ref)
         if run is None:
             return []
-        run.unanswered_starts -= 1
+        run.unanswered_start_count -= 1
         if event.result is workerapi.StartResult.STARTED:
             run.confirmed_at = run.confirmed_at or now
             return []
         if run.confirmed_at or run.stopping:
             return []
         if event.result is workerapi.StartResult.UNKNOWN:
-            if run.unanswered_starts or run.start_count < MAX_START_ATTEMPTS:
+            if (
+                run.unanswered_start_count
+                or run.start_count < MAX_START_ATTEMPTS
+            ):
                 # Another start is in transit, or will be sent at the next
                 # check.
                 return []
--- a/src/agatepick/repeatable/runs.py
+++ b/src/agatepick/repeatable/runs.py
@@ -45,7 +45,7 @@
     :ivar requested_at: instant at which the entry's start message arrived.
     :ivar expected_seconds: expected run time; 0 if there is none.
     :ivar start_count: number of starts sent.
-    :ivar unanswered_starts: number of these that may still be answered.
+    :ivar unanswered_start_count: number of these that may still be answered.
     :ivar confirmed_at: when the worker answered the start; 0 before.
     :ivar stop_acknowledged_at: when the worker acknowledged a stop; 0 before.
     :ivar next_overdue_ratio: multiple of the expected time at which the run
@@ -60,7 +60,7 @@
     requested_at: float
     expected_seconds: float
     start_count: int = 0
-    unanswered_starts: int = 0
+    unanswered_start_count: int = 0
     start_sent_at: float = 0.0
     confirmed_at: float = 0.0
     stopping: bool = False
--- a/src/agatepick/repeatable/stragglers.py
+++ b/src/agatepick/repeatable/stragglers.py
@@ -75,7 +75,7 @@
             index: self._due_at(job, index)
             for index in job.placed_indexes()
             if not job.records[index].stopping
-            and job.records[index].moves < MAX_MOVES
+            and job.records[index].move_count < MAX_MOVES
         }
         job.check_at = min([now + MAX_CHECK_INTERVAL_SECONDS, *due.values()])
         return [
@@ -94,14 +94,14 @@
         return placed_at + STRAGGLER_SPARE_SECONDS + allowed_seconds
 
     def _estimate_seconds(self, job: owned_jobs.OwnedJob, index: int) -> float:
-        seconds = placing.expected_run_seconds(self._estimator, job, index)
+        seconds = placing.estimate_run_seconds(self._estimator, job, index)
         return max(seconds, MIN_EXPECTED_SECONDS)
 
     def _mark_straggler(
         self, job: owned_jobs.OwnedJob, index: int, now: float
     ) -> Straggler:
         record = job.records[index]
-        record.moves += 1
+        record.move_count += 1
         record.agents_to_avoid = record.agents_to_avoid | {record.agent}
         note = core.note(
             'run_stuck',
