--- a/src/agatepick/platform/programs.py
+++ b/src/agatepick/platform/programs.py
@@ -55,7 +55,7 @@
 STOP_MARGIN_SECONDS = 0.4
 """Time between the end of a graceful stop and the platform's kill."""
 
-RELOAD_SECONDS = 1.0
+RELOAD_INTERVAL_SECONDS = 1.0
 """Interval of checks of the settings file, which may change without SIGHUP."""
 
 
@@ -199,7 +199,7 @@
     loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
     loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
-    proc.measures.register(proc.gauges, lambda: store.counts)
+    proc.measures.register(proc.gauges, lambda: store.call_counts)
     _serve_metrics(cfg, proc.measures)
     tasks = [loop.create_task(coroutine) for coroutine in coroutines]
     tasks.append(loop.create_task(_reload(cfg, path, store, reload_requested)))
@@ -227,7 +227,9 @@
     changed_at = os.stat(path).st_mtime
     while True:
         try:
-            await asyncio.wait_for(reload_requested.wait(), RELOAD_SECONDS)
+            await asyncio.wait_for(
+                reload_requested.wait(), RELOAD_INTERVAL_SECONDS
+            )
         except TimeoutError:
             pass
         try:
--- a/src/agatepick/repeatable/publishing.py
+++ b/src/agatepick/repeatable/publishing.py
@@ -124,7 +124,7 @@
         self._worker = worker
         self._open = is_open
         agent_counts = [
-            owner.agents for owner in owners.values() if owner.connected
+            owner.agent_count for owner in owners.values() if owner.connected
         ]
         self._entry_count = len(agent_counts)
         self._max_agents = max(agent_counts, default=1)
@@ -244,7 +244,7 @@
         return _LEVELS[max(0, min(tasks, MAX_COUNTED_TASKS))]
 
     def _build_update(
-        self, owner: runs.Owner, free: types.Needs, grant: int = 0
+        self, owner: runs.Owner, free: types.Needs, grant_number: int = 0
     ) -> messages.Room:
         """Return a capacity update for one entry."""
         worker = self._worker
@@ -255,8 +255,8 @@
             worker.labels if worker else (),
             worker.capacity if worker else types.Needs(),
             free,
-            grant,
-            owner.taken,
+            grant_number,
+            owner.last_start_number,
             self._entry_count,
             self._cost,
         )
--- a/src/agatepick/repeatable/run_controller.py
+++ b/src/agatepick/repeatable/run_controller.py
@@ -79,8 +79,8 @@
         self._on_refused = on_refused
         self._list_requests = list_requests.ListRequests()
         self._announced_at = 0.0
-        self._last_end_handled = 0
-        self._last_end_acknowledged = 0
+        self._last_handled_end_number = 0
+        self._last_acknowledged_end_number = 0
         self._lease_until = 0.0
         self._unowned_stopped_at = 0.0
         # Whether no run that an earlier incarnation of this process started is
@@ -189,11 +189,11 @@
         self, event: workerapi.WorkerAnnounced, now: float
     ) -> list[object]:
         self.worker = event
-        self._last_end_handled = 0
+        self._last_handled_end_number = 0
         # Runs that an earlier incarnation of this process started continue
         # until their lease expires, and use capacity meanwhile: the next list
         # shows them.
-        self._last_end_acknowledged = NO_LIST_YET
+        self._last_acknowledged_end_number = NO_LIST_YET
         self._earlier_runs_over = False
         self._list_requests.reset(now)
         until = now + leases.MAX_WORKER_EXPIRY_SECONDS
@@ -220,7 +220,7 @@
         effects: list[object] = []
         for run in list(self.runs.values()):
             # A start that is still in transit may reach the next incarnation.
-            if not run.unanswered:
+            if not run.unanswered_start_count:
                 effects += self._end_run(run, types.RunState.OVER, reason, now)
         return effects
 
@@ -250,8 +250,8 @@
     def _send_start(self, run: runs.Run, now: float) -> list[object]:
         worker = self.worker
         assert worker is not None
-        run.starts += 1
-        run.unanswered += 1
+        run.start_count += 1
+        run.unanswered_start_count += 1
         run.start_sent_at = now
         self._extend_lease(now)
         return [
@@ -275,7 +275,7 @@
     def _can_retry_start(self, run: runs.Run) -> bool:
         if self.worker is None or run.confirmed_at or run.stopping:
             return False
-        return run.starts < MAX_START_ATTEMPTS
+        return run.start_count < MAX_START_ATTEMPTS
 
     def handle_start_answer(
         self, event: workerapi.StartAnswered, now: float
@@ -284,18 +284,21 @@
         run = self._find_run(event.incarnation, event.ref)
         if run is None:
             return []
-        run.unanswered -= 1
+        run.unanswered_start_count -= 1
         if event.result is workerapi.StartResult.STARTED:
             run.confirmed_at = run.confirmed_at or now
             return []
         if run.confirmed_at or run.stopping:
             return []
         if event.result is workerapi.StartResult.UNKNOWN:
-            if run.unanswered or run.starts < MAX_START_ATTEMPTS:
+            if (
+                run.unanswered_start_count
+                or run.start_count < MAX_START_ATTEMPTS
+            ):
                 # Another start is in transit, or will be sent at the next
                 # check.
                 return []
-        elif run.starts == 1:
+        elif run.start_count == 1:
             self.runs.pop(run.name)
             self._capacity.release(run.needs)
             return self.refuse(run.owner, run.ref, event.result.value)
@@ -357,7 +360,7 @@
         busy = bool(self.runs)
         silent = self._list_requests.is_silent(now)
         acknowledged = (
-            self._last_end_acknowledged == self._last_end_handled
+            self._last_acknowledged_end_number == self._last_handled_end_number
             and self._earlier_runs_over
         )
         if acknowledged and not busy and not silent:
@@ -366,13 +369,13 @@
         if busy and not silent and self._has_renewed_run(now):
             lease = leases.WORKER_LEASE_SECONDS
             self._extend_lease(now)
-        first_request = self._last_end_acknowledged == NO_LIST_YET
+        first_request = self._last_acknowledged_end_number == NO_LIST_YET
         waits = busy or not self._earlier_runs_over and not first_request
         wait = list_requests.WAIT_SECONDS if waits else 0.0
         self._list_requests.record_request(wait, now)
         return [
             workerapi.RequestLists(
-                worker.incarnation, self._last_end_handled, lease, wait
+                worker.incarnation, self._last_handled_end_number, lease, wait
             )
         ]
 
@@ -406,7 +409,7 @@
         if worker is None or worker.incarnation != event.incarnation:
             return []
         self._list_requests.record_answer(now)
-        self._last_end_acknowledged = self._last_end_handled
+        self._last_acknowledged_end_number = self._last_handled_end_number
         effects: list[object] = []
         for end in event.ended:
             effects += self._handle_end(end, now)
@@ -437,9 +440,9 @@
         return [core.note('worker_silent', life=event.incarnation)]
 
     def _handle_end(self, end: workerapi.EndedRun, now: float) -> list[object]:
-        if end.number <= self._last_end_handled:
+        if end.number <= self._last_handled_end_number:
             return []
-        self._last_end_handled = end.number
+        self._last_handled_end_number = end.number
         run = self.runs.get(end.name)
         if run is None or run.ref.run != end.run:
             return []
@@ -517,7 +520,7 @@
         self._capacity.release(run.needs)
         seconds = now - run.requested_at
         if state in _RESULTS:
-            ratio = seconds / max(run.expected, MIN_EXPECTED_SECONDS)
+            ratio = seconds / max(run.expected_seconds, MIN_EXPECTED_SECONDS)
             self._health.record_end(
                 state is types.RunState.FINISHED, ratio, now
             )
@@ -529,12 +532,12 @@
     def record_overdue_runs(self, now: float) -> None:
         """Record runs that exceed their expected time."""
         for run in self.runs.values():
-            if run.stopping or not run.expected:
+            if run.stopping or not run.expected_seconds:
                 continue
-            expected = max(run.expected, MIN_EXPECTED_SECONDS)
-            ratio = (now - run.requested_at) / expected
-            if ratio >= run.overdue_at:
-                run.overdue_at *= 2.0
+            expected_seconds = max(run.expected_seconds, MIN_EXPECTED_SECONDS)
+            ratio = (now - run.requested_at) / expected_seconds
+            if ratio >= run.next_overdue_ratio:
+                run.next_overdue_ratio *= 2.0
                 self._health.record_overdue(ratio, now)
 
     def next_due(self, now: float) -> float | None:
