--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -23,14 +23,14 @@
 from agatepick.owning import successors
 from agatepick import types
 
-LATE_START_SECONDS = 60.0
+KEY_GRACE_SECONDS = 60.0
 """Time for which a key stays valid at an agent after the retention window.  A
 job that is admitted at the end of the window starts its tasks a little later.
 """
-PAUSE_GAP_SECONDS = 1.0
+MAX_TICK_GAP_SECONDS = 1.0
 """Time between two ticks above which this process must have been paused; it is
 four times the usual interval."""
-RESULT_WAIT_SECONDS = 5.0
+MAX_RESULT_WAIT_SECONDS = 5.0
 """How long a stopping agent waits for disconnected entries to return and
 request their tasks' results."""
 
@@ -49,10 +49,10 @@
     :param seeds: addresses of entries, ``ip:port``.
     :param retention_seconds: seconds for which a job's key is valid.
     :param skew_seconds: seconds that a key may be stamped ahead of a clock.
-    :param clock_margin: largest offset between the agent's clock and an
-        entry's at which the agent starts that entry's tasks, in seconds.
-    :param result_delay: longest time that a report is held for batching, in
-        seconds.
+    :param clock_margin_seconds: largest offset between the agent's clock and
+        an entry's at which the agent starts that entry's tasks.
+    :param max_result_delay_seconds: longest time that a report is held for
+        batching.
     :param lease_seconds: longest term of an upstream's announcement.
     :param max_tasks: number of recorded attempts from which on the agent
         refuses new ones.
@@ -65,11 +65,11 @@
     seeds: tuple[str, ...] = ()
     retention_seconds: float = ownership.KEY_WINDOW_SECONDS
     skew_seconds: float = ownership.KEY_SKEW_SECONDS
-    clock_margin: float = 0.25
-    result_delay: float = 0.002
+    clock_margin_seconds: float = 0.25
+    max_result_delay_seconds: float = 0.002
     lease_seconds: float = 5.0
     max_tasks: int = ledger.MAX_TASKS
-    max_body_bytes: int = ledger.MAX_BODY_BYTES
+    max_body_bytes: int = ledger.MAX_STORED_BODY_BYTES
 
     @classmethod
     def from_settings(cls, cfg: settings.AgentSettings) -> 'AgentConfig':
@@ -81,7 +81,7 @@
             seeds=cfg.entries.seeds,
             retention_seconds=cfg.timing.retention_seconds,
             skew_seconds=cfg.timing.skew_seconds,
-            clock_margin=cfg.timing.margin_seconds,
+            clock_margin_seconds=cfg.timing.margin_seconds,
             lease_seconds=cfg.upstream.lease_seconds,
         )
 
@@ -93,8 +93,8 @@
         self._cfg = cfg
         self._incarnation = incarnation
         self._ledger = ledger.Ledger(
-            cfg.retention_seconds + LATE_START_SECONDS,
-            cfg.skew_seconds + cfg.clock_margin,
+            cfg.retention_seconds + KEY_GRACE_SECONDS,
+            cfg.skew_seconds + cfg.clock_margin_seconds,
             cfg.max_tasks,
             cfg.max_body_bytes,
         )
@@ -104,7 +104,7 @@
         self._successors = successors.Successors(cfg.skew_seconds)
         self._reporting = reporting.Reporting(
             incarnation,
-            cfg.result_delay,
+            cfg.max_result_delay_seconds,
             self._ledger,
             self._slots,
             self._entries,
@@ -126,7 +126,7 @@
         """Handle one event and return its effects in order of execution."""
         effects = self._handle_event(event, now)
         effects += self._reporting.flush(
-            self._upstream_state, self._draining, now
+            self._upstream_state, self._is_draining, now
         )
         effects += self._exit_when_done(now)
         wake_at = self._reporting.next_due_at()
@@ -304,7 +304,7 @@
             return ledger.REASON_FULL
         permit = startcheck.Permit(message.start_before, entry.clock.best)
         return permit.find_fault(
-            self._cfg.clock_margin, now
+            self._cfg.clock_margin_seconds, now
         ) or startcheck.find_capacity_fault(
             task, self._upstream_state, self._slots
         )
@@ -365,18 +365,18 @@
     # The upstream: announcement, expiry, draining.
 
     @property
-    def _draining(self) -> bool:
+    def _is_draining(self) -> bool:
         return self._upstream_state.leaving or self._stopping_at is not None
 
     def _on_announced(
         self, event: upstream.Announced, now: float
     ) -> list[object]:
-        old_state = (self._upstream_state.announced, self._draining)
+        old_state = (self._upstream_state.announced, self._is_draining)
         lost_tasks = self._upstream_state.set_announcement(event, now)
         for task in lost_tasks:
             self._slots.release(task.entry)
         self._reporting.report_lost(lost_tasks, REASON_RESTARTED, now)
-        return self._resize_if_changed(old_state != (event, self._draining))
+        return self._resize_if_changed(old_state != (event, self._is_draining))
 
     def _resize_if_changed(self, changed: bool) -> list[object]:
         if changed:
@@ -385,7 +385,7 @@
 
     def _resize(self) -> None:
         announced = self._upstream_state.announced
-        serving = announced is not None and not self._draining
+        serving = announced is not None and not self._is_draining
         self._slots.resize(announced.slots if announced and serving else 0)
         self._reporting.offer_all()
 
@@ -393,7 +393,7 @@
         previous_tick_at, self._last_tick_at = self._last_tick_at, now
         if (
             previous_tick_at is not None
-            and now - previous_tick_at > PAUSE_GAP_SECONDS
+            and now - previous_tick_at > MAX_TICK_GAP_SECONDS
         ):
             # Renewals that arrived during the pause are still in the sockets.
             # Unless the term is extended, the announcement would expire
@@ -422,7 +422,7 @@
             or len(self._upstream_state)
         ):
             return []
-        wait_over = now - self._stopping_at >= RESULT_WAIT_SECONDS
+        wait_over = now - self._stopping_at >= MAX_RESULT_WAIT_SECONDS
         if self._reporting.next_due_at() is not None:
             return []
         if self._reporting.has_undelivered() and not wait_over:
--- a/src/agatepick/agentside/announce.py
+++ b/src/agatepick/agentside/announce.py
@@ -18,7 +18,7 @@
 from agatepick.conf import settings
 from agatepick import types
 
-MAX_BODY_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = 64 * 1024
 RENEWALS_PER_TERM = 3
 """Number of renewals in the term of an announcement.  With three, it stays in
 force if two renewals in a row are lost."""
@@ -87,12 +87,12 @@
         [('/v1/upstream', _UpstreamHandler, handler_args)],
         default_handler_class=_NotFound,
         default_handler_args=handler_args,
-        log_function=_no_log,
+        log_function=_skip_request_log,
     )
     return tornado.httpserver.HTTPServer(
         app,
-        max_body_size=MAX_BODY_BYTES,
-        max_header_size=MAX_BODY_BYTES,
+        max_body_size=MAX_REQUEST_BYTES,
+        max_header_size=MAX_REQUEST_BYTES,
         idle_connection_timeout=60.0,
         body_timeout=10.0,
     )
@@ -231,5 +231,5 @@
 )
 
 
-def _no_log(handler: tornado.web.RequestHandler) -> None:
+def _skip_request_log(handler: tornado.web.RequestHandler) -> None:
     """Log nothing: renewals arrive every second or two."""
--- a/src/agatepick/agentside/ledger.py
+++ b/src/agatepick/agentside/ledger.py
@@ -21,7 +21,7 @@
 """Number of recorded attempts from which on new ones are refused.  Eight slots
 at 50 ms a task fill 96,000 records in the window of 600 s; the limit is about
 twice that, to leave room for refusals."""
-MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024 * 1024
 """Limit of all tasks' answers that are stored for takeovers: 8 slots with
 100-byte answers need 10 MB in a window."""
 
@@ -38,7 +38,7 @@
 )
 
 
-def task_digest(team: str, kind: str, payload: bytes) -> bytes:
+def compute_task_digest(team: str, kind: str, payload: bytes) -> bytes:
     """Return a digest of a task's team, kind and payload.
 
     It tells whether the tasks at the same index of two requests with the same
@@ -102,7 +102,7 @@
         retention: float,
         slack: float,
         max_tasks: int = MAX_TASKS,
-        max_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_STORED_BODY_BYTES,
     ):
         self._retention = retention
         self._slack = slack
@@ -149,7 +149,9 @@
         """Record the start of an attempt that :meth:`find_report` allowed."""
         job = self._touch(start.job, owner, now)
         task = _Task(start.attempt, types.TaskState.RUNNING)
-        task.digest = task_digest(start.team, start.kind, start.payload)
+        task.digest = compute_task_digest(
+            start.team, start.kind, start.payload
+        )
         self._store_task(job, start.index, task)
         job.running += 1
 
@@ -167,7 +169,7 @@
         of the start message starts the task later.
         """
         if self._tasks >= 2 * self._max_tasks and not self._has_task(ref):
-            return _report_without_record(
+            return _build_report_without_record(
                 ref, types.TaskState.LOST, REASON_FULL
             )
         job = self._touch(ref.job, owner, now)
@@ -228,7 +230,7 @@
             if task.state is running
         ]
 
-    def owner(self, job: types.JobKey) -> EntryId | None:
+    def get_owner(self, job: types.JobKey) -> EntryId | None:
         """Return the entry that sent the first message about a job."""
         record = self._jobs.get(job)
         return record.owner if record is not None else None
@@ -269,17 +271,19 @@
     def _check_key(
         self, ref: messages.TaskRef | messages.StartTask, now: float
     ) -> messages.TaskReport | None:
-        fault = ownership.check(ref.job, now, self._retention, self._slack)
+        fault = ownership.check_key(ref.job, now, self._retention, self._slack)
         if fault is None:
             return None
         if fault is ownership.KeyFault.MALFORMED:
             # No agent ever starts a task under a malformed key.
-            return _report_without_record(
+            return _build_report_without_record(
                 ref, types.TaskState.REFUSED, fault.value
             )
         # An expired key's record may have been dropped, and a key ahead of
         # this clock becomes valid later: "not run" could be false.
-        return _report_without_record(ref, types.TaskState.LOST, fault.value)
+        return _build_report_without_record(
+            ref, types.TaskState.LOST, fault.value
+        )
 
     def _has_task(self, ref: messages.TaskRef | messages.StartTask) -> bool:
         job = self._jobs.get(ref.job)
@@ -340,7 +344,7 @@
     )
 
 
-def _report_without_record(
+def _build_report_without_record(
     ref: messages.TaskRef | messages.StartTask,
     state: types.TaskState,
     reason: str,
--- a/src/agatepick/agentside/outbox.py
+++ b/src/agatepick/agentside/outbox.py
@@ -13,8 +13,8 @@
 from agatepick.agentside import ledger
 from agatepick.net import messages
 
-MAX_REPORTS = 1000
-MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_BATCH_REPORTS = 1000
+MAX_BATCH_BODY_BYTES = 4 * 1024 * 1024
 """Limits of one message: the number of its reports, and the size of their
 bodies, which is far below the largest frame size."""
 
@@ -92,8 +92,8 @@
     batch: list[messages.TaskReport] = []
     size = 0
     for report in reports:
-        too_large = size + len(report.body) > MAX_BODY_BYTES
-        if batch and (too_large or len(batch) >= MAX_REPORTS):
+        too_large = size + len(report.body) > MAX_BATCH_BODY_BYTES
+        if batch and (too_large or len(batch) >= MAX_BATCH_REPORTS):
             result.append(tuple(batch))
             batch, size = [], 0
         batch.append(report)
--- a/src/agatepick/agentside/reporting.py
+++ b/src/agatepick/agentside/reporting.py
@@ -96,7 +96,7 @@
         """
         if report is None:
             return
-        first = self._ledger.owner(report.job)
+        first = self._ledger.get_owner(report.job)
         assert first is not None
         owner = self._successors.get_current_owner(report.job, first)
         if owner is None:
@@ -138,7 +138,7 @@
         effects: list[object] = []
         for owner in self._outbox.list_due(now):
             changed.discard(owner)
-            credits = self._slots.credits(owner)
+            credits = self._slots.get_credits(owner)
             for reports in self._outbox.pop(owner, now):
                 results = messages.Results(self._incarnation, credits, reports)
                 effects.append(core.Send(owner.name, results))
@@ -165,7 +165,7 @@
         announced = upstream_state.announced
         return messages.Offer(
             self._incarnation,
-            self._slots.credits(owner),
+            self._slots.get_credits(owner),
             self._slots.total,
             announced.kinds if announced is not None else (),
             announced.capacity if announced is not None else types.Needs(),
--- a/src/agatepick/agentside/running.py
+++ b/src/agatepick/agentside/running.py
@@ -36,11 +36,11 @@
 class UpstreamState:
     """The upstream's announcement and its running tasks.
 
-    :param max_term: longest term of an announcement, in seconds.
+    :param max_term_seconds: longest term of an announcement, in seconds.
     """
 
-    def __init__(self, max_term: float):
-        self._max_term = max_term
+    def __init__(self, max_term_seconds: float):
+        self._max_term_seconds = max_term_seconds
         self._announced: upstream.Announced | None = None
         self._expires_at = 0.0
         self._leaving_session = ''
@@ -72,7 +72,7 @@
             ended.
         """
         self._announced = event
-        self._expires_at = now + min(event.term, self._max_term)
+        self._expires_at = now + min(event.term, self._max_term_seconds)
         lost_tasks = [
             task
             for task in self._tasks.values()
@@ -123,7 +123,7 @@
     def extend_term(self, now: float) -> None:
         """Extend the announcement to a whole term from ``now`` on."""
         if self._announced is not None:
-            term = min(self._announced.term, self._max_term)
+            term = min(self._announced.term, self._max_term_seconds)
             self._expires_at = max(self._expires_at, now + term)
 
     def has_room(self, needs: types.Needs) -> bool:
--- a/src/agatepick/agentside/slots.py
+++ b/src/agatepick/agentside/slots.py
@@ -61,7 +61,7 @@
         """Number of free slots; negative while tasks run on removed slots."""
         return self._slots - self.running
 
-    def credits(self, entry: ledger.EntryId) -> int:
+    def get_credits(self, entry: ledger.EntryId) -> int:
         """Return the slots leased to an entry, running tasks included."""
         lease = self._leases.get(entry)
         return lease.credits if lease is not None else 0
--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -30,7 +30,7 @@
 
 REQUEST_TIMEOUT_SECONDS = 10.0
 MIN_TIMEOUT_SECONDS = 0.001
-RETRY_DELAYS = backoff.BackoffDelays(first=0.1, most=2.0)
+RETRY_DELAYS = backoff.BackoffDelays(first_seconds=0.1, max_seconds=2.0)
 """Upper bounds of the random delays between attempts."""
 CONNECT_TIMEOUT_SECONDS = 2.0
 PERMANENT_HTTP_STATUSES = (401, 403, 404)
--- a/src/agatepick/decisions/admission.py
+++ b/src/agatepick/decisions/admission.py
@@ -21,12 +21,12 @@
 
 from agatepick import types
 
-MIN_RETRY_AFTER = 0.1
-MAX_RETRY_AFTER = 30.0
+MIN_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 30.0
 """Bounds of the retry time in the refusal of an overload, in seconds."""
-ZONE_RETRY_AFTER = 5.0
+CLOSED_ZONES_RETRY_SECONDS = 5.0
 """Retry time while all zones of a job are out of service, in seconds."""
-NO_WORKERS_RETRY_AFTER = 1.0
+NO_WORKERS_RETRY_SECONDS = 1.0
 """Retry time while the entry has no worker, in seconds."""
 
 
@@ -49,41 +49,45 @@
 class Load:
     """The load on an entry at the arrival of a new job.
 
-    :param work_before: sum of the expected run times of the tasks that start
-        before the job, in seconds.
-    :param slots: slots that this entry can use.
-    :param free: number of these slots that are free.
+    :param work_before_seconds: sum of the expected run times of the tasks
+        that start before the job.
+    :param usable_slots: slots that this entry can use.
+    :param free_slots: number of these slots that are free.
     """
 
-    work_before: float
-    slots: float
-    free: int
+    work_before_seconds: float
+    usable_slots: float
+    free_slots: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobEstimate:
-    """The estimated run times of a job, in seconds.
+    """The number of a job's tasks and their estimated run times.
 
-    :param tasks: number of its tasks.
-    :param work: sum of the expected run times of all its tasks.
-    :param median: median of the run time of its longest task.
-    :param longest: run time that none of its tasks exceeds with the
+    :param task_count: number of its tasks.
+    :param work_seconds: sum of the expected run times of all its tasks.
+    :param longest_median_seconds: median of the run time of its longest task.
+    :param longest_seconds: run time that none of its tasks exceeds with the
         probability that the preset sets.
     """
 
-    tasks: int
-    work: float
-    median: float
-    longest: float
+    task_count: int
+    work_seconds: float
+    longest_median_seconds: float
+    longest_seconds: float
 
 
 def predict_wait(load: Load, estimate: JobEstimate) -> float:
     """Return the expected seconds until the job's last task starts."""
-    if not estimate.tasks:
+    if not estimate.task_count:
         return 0.0
-    immediate_work = load.free * estimate.work / estimate.tasks
-    waiting = max(0.0, load.work_before + estimate.work - immediate_work)
-    return waiting / max(load.slots, 1.0)
+    immediate_work = (
+        load.free_slots * estimate.work_seconds / estimate.task_count
+    )
+    waiting_work = max(
+        0.0, load.work_before_seconds + estimate.work_seconds - immediate_work
+    )
+    return waiting_work / max(load.usable_slots, 1.0)
 
 
 def check_deadline(
@@ -101,30 +105,30 @@
     remaining = job.deadline - now
     if remaining <= 0.0:
         return Refusal('deadline_passed', 'the deadline has passed', 0.0)
-    if estimate.median > remaining:
+    if estimate.longest_median_seconds > remaining:
         return Refusal(
             'deadline_too_short',
-            f'its longest task takes {estimate.median:.2f} s, the deadline'
-            f' is in {remaining:.2f} s',
+            f'its longest task takes {estimate.longest_median_seconds:.2f} s,'
+            f' the deadline is in {remaining:.2f} s',
             0.0,
         )
     wait = predict_wait(load, estimate)
-    usable = remaining * (1.0 - spare_share)
-    if not wait or wait + estimate.longest <= usable:
+    usable_seconds = remaining * (1.0 - spare_share)
+    if not wait or wait + estimate.longest_seconds <= usable_seconds:
         return None
-    excess = wait + estimate.longest - usable
+    excess = wait + estimate.longest_seconds - usable_seconds
     return Refusal(
         'overloaded',
-        f'would end {excess:.2f} s too late: {load.work_before:.1f} s of work'
-        f' waits before it for {load.slots:.0f} slots',
-        min(max(excess, MIN_RETRY_AFTER), MAX_RETRY_AFTER),
+        f'would end {excess:.2f} s too late: {load.work_before_seconds:.1f} s'
+        f' of work waits before it for {load.usable_slots:.0f} slots',
+        min(max(excess, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS),
     )
 
 
 def refuse_no_workers() -> Refusal:
     """Return the refusal for an entry to which no worker is announced."""
     return Refusal(
-        'no_workers', 'no worker has been announced', NO_WORKERS_RETRY_AFTER
+        'no_workers', 'no worker has been announced', NO_WORKERS_RETRY_SECONDS
     )
 
 
@@ -157,5 +161,5 @@
     return Refusal(
         'zone_closed',
         'every zone that it may run in is out of service',
-        ZONE_RETRY_AFTER,
+        CLOSED_ZONES_RETRY_SECONDS,
     )
--- a/src/agatepick/decisions/backoff.py
+++ b/src/agatepick/decisions/backoff.py
@@ -9,7 +9,7 @@
 import dataclasses
 import random
 
-GROWTH = 2.0
+GROWTH_FACTOR = 2.0
 """Factor from one delay to the next."""
 
 MIN_JITTER_FACTOR = 0.5
@@ -21,24 +21,24 @@
 class BackoffDelays:
     """The bounds of the delays after consecutive failures, in seconds.
 
-    :param first: delay after the first failure.
-    :param most: longest delay.
+    :param first_seconds: delay after the first failure.
+    :param max_seconds: longest delay.
     """
 
-    first: float
-    most: float
+    first_seconds: float
+    max_seconds: float
 
     def get_delay(self, failures: int) -> float:
         """Return the delay after a number of consecutive failures.
 
         :param failures: number of failures, at least 1.
         """
-        delay = self.first
+        delay = self.first_seconds
         for _ in range(failures - 1):
-            delay *= GROWTH
-            if delay >= self.most:
+            delay *= GROWTH_FACTOR
+            if delay >= self.max_seconds:
                 break
-        return min(delay, self.most)
+        return min(delay, self.max_seconds)
 
 
 class Backoff:
--- a/src/agatepick/decisions/demand.py
+++ b/src/agatepick/decisions/demand.py
@@ -22,7 +22,7 @@
 BUSY_SHARE = 0.3
 """An entry counts as busy if it fills at least this part of all slots on
 average."""
-MEAN_WEIGHT = 0.02
+RUN_TIME_WEIGHT = 0.02
 """Weight of one run time in the moving mean over all kinds of task."""
 USE_TIME_CONSTANT_SECONDS = 10.0
 """Time constant of the average part of the slots that an entry fills.  It is
@@ -37,10 +37,10 @@
 
     def __init__(self) -> None:
         self.average_use = 0.0
-        self._use = 0.0
+        self._current_use = 0.0
         self._updated_at = 0.0
         self._placed_at = 0.0
-        self._mean_seconds = estimates.DEFAULT_SECONDS
+        self._mean_seconds = estimates.DEFAULT_RUN_TIME_SECONDS
 
     def record_use(self, running: int, slots: int, now: float) -> None:
         """Record the number of running tasks and of usable slots at ``now``.
@@ -50,8 +50,10 @@
         decay = math.exp(
             -max(0.0, now - self._updated_at) / USE_TIME_CONSTANT_SECONDS
         )
-        self.average_use = decay * self.average_use + (1.0 - decay) * self._use
-        self._use = running / max(1, slots)
+        self.average_use = (
+            decay * self.average_use + (1.0 - decay) * self._current_use
+        )
+        self._current_use = running / max(1, slots)
         self._updated_at = now
 
     def record_placement(self, now: float) -> None:
@@ -60,10 +62,12 @@
 
     def record_run_time(self, seconds: float) -> None:
         """Record the run time of a task that succeeded."""
-        change = max(seconds, estimates.MIN_VALUE) - self._mean_seconds
-        self._mean_seconds += MEAN_WEIGHT * change
+        change = (
+            max(seconds, estimates.MIN_OBSERVED_VALUE) - self._mean_seconds
+        )
+        self._mean_seconds += RUN_TIME_WEIGHT * change
 
-    def compute(self, waiting: int, running: int, now: float) -> int:
+    def compute_demand(self, waiting: int, running: int, now: float) -> int:
         """Return the number of tasks to request slots for.
 
         If the entry is busy, tasks that its own slots will start within
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -38,7 +38,7 @@
 
 ASK_INTERVAL_SECONDS = 0.25
 """Least time between two messages that request slots from one agent."""
-IDLE_ENTRY_SHARE = 0.5
+IDLE_ENTRY_SLOT_SHARE = 0.5
 """Part of all slots that admission expects an idle entry to obtain."""
 EXCLUSION_SECONDS = 0.1
 """Time after a retry was due from which on the task may be placed at agents
@@ -175,7 +175,7 @@
 
         :param zones_open: whether a zone is in service.
         """
-        sized = self._estimate(job)
+        sized = self._estimate_job(job)
         for requirement in sized.groups:
             refusal = self._workers.find_refusal(requirement, zones_open)
             if refusal is not None:
@@ -186,16 +186,20 @@
 
     def enqueue(self, job: types.JobSpec, now: float) -> None:
         """Queue all tasks of a job."""
-        sized = self._estimate(job)
+        sized = self._estimate_job(job)
         self._last_sized = None
-        cost = sized.estimate.work / max(1, len(job.tasks))
+        mean_task_seconds = sized.estimate.work_seconds / max(
+            1, len(job.tasks)
+        )
         groups = {
             requirement: collections.deque(indices)
             for requirement, indices in sized.groups.items()
         }
         pool = self._workers.get_pool(sized.groups)
         latest = self._compute_latest_start(sized)
-        waiting = queues.WaitingJob(job, cost, groups, pool, latest)
+        waiting = queues.WaitingJob(
+            job, mean_task_seconds, groups, pool, latest
+        )
         self._queue.add(waiting, now)
         self._sequence += 1
         item = (job.deadline, self._sequence, job.key)
@@ -317,7 +321,7 @@
 
     def compute_demand(self, now: float) -> int:
         """Return the number of waiting tasks to request slots for."""
-        return self._demand.compute(
+        return self._demand.compute_demand(
             self.count_waiting(), self._workers.running, now
         )
 
@@ -349,7 +353,7 @@
             queued=tuple(sorted(queued.items())),
             slots=self._workers.limit,
             running=self._workers.running,
-            ejected=self._outliers.ejected(),
+            ejected=self._outliers.list_ejected(),
             medians=self._run_times.medians(),
         )
 
@@ -359,12 +363,12 @@
         return notes
 
     def _note_standing(self, agent: str) -> None:
-        standing = self._outliers.standing(agent)
+        standing = self._outliers.get_standing(agent)
         name = NOTES_BY_STANDING.get(standing)
         if name is not None:
             self._notes.append(core.note(name, agent=agent))
 
-    def _estimate(self, job: types.JobSpec) -> sizing.SizedJob:
+    def _estimate_job(self, job: types.JobSpec) -> sizing.SizedJob:
         # The estimate is cached, as enqueue directly follows admit for a job.
         if self._last_sized is None or self._last_sized.job is not job:
             self._last_sized = sizing.estimate_job(
@@ -377,10 +381,10 @@
 
     def _compute_latest_start(self, sized: sizing.SizedJob) -> float:
         estimate = sized.estimate
-        spread = estimate.work / max(1, self._workers.limit)
+        spread = estimate.work_seconds / max(1, self._workers.limit)
         return (
             sized.job.deadline
-            - LATEST_START_FACTOR * estimate.longest
+            - LATEST_START_FACTOR * estimate.longest_seconds
             - spread
         )
 
@@ -391,9 +395,9 @@
         pool = self._workers.get_pool(sized.groups)
         limit, free, slots = self._workers.sum_slots(pool)
         if not len(self._queue):
-            limit = max(limit, int(slots * IDLE_ENTRY_SHARE))
+            limit = max(limit, int(slots * IDLE_ENTRY_SLOT_SHARE))
         before = self._queue.sum_work_before(
-            job, estimate.work, pool, limit, now
+            job, estimate.work_seconds, pool, limit, now
         )
         if self.quotas.has_quota(job.team):
             allowed = max(1, self.quotas.get_limit(job.team, now))
@@ -415,7 +419,7 @@
                 excluded = frozenset()
             worker = None
             if self._get_free_quota(task.job.team, now) > 0:
-                worker = self._pick(index, task.job, spec, excluded, {})
+                worker = self._pick_worker(index, task.job, spec, excluded, {})
             if worker is None:
                 self._blocked.add(index.requirement)
                 self._retries.push(task, due)
@@ -458,7 +462,7 @@
         racks = waiting.racks
         while group and limit > 0:
             spec = job.tasks[group[0]]
-            worker = self._pick(index, job, spec, frozenset(), racks)
+            worker = self._pick_worker(index, job, spec, frozenset(), racks)
             if worker is None:
                 return False
             task = QueuedTask(job, self._queue.pop_task(waiting, group), 0)
@@ -467,7 +471,7 @@
             limit -= 1
         return True
 
-    def _pick(
+    def _pick_worker(
         self,
         index: placement.ClassIndex,
         job: types.JobSpec,
@@ -496,7 +500,7 @@
     def _make_placement(
         self, name: str, tasks: list[QueuedTask], now: float
     ) -> Placement:
-        self._budget.earn(len(tasks))
+        self._budget.add_tokens(len(tasks))
         incarnation = self._workers.record_start(name, now)
         return Placement(name, incarnation, tuple(tasks))
 
@@ -509,7 +513,7 @@
 
     def _get_free_quota(self, team: str, now: float) -> int:
         if not self.quotas.has_quota(team):
-            return _UNLIMITED
+            return _UNLIMITED_TASKS
         return self.quotas.get_free(team, now)
 
     def _pop_stale_deadlines(self) -> None:
@@ -539,4 +543,4 @@
 
 
 _NO_NEEDS = types.Needs()
-_UNLIMITED = int(1e9)
+_UNLIMITED_TASKS = int(1e9)
--- a/src/agatepick/decisions/estimates.py
+++ b/src/agatepick/decisions/estimates.py
@@ -9,12 +9,12 @@
 declared ones.  The histogram whose values vary less, on a logarithmic scale,
 predicts the next task's run time: consistent declarations are used, even if
 all are off by the same factor, and inconsistent ones are ignored.  Buckets are
-a quarter of an octave wide, so a
-quantile is within 19% of the true value, which is finer than the variation
-between runs.  Counts are halved at :data:`WINDOW` observations, so that after
-a change of an upstream new run times outweigh old ones within about as many
-tasks.  A declared time weighs as much as :data:`PRIOR_WEIGHT` observations,
-so eight tasks outweigh it two to one.
+a quarter of an octave wide, so a quantile is within 19% of the true value,
+which is finer than the variation between runs.  Counts are halved at
+:data:`HALVING_OBSERVATIONS` observations, so that after a change of an
+upstream new run times outweigh old ones within about as many tasks.  A
+declared time weighs as much as :data:`PRIOR_WEIGHT` observations, so eight
+tasks outweigh it two to one.
 """
 
 import math
@@ -22,14 +22,14 @@
 
 from agatepick import types
 
-WINDOW = 512
+HALVING_OBSERVATIONS = 512
 """Number of observations at which all counts of a histogram are halved."""
 PRIOR_WEIGHT = 4.0
 """Number of observations that have the same weight as a declared run time."""
-DEFAULT_SECONDS = 0.3
+DEFAULT_RUN_TIME_SECONDS = 0.3
 """Assumed run time of a kind without observed or declared run times."""
-MIN_VALUE = 0.001
-MAX_VALUE = 3600.0
+MIN_OBSERVED_VALUE = 0.001
+MAX_OBSERVED_VALUE = 3600.0
 """Bounds of an observed value: a run time in seconds, or the ratio of a run
 time to the declared one.  Values beyond them are clamped."""
 BUCKETS_PER_OCTAVE = 4
@@ -42,11 +42,23 @@
 """Weight of one observation in the moving averages of the logarithms of a
 histogram's values and of their deviations."""
 
-_BUCKETS = int(BUCKETS_PER_OCTAVE * math.log2(MAX_VALUE / MIN_VALUE)) + 1
+_BUCKET_COUNT = (
+    int(
+        BUCKETS_PER_OCTAVE * math.log2(MAX_OBSERVED_VALUE / MIN_OBSERVED_VALUE)
+    )
+    + 1
+)
 
 
 class _Histogram:
-    """A logarithmic histogram with the mean deviation of the logarithms."""
+    """A logarithmic histogram with the mean deviation of the logarithms.
+
+    :ivar counts: number of observations by bucket, halved at times.
+    :ivar weight: sum of ``counts``.
+    :ivar total: sum of the observed values, halved with ``counts``.
+    :ivar centre: moving average of the values' logarithms, in octaves.
+    :ivar spread: moving average of the deviations from ``centre``, in octaves.
+    """
 
     __slots__ = (
         'counts',
@@ -55,33 +67,33 @@
         'centre',
         'spread',
         '_new_observations',
-        '_cache',
+        '_cached_quantiles',
     )
 
     def __init__(self) -> None:
-        self.counts = [0.0] * _BUCKETS
+        self.counts = [0.0] * _BUCKET_COUNT
         self.weight = 0.0
         self.total = 0.0
         self.centre = math.nan
         self.spread = 1.0
         self._new_observations = 0
-        self._cache: dict[float, float] = {}
+        self._cached_quantiles: dict[float, float] = {}
 
     def add(self, value: float) -> None:
-        value = min(max(value, MIN_VALUE), MAX_VALUE)
-        octaves = math.log2(value / MIN_VALUE)
+        value = min(max(value, MIN_OBSERVED_VALUE), MAX_OBSERVED_VALUE)
+        octaves = math.log2(value / MIN_OBSERVED_VALUE)
         self.counts[int(octaves * BUCKETS_PER_OCTAVE)] += 1.0
         self.weight += 1.0
         self.total += value
         self._update_spread(octaves)
         self._new_observations += 1
-        if self.weight >= WINDOW:
+        if self.weight >= HALVING_OBSERVATIONS:
             self._halve()
         if (
             self._new_observations >= REFRESH_OBSERVATIONS
             or self.weight < REFRESH_OBSERVATIONS
         ):
-            self._cache.clear()
+            self._cached_quantiles.clear()
             self._new_observations = 0
 
     def mean(self, prior: float) -> float:
@@ -89,9 +101,11 @@
         return (prior * PRIOR_WEIGHT + self.total) / total_weight
 
     def quantile(self, share: float) -> float:
-        cached = self._cache.get(share)
+        cached = self._cached_quantiles.get(share)
         if cached is None:
-            cached = self._cache[share] = self._compute_quantile(share)
+            cached = self._cached_quantiles[share] = self._compute_quantile(
+                share
+            )
         return cached
 
     def _update_spread(self, octaves: float) -> None:
@@ -108,7 +122,7 @@
             remaining -= count
             if remaining <= 0.0 and count:
                 return _get_upper_edge(bucket)
-        return MIN_VALUE
+        return MIN_OBSERVED_VALUE
 
     def _halve(self) -> None:
         self.counts = [count / 2.0 for count in self.counts]
@@ -118,7 +132,7 @@
 
 def _get_upper_edge(bucket: int) -> float:
     octaves: float = (bucket + 1) / BUCKETS_PER_OCTAVE
-    return typing.cast(float, MIN_VALUE * 2.0**octaves)
+    return typing.cast(float, MIN_OBSERVED_VALUE * 2.0**octaves)
 
 
 class _KindHistory:
@@ -156,10 +170,10 @@
         declared = task.expected_seconds
         history = self._kinds.get(task.kind)
         if history is None:
-            return declared or DEFAULT_SECONDS
+            return declared or DEFAULT_RUN_TIME_SECONDS
         if history.uses_declared(declared):
             return declared * history.ratios.mean(1.0)
-        return history.seconds.mean(declared or DEFAULT_SECONDS)
+        return history.seconds.mean(declared or DEFAULT_RUN_TIME_SECONDS)
 
     def quantile(self, task: types.TaskSpec, share: float) -> float:
         """Return the run time, in seconds, at a quantile of similar tasks.
@@ -172,7 +186,7 @@
         declared = task.expected_seconds
         history = self._kinds.get(task.kind)
         if history is None or history.seconds.weight < PRIOR_WEIGHT:
-            return declared or DEFAULT_SECONDS
+            return declared or DEFAULT_RUN_TIME_SECONDS
         if history.uses_declared(declared):
             return declared * history.ratios.quantile(share)
         return history.seconds.quantile(share)
--- a/src/agatepick/decisions/outliers.py
+++ b/src/agatepick/decisions/outliers.py
@@ -41,25 +41,25 @@
 class _Record:
     """The success rate and ejection state of one agent.
 
-    :ivar rate: moving average of its tasks' success, 0 to 1.
+    :ivar success_rate: moving average of its tasks' success, 0 to 1.
     :ivar ejection_streak: number of ejections since the last passed trial.
-    :ivar probes: number of tasks that succeeded in the present trial.
+    :ivar passed_probes: number of tasks that succeeded in the present trial.
     """
 
     __slots__ = (
-        'rate',
+        'success_rate',
         'standing',
         'ejected_until',
         'ejection_streak',
-        'probes',
+        'passed_probes',
     )
 
     def __init__(self) -> None:
-        self.rate = 1.0
+        self.success_rate = 1.0
         self.standing = Standing.GOOD
         self.ejected_until = 0.0
         self.ejection_streak = 0
-        self.probes = 0
+        self.passed_probes = 0
 
 
 class Outliers:
@@ -71,28 +71,28 @@
     def __init__(self, max_ejected_share: float) -> None:
         self.max_ejected_share = max_ejected_share
         self._records: dict[str, _Record] = {}
-        self._rate_sum = 0.0
+        self._success_rate_sum = 0.0
         self._ejected: set[str] = set()
 
     def add(self, agent: str) -> None:
         """Add an agent; one that exists already keeps its record."""
         if agent not in self._records:
             self._records[agent] = _Record()
-            self._rate_sum += 1.0
+            self._success_rate_sum += 1.0
 
     def remove(self, agent: str) -> None:
         """Remove an agent that left permanently."""
         record = self._records.pop(agent, None)
         if record is not None:
-            self._rate_sum -= record.rate
+            self._success_rate_sum -= record.success_rate
             self._ejected.discard(agent)
 
-    def standing(self, agent: str) -> Standing:
+    def get_standing(self, agent: str) -> Standing:
         """Return the standing of an agent; an unknown agent is good."""
         record = self._records.get(agent)
         return record.standing if record else Standing.GOOD
 
-    def ejected(self) -> tuple[str, ...]:
+    def list_ejected(self) -> tuple[str, ...]:
         """Return the ejected agents, those on trial included."""
         return tuple(sorted(self._ejected))
 
@@ -125,7 +125,7 @@
         ]
         for agent in due:
             self._records[agent].standing = Standing.TRIAL
-            self._records[agent].probes = 0
+            self._records[agent].passed_probes = 0
         return tuple(due)
 
     def next_wake(self) -> float | None:
@@ -138,20 +138,20 @@
         return min(ends, default=None)
 
     def _update_rate(self, record: _Record, ok: bool) -> None:
-        change = OUTCOME_WEIGHT * ((1.0 if ok else 0.0) - record.rate)
-        record.rate += change
-        self._rate_sum += change
+        change = OUTCOME_WEIGHT * ((1.0 if ok else 0.0) - record.success_rate)
+        record.success_rate += change
+        self._success_rate_sum += change
 
     def _is_outlier(self, record: _Record) -> bool:
         count = len(self._records)
-        if record.rate >= MIN_SUCCESS_RATE or count < 2:
+        if record.success_rate >= MIN_SUCCESS_RATE or count < 2:
             return False
-        if len(self._ejected) + 1 > self._max_ejected(count):
+        if len(self._ejected) + 1 > self._compute_max_ejected(count):
             return False
-        others = (self._rate_sum - record.rate) / (count - 1)
-        return others - record.rate >= MIN_RATE_GAP
+        others = (self._success_rate_sum - record.success_rate) / (count - 1)
+        return others - record.success_rate >= MIN_RATE_GAP
 
-    def _max_ejected(self, count: int) -> int:
+    def _compute_max_ejected(self, count: int) -> int:
         return max(1, int(count * self.max_ejected_share))
 
     def _eject(self, agent: str, record: _Record, now: float) -> None:
@@ -169,11 +169,11 @@
         if not ok:
             self._eject(agent, record, now)
             return True
-        record.probes += 1
-        if record.probes < REQUIRED_PROBES:
+        record.passed_probes += 1
+        if record.passed_probes < REQUIRED_PROBES:
             return False
-        self._rate_sum += 1.0 - record.rate
-        record.rate = 1.0
+        self._success_rate_sum += 1.0 - record.success_rate
+        record.success_rate = 1.0
         record.ejection_streak = 0
         record.standing = Standing.GOOD
         self._ejected.discard(agent)
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -11,9 +11,9 @@
 only a probe can readmit it; a worker with accelerators is avoided for a task
 that needs none; the rack with the fewest tasks of the job is preferred, then
 the worker with most free slots, which leaves capacity on each worker for
-spreading the next job.  At most :data:`MAX_COMPARED` workers are compared:
-eight give nearly the spread of all of them, at a cost that doesn't grow with
-their number.
+spreading the next job.  At most :data:`MAX_COMPARED_WORKERS` workers are
+compared: eight give nearly the spread of all of them, at a cost that doesn't
+grow with their number.
 
 The other policies are baselines for comparison.
 """
@@ -24,7 +24,7 @@
 
 from agatepick import types
 
-MAX_COMPARED = 8
+MAX_COMPARED_WORKERS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -162,8 +162,8 @@
     ) -> Worker:
         """Return one of the workers.
 
-        :param workers: 1 to :data:`MAX_COMPARED` candidates, starting at a
-            random position of the list of free workers.
+        :param workers: 1 to :data:`MAX_COMPARED_WORKERS` candidates, starting
+            at a random position of the list of free workers.
         :param racks: number of placed tasks of the same job, by rack.
         :param requirement: class of the task.
         """
@@ -257,26 +257,35 @@
 
     It tracks which of them have a free slot, so that a placement doesn't
     search all workers for each task.
+
+    :ivar serving_workers: all workers that serve the class, by name.
+    :ivar free_workers: those of them that have a free slot.
     """
 
-    __slots__ = ('requirement', 'serving', 'free', '_free_positions', '_pool')
+    __slots__ = (
+        'requirement',
+        'serving_workers',
+        'free_workers',
+        '_free_positions',
+        '_pool',
+    )
 
     def __init__(self, requirement: Requirement) -> None:
         self.requirement = requirement
-        self.serving: dict[str, Worker] = {}
-        self.free: list[Worker] = []
+        self.serving_workers: dict[str, Worker] = {}
+        self.free_workers: list[Worker] = []
         self._free_positions: dict[str, int] = {}
         self._pool: frozenset[str] | None = None
 
     def get_pool(self) -> frozenset[str]:
         """Return the names of the workers that serve the class."""
         if self._pool is None:
-            self._pool = frozenset(self.serving)
+            self._pool = frozenset(self.serving_workers)
         return self._pool
 
     def add(self, worker: Worker) -> None:
         """Add a worker that serves the class."""
-        self.serving[worker.name] = worker
+        self.serving_workers[worker.name] = worker
         self._pool = None
         self.update(worker)
 
@@ -287,14 +296,14 @@
         """
         if worker.running < worker.limit:
             if worker.name not in self._free_positions:
-                self._free_positions[worker.name] = len(self.free)
-                self.free.append(worker)
+                self._free_positions[worker.name] = len(self.free_workers)
+                self.free_workers.append(worker)
         elif worker.name in self._free_positions:
             self._remove_free(worker.name)
 
     def remove(self, worker: Worker) -> None:
         """Remove a worker that no longer serves the class."""
-        self.serving.pop(worker.name, None)
+        self.serving_workers.pop(worker.name, None)
         self._pool = None
         if worker.name in self._free_positions:
             self._remove_free(worker.name)
@@ -316,16 +325,18 @@
         :param urgent: whether the task is urgent.
         :param racks: number of placed tasks of the same job, by rack.
         """
-        if not self.free:
+        if not self.free_workers:
             return None
         if not excluded and not urgent and needs == _NO_NEEDS:
-            sample = _sample(self.free, rng)
+            sample = _sample(self.free_workers, rng)
             return policy.choose(sample, racks, self.requirement)
         eligible = _filter_eligible(
-            _sample(self.free, rng), needs, excluded, urgent
+            _sample(self.free_workers, rng), needs, excluded, urgent
         )
-        if not eligible and len(self.free) > MAX_COMPARED:
-            eligible = _filter_eligible(self.free, needs, excluded, urgent)
+        if not eligible and len(self.free_workers) > MAX_COMPARED_WORKERS:
+            eligible = _filter_eligible(
+                self.free_workers, needs, excluded, urgent
+            )
         return (
             policy.choose(eligible, racks, self.requirement)
             if eligible
@@ -334,9 +345,9 @@
 
     def _remove_free(self, name: str) -> None:
         position = self._free_positions.pop(name)
-        last = self.free.pop()
+        last = self.free_workers.pop()
         if last.name != name:
-            self.free[position] = last
+            self.free_workers[position] = last
             self._free_positions[last.name] = position
 
 
@@ -365,9 +376,12 @@
     if count == 1:
         return workers
     first = int(rng.random() * count)
-    sample = workers[first : first + MAX_COMPARED]
-    if len(sample) < MAX_COMPARED and first:
-        return [*sample, *workers[: min(first, MAX_COMPARED - len(sample))]]
+    sample = workers[first : first + MAX_COMPARED_WORKERS]
+    if len(sample) < MAX_COMPARED_WORKERS and first:
+        return [
+            *sample,
+            *workers[: min(first, MAX_COMPARED_WORKERS - len(sample))],
+        ]
     return sample
 
 
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -46,7 +46,7 @@
 RATE_TIME_CONSTANT_SECONDS = 10.0
 """Time constant of a team's rate of work.  With a shorter one a burst counts
 as a lasting rate, and work that would be in time is refused."""
-MAX_RATES = 1024
+MAX_TEAM_RATES = 1024
 """Number of teams with a rate from which on old rates are deleted.  Callers
 choose the names of teams, so memory needs a bound."""
 
@@ -70,10 +70,10 @@
     """The queued tasks of one job.
 
     :ivar rank: position in the order of its level; lower ones start first.
-    :ivar start: start tag in the virtual time of its level.
+    :ivar start_tag: start tag in the virtual time of its level.
     :ivar groups: indices of its tasks by class, in order of their start.
     :ivar racks: number of tasks placed so far, by rack.
-    :ivar cost: mean of the expected run times of its tasks, in seconds.
+    :ivar mean_task_seconds: mean of the expected run times of its tasks.
     :ivar pool: names of the agents that serve any of its classes.
     :ivar latest_start: instant by which it should start to be in time.
     :ivar count: number of tasks that wait.
@@ -82,8 +82,8 @@
     __slots__ = (
         'job',
         'rank',
-        'start',
-        'cost',
+        'start_tag',
+        'mean_task_seconds',
         'pool',
         'latest_start',
         'groups',
@@ -94,20 +94,20 @@
     def __init__(
         self,
         job: types.JobSpec,
-        cost: float,
+        mean_task_seconds: float,
         groups: dict[placement.Requirement, collections.deque[int]],
         pool: frozenset[str],
         latest_start: float,
     ) -> None:
         self.job = job
-        self.cost = cost
+        self.mean_task_seconds = mean_task_seconds
         self.pool = pool
         self.latest_start = latest_start
         self.groups = groups
         self.racks: dict[str, int] = {}
         self.count = len(job.tasks)
         self.rank = 0.0
-        self.start = 0.0
+        self.start_tag = 0.0
 
 
 class _WorkRate:
@@ -135,7 +135,7 @@
         )
 
 
-_Ranked = tuple[float, int, int, WaitingJob]
+_RankedJob = tuple[float, int, int, WaitingJob]
 """Rank or latest start, order of arrival, index of the class, job."""
 
 
@@ -149,11 +149,11 @@
     """
 
     def __init__(self) -> None:
-        self.heaps: dict[placement.Requirement, list[_Ranked]] = {}
+        self.heaps: dict[placement.Requirement, list[_RankedJob]] = {}
         self.virtual_time = 0.0
         self.team_ends: dict[str, float] = {}
-        self.rates: dict[str, _WorkRate] = {}
-        self.by_latest_start: list[_Ranked] = []
+        self.team_rates: dict[str, _WorkRate] = {}
+        self.by_latest_start: list[_RankedJob] = []
         self.count = 0
 
     def compute_rank(self, team: str, work: float) -> tuple[float, float]:
@@ -161,16 +161,16 @@
         return start, start + SIZE_WEIGHT * work
 
     def assign_rank(self, waiting: WaitingJob, now: float) -> None:
-        work = waiting.cost * waiting.count
+        work = waiting.mean_task_seconds * waiting.count
         team = waiting.job.team
-        if team not in self.rates:
+        if team not in self.team_rates:
             self._drop_old_rates(now)
-            self.rates[team] = _WorkRate()
-        self.rates[team].add(work, now)
-        waiting.start, waiting.rank = self.compute_rank(team, work)
-        self.team_ends[team] = waiting.start + work
+            self.team_rates[team] = _WorkRate()
+        self.team_rates[team].add(work, now)
+        waiting.start_tag, waiting.rank = self.compute_rank(team, work)
+        self.team_ends[team] = waiting.start_tag + work
 
-    def estimate_overtaking(
+    def estimate_overtaking_work(
         self, team: str, rank: float, seconds: float, now: float
     ) -> float:
         """Return the work that other teams will add ahead of a rank.
@@ -187,15 +187,15 @@
                 rate.get_per_second(now) * seconds,
                 max(0.0, rank - self.team_ends.get(other, self.virtual_time)),
             )
-            for other, rate in self.rates.items()
+            for other, rate in self.team_rates.items()
             if other != team
         )
 
     def _drop_old_rates(self, now: float) -> None:
-        if len(self.rates) >= MAX_RATES:
-            self.rates = {
+        if len(self.team_rates) >= MAX_TEAM_RATES:
+            self.team_rates = {
                 team: rate
-                for team, rate in self.rates.items()
+                for team, rate in self.team_rates.items()
                 if rate.updated_at >= now - RATE_TIME_CONSTANT_SECONDS
             }
 
@@ -277,7 +277,7 @@
         index = group.popleft()
         waiting.count -= 1
         level = self._get_level(waiting)
-        level.virtual_time = max(level.virtual_time, waiting.start)
+        level.virtual_time = max(level.virtual_time, waiting.start_tag)
         self._remove_tasks(level, waiting, 1)
         if waiting.job.urgent:
             self._urgent_streak += 1
@@ -321,7 +321,7 @@
         if len(self._jobs) > MAX_COMPARED_JOBS:
             rank = float('inf')
         before = sum(
-            waiting.cost * waiting.count
+            waiting.mean_task_seconds * waiting.count
             for waiting in self._jobs.values()
             if _starts_before(waiting, job.urgent, rank)
             and not waiting.pool.isdisjoint(pool)
@@ -329,7 +329,9 @@
         if not before:
             return 0.0
         wait = (before + work) / max(slots, 1.0)
-        return before + level.estimate_overtaking(job.team, rank, wait, now)
+        return before + level.estimate_overtaking_work(
+            job.team, rank, wait, now
+        )
 
     def sum_team_work(self, team: str) -> float:
         """Return the sum of a team's waiting tasks' expected run times.
@@ -337,7 +339,7 @@
         :returns: seconds.
         """
         return sum(
-            waiting.cost * waiting.count
+            waiting.mean_task_seconds * waiting.count
             for waiting in self._jobs.values()
             if waiting.job.team == team
         )
@@ -383,7 +385,7 @@
         blocked: typing.Container[placement.Requirement],
         throttled_teams: typing.Container[str],
     ) -> tuple[WaitingJob, placement.Requirement] | None:
-        best: _Ranked | None = None
+        best: _RankedJob | None = None
         best_class: placement.Requirement | None = None
         for requirement in list(level.heaps):
             if requirement in blocked:
@@ -430,10 +432,10 @@
 
 
 def _find_first_in_heap(
-    heaps: dict[placement.Requirement, list[_Ranked]],
+    heaps: dict[placement.Requirement, list[_RankedJob]],
     requirement: placement.Requirement,
     throttled_teams: typing.Container[str],
-) -> _Ranked | None:
+) -> _RankedJob | None:
     """Return the first item of a class's heap whose job may start a task.
 
     Jobs without waiting tasks of the class are removed from the heap's top.
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -86,27 +86,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Loan:
+class _BorrowerState:
     """A coordinator's record of one entry's use of one quota.
 
     :param want: tasks that the entry could run, waiting or running.
     :param running: tasks that the entry runs.
-    :param promise: end of the entry's promise, by the entry's clock.
+    :param promise_end: end of the entry's promise, by the entry's clock.
     :param held: grants that the entry may hold, oldest first.
     """
 
     want: int
     running: int
-    promise: float
+    promise_end: float
     held: tuple[messages.QuotaGrant, ...]
 
-    def get_loan_end(self) -> float:
+    def get_lent_until(self) -> float:
         """Return the instant until which others may use the entry's share.
 
         It is earlier than the end of the promise by the clock margins of the
         two entries.
         """
-        return self.promise - 2 * CLOCK_MARGIN_SECONDS
+        return self.promise_end - 2 * CLOCK_MARGIN_SECONDS
 
     def get_reserved(self, share: int, now: float) -> int:
         """Return the largest number of tasks that the entry may run now."""
@@ -119,7 +119,7 @@
             ),
             default=0,
         )
-        if now >= self.get_loan_end():
+        if now >= self.get_lent_until():
             amount = max(amount, share)
         return max(amount, self.running)
 
@@ -142,17 +142,18 @@
 
 
 class Lender:
-    """The loans of an entry that is the coordinator of teams' quotas."""
+    """The grants of an entry that coordinates teams' quotas."""
 
     def __init__(self) -> None:
-        self._loans: dict[str, dict[str, _Loan]] = {}
+        self._borrowers: dict[str, dict[str, _BorrowerState]] = {}
 
     def clear(self) -> None:
-        """Forget all loans.
+        """Delete the state of all borrowers.
 
-        They must have expired before the next call of :meth:`lend`.
+        Their grants and promises must have expired before the next call of
+        :meth:`lend`.
         """
-        self._loans.clear()
+        self._borrowers.clear()
 
     def lend(
         self, layout: Layout, peer: str, ask: messages.QuotaAsk, now: float
@@ -162,11 +163,13 @@
         :param peer: name of the entry that sent the ask.
         """
         team = ask.team
-        loans = self._loans.setdefault(team, {})
+        borrowers = self._borrowers.setdefault(team, {})
         others = [name for name in layout.entries if name != peer]
-        old = loans.get(peer)
+        old = borrowers.get(peer)
         held = old.drop_superseded(ask.held_until) if old else ()
-        loans[peer] = _Loan(ask.want, ask.running, ask.promise, held)
+        borrowers[peer] = _BorrowerState(
+            ask.want, ask.running, ask.promise, held
+        )
         reserved = sum(
             self._get_reserved(layout, team, name, now) for name in others
         )
@@ -178,22 +181,25 @@
             [
                 now + LEASE_SECONDS,
                 *[
-                    loans[name].get_loan_end()
+                    borrowers[name].get_lent_until()
                     for name in others
-                    if name in loans and now < loans[name].get_loan_end()
+                    if name in borrowers
+                    and now < borrowers[name].get_lent_until()
                 ],
             ]
         )
         grant = messages.QuotaGrant(team, amount, until)
-        loans[peer] = dataclasses.replace(loans[peer], held=(*held, grant))
+        borrowers[peer] = dataclasses.replace(
+            borrowers[peer], held=(*held, grant)
+        )
         return grant
 
     def _get_reserved(
         self, layout: Layout, team: str, name: str, now: float
     ) -> int:
         share = layout.get_share(team, name)
-        loan = self._loans[team].get(name)
-        return loan.get_reserved(share, now) if loan else share
+        borrower = self._borrowers[team].get(name)
+        return borrower.get_reserved(share, now) if borrower else share
 
     def _compute_fair_amount(
         self, layout: Layout, team: str, peer: str, now: float
@@ -205,9 +211,9 @@
         pool = layout.quotas[team]
         wants: list[tuple[int, str]] = []
         for name in layout.entries:
-            loan = self._loans[team].get(name)
-            if name == peer or (loan and now < loan.get_loan_end()):
-                wants.append((loan.want if loan else 0, name))
+            borrower = self._borrowers[team].get(name)
+            if name == peer or (borrower and now < borrower.get_lent_until()):
+                wants.append((borrower.want if borrower else 0, name))
             else:
                 pool -= layout.get_share(team, name)
         amount = 0
@@ -225,7 +231,7 @@
 
     :ivar running: tasks that this entry runs.
     :ivar want: tasks that wait or run here.
-    :ivar promise: end of this entry's newest promise; 0 if there is none.
+    :ivar promise_end: end of this entry's newest promise; 0 if there is none.
     :ivar last_ask_at: instant of the last ask.
     :ivar last_want: ``want`` of the last ask.
     :ivar answered: whether the last ask was answered.
@@ -235,7 +241,7 @@
         'running',
         'want',
         'grant',
-        'promise',
+        'promise_end',
         'last_ask_at',
         'last_want',
         'answered',
@@ -245,7 +251,7 @@
         self.running = 0
         self.want = 0
         self.grant = messages.QuotaGrant(team, 0, 0.0)
-        self.promise = 0.0
+        self.promise_end = 0.0
         self.last_ask_at = float('-inf')
         self.last_want = 0
         self.answered = False
@@ -297,7 +303,7 @@
             return share
         if now < state.grant.until:
             return min(state.grant.amount, quota)
-        if now < state.promise:
+        if now < state.promise_end:
             return min(state.grant.amount, share)
         return share
 
@@ -310,9 +316,9 @@
         running = state.running if state else 0
         return self.get_limit(team, now) - running
 
-    def add_running(self, team: str, number: int) -> None:
+    def add_running(self, team: str, count: int) -> None:
         """Add placed tasks to the running tasks of a team."""
-        self._get_team(team).running += number
+        self._get_team(team).running += count
 
     def remove_running(self, team: str) -> None:
         """Remove an ended task from the running tasks of a team."""
@@ -375,16 +381,16 @@
         return age >= RENEW_SECONDS
 
     def _ask(self, team: str, state: _TeamState, now: float) -> list[object]:
-        if now < state.promise and not state.answered:
+        if now < state.promise_end and not state.answered:
             return []
         # A promise to a coordinator that doesn't answer would keep this
         # entry below its static share for as long as the entry renews it.
-        promise = now + LEASE_SECONDS if state.answered else 0.0
-        state.promise = max(state.promise, promise)
+        promise_end = now + LEASE_SECONDS if state.answered else 0.0
+        state.promise_end = max(state.promise_end, promise_end)
         state.last_ask_at = now
         state.last_want = state.want
         ask = messages.QuotaAsk(
-            team, state.want, state.running, promise, state.grant.until
+            team, state.want, state.running, promise_end, state.grant.until
         )
         coordinator = self._layout.get_coordinator(team)
         state.answered = coordinator == self._name
--- a/src/agatepick/decisions/retries.py
+++ b/src/agatepick/decisions/retries.py
@@ -27,7 +27,8 @@
 FIRST_RETRY_DELAY_SECONDS = 0.01
 MAX_RETRY_DELAY_SECONDS = 0.5
 RETRY_DELAYS = backoff.BackoffDelays(
-    first=FIRST_RETRY_DELAY_SECONDS, most=MAX_RETRY_DELAY_SECONDS
+    first_seconds=FIRST_RETRY_DELAY_SECONDS,
+    max_seconds=MAX_RETRY_DELAY_SECONDS,
 )
 """Upper bounds of the random delays before the retries of one task, in
 seconds."""
@@ -46,9 +47,9 @@
         self._preset = preset
         self._tokens = min(self._tokens, preset.retry_burst)
 
-    def earn(self, number: int) -> None:
+    def add_tokens(self, placed_tasks: int) -> None:
         """Add the tokens for a number of placed tasks."""
-        tokens = self._tokens + number * self._preset.retry_share
+        tokens = self._tokens + placed_tasks * self._preset.retry_share
         self._tokens = min(tokens, self._preset.retry_burst)
 
     def spend_token(self, attempt: int, remaining: float) -> float | None:
--- a/src/agatepick/decisions/sizing.py
+++ b/src/agatepick/decisions/sizing.py
@@ -45,7 +45,7 @@
 
     :param classify: returns the class of a task.
     :param confidence: probability, 0 to 1, that no task of the job takes
-        longer than ``longest`` of the returned estimate.
+        longer than ``longest_seconds`` of the returned estimate.
     """
     groups, work = _group_tasks(job, classify, run_times)
     for group in groups.values():
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -177,7 +177,7 @@
         self._next_search_at = now + pause / SEARCHES_PER_PAUSE
         names = []
         for requirement in requirements:
-            for worker in self.get_index(requirement).serving.values():
+            for worker in self.get_index(requirement).serving_workers.values():
                 if _is_worth_asking(worker, now - pause):
                     worker.demand_sent_at = now
                     names.append(worker.name)
@@ -239,10 +239,10 @@
         zones_open: typing.Callable[[str], bool],
     ) -> admission.Refusal | None:
         """Return why no worker can run a class of task, or ``None``."""
-        serving = self.get_index(requirement).serving.values()
-        if any(zones_open(worker.zone) for worker in serving):
+        serving_workers = self.get_index(requirement).serving_workers.values()
+        if any(zones_open(worker.zone) for worker in serving_workers):
             return None
-        if serving:
+        if serving_workers:
             return admission.refuse_closed_zones()
         if not self._workers:
             return admission.refuse_no_workers()
@@ -292,7 +292,7 @@
 
     def _compute_limit(self, worker: placement.Worker) -> int:
         share = self._shares[worker.zone]
-        standing = self._outliers.standing(worker.name)
+        standing = self._outliers.get_standing(worker.name)
         worker.on_trial = standing is outliers.Standing.TRIAL
         if not _is_usable(worker) or share <= 0.0:
             return 0
--- a/src/agatepick/decisions/zones.py
+++ b/src/agatepick/decisions/zones.py
@@ -21,7 +21,7 @@
 """Part of a zone's slots that may be filled when it returns to service."""
 RAMP_SECONDS = 2.0
 """Time after which all slots of a returned zone may be filled."""
-STEPS = 8
+RAMP_STEPS = 8
 """The share is rounded down to a multiple of one divided by this number."""
 
 
@@ -37,4 +37,4 @@
         return 0.0
     progress = max(0.0, now - zone.since) / RAMP_SECONDS
     share = FIRST_SHARE + (1.0 - FIRST_SHARE) * min(1.0, progress)
-    return int(share * STEPS) / STEPS
+    return int(share * RAMP_STEPS) / RAMP_STEPS
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -53,7 +53,7 @@
 
 A longer round trip makes the error bound too wide.
 """
-REDIAL_DELAYS = backoff.BackoffDelays(first=0.075, most=1.5)
+REDIAL_DELAYS = backoff.BackoffDelays(first_seconds=0.075, max_seconds=1.5)
 REDIAL_RESET_SECONDS = 1.0
 """Duration of a connection after which the delay between dials is reset.
 
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -29,12 +29,12 @@
 from agatepick.table import store
 from agatepick import types
 
-AGENT = 'agent'
-ENTRY = 'entry'
-SUBMIT = 'submit'
-HANDOVER = 'handover'
-ASK = 'ask'
-CANCEL = 'cancel'
+ROLE_AGENT = 'agent'
+ROLE_ENTRY = 'entry'
+ACTION_SUBMIT = 'submit'
+ACTION_HANDOVER = 'handover'
+ACTION_ASK = 'ask'
+ACTION_CANCEL = 'cancel'
 
 _Effects = list[object]
 
@@ -123,7 +123,7 @@
             incarnation=self._me.incarnation,
             stopping=self._stopping,
             ready=self.ready(now),
-            jobs_running=len(self.owner.jobs.running()),
+            jobs_running=len(self.owner.jobs.list_running()),
             jobs_remembered=len(self.owner.jobs),
             forwarded=len(self.forwarding),
             agents=tuple(sorted(self.owner.agents)),
@@ -174,7 +174,7 @@
         if name == self._me.name:
             return self._submit(spec, waiter, now)
         return self._forward(
-            name, waiter, SUBMIT, spec.key, spec.team, (spec,)
+            name, waiter, ACTION_SUBMIT, spec.key, spec.team, (spec,)
         )
 
     def _on_asked(self, event: calls.JobAsked, now: float) -> _Effects:
@@ -182,14 +182,16 @@
         name = self._find_owner_name(event.key, now)
         if name == self._me.name:
             return self.owner.send_status(event.key, event.team, waiter)
-        return self._forward(name, waiter, ASK, event.key, event.team)
+        return self._forward(name, waiter, ACTION_ASK, event.key, event.team)
 
     def _on_cancelled(self, event: calls.JobCancelled, now: float) -> _Effects:
         waiter = jobs.LocalWaiter(event.call)
         name = self._find_owner_name(event.key, now)
         if name == self._me.name:
             return self.owner.cancel(event.key, event.team, waiter, now)
-        return self._forward(name, waiter, CANCEL, event.key, event.team)
+        return self._forward(
+            name, waiter, ACTION_CANCEL, event.key, event.team
+        )
 
     def _forward(
         self,
@@ -211,7 +213,7 @@
     ) -> _Effects:
         waiter = jobs.RemoteWaiter(peer, message.request)
         key, team = message.key, message.team
-        handed_over = message.action == HANDOVER
+        handed_over = message.action == ACTION_HANDOVER
         if (
             not handed_over
             and self._find_owner_name(key, now) != self._me.name
@@ -219,7 +221,7 @@
             reason = 'this entry does not own the job'
             answer = forwarding.build_pending(key, reason, self._me.name)
             return answers.deliver((waiter,), answer)
-        if message.action == CANCEL:
+        if message.action == ACTION_CANCEL:
             return self.owner.cancel(key, team, waiter, now)
         if not message.jobs:
             return self.owner.send_status(key, team, waiter)
@@ -257,7 +259,7 @@
     def _adopt(
         self, spec: types.JobSpec, waiter: jobs.Waiter, now: float
     ) -> _Effects | None:
-        members = self._eligible_members(spec.key, now)
+        members = self._get_eligible_members(spec.key, now)
         return self.owner.adopt(spec, waiter, members, now)
 
     def _hand_over(
@@ -272,7 +274,7 @@
         """
         others = [
             member
-            for member in self._eligible_members(spec.key, now)
+            for member in self._get_eligible_members(spec.key, now)
             if member.name != self._me.name
         ]
         successor = ownership.find_owner(spec.key, others, self._skew)
@@ -288,7 +290,7 @@
                 return self.forwarding.forward(
                     successor.name,
                     waiter,
-                    HANDOVER,
+                    ACTION_HANDOVER,
                     spec.key,
                     spec.team,
                     (spec,),
@@ -307,11 +309,11 @@
             # The entry that receives a malformed key refuses it.
             return self._me.name
         member = ownership.find_owner(
-            key, self._eligible_members(key, now), self._skew
+            key, self._get_eligible_members(key, now), self._skew
         )
         return '' if member is None else member.name
 
-    def _eligible_members(
+    def _get_eligible_members(
         self, key: types.JobKey, now: float
     ) -> tuple[messages.Member, ...]:
         members = self.configuration.in_force(now).entries
@@ -327,7 +329,7 @@
 
     def _on_peer_up(self, event: core.PeerUp, now: float) -> _Effects:
         hello = event.hello
-        if hello.role == AGENT:
+        if hello.role == ROLE_AGENT:
             members = core.Send(hello.name, self._build_members_message(now))
             return [members, *self.owner.on_agent_up(hello, now)]
         self._entries_up.add(hello.name)
@@ -381,7 +383,7 @@
     def _exit_when_done(self, now: float) -> _Effects:
         if not self._stopping or self._exited:
             return []
-        if self.owner.jobs.running() or len(self.forwarding):
+        if self.owner.jobs.list_running() or len(self.forwarding):
             return []
         if not self.configuration.may_exit:
             return self.configuration.leave(self._stopped_at, now)
--- a/src/agatepick/owning/jobs.py
+++ b/src/agatepick/owning/jobs.py
@@ -65,7 +65,7 @@
 class Job:
     """A job that an entry owns.
 
-    :ivar open: number of tasks without an outcome.
+    :ivar open_count: number of tasks without an outcome.
     :ivar waiters: callers that wait for the final answer.
     :ivar answer: final answer; ``None`` until the job has ended.
     """
@@ -73,7 +73,7 @@
     def __init__(self, spec: types.JobSpec, now: float):
         self.spec = spec
         self.tasks = [TaskRecord() for _ in spec.tasks]
-        self.open = len(spec.tasks)
+        self.open_count = len(spec.tasks)
         self.waiters: list[Waiter] = []
         self.created_at = now
         self.ended_at = 0.0
@@ -85,7 +85,7 @@
         """Whether the job has its final answer."""
         return self.answer is not None
 
-    def agents(self) -> list[types.PeerName]:
+    def list_agents(self) -> list[types.PeerName]:
         """Return the agents at which tasks may still run, each once."""
         return sorted(
             {
@@ -115,15 +115,15 @@
         record.answer = types.TaskAnswer(
             self.spec.tasks[index].id, outcome, body, reason, step, peer
         )
-        self.open -= 1
+        self.open_count -= 1
 
-    def pending(self) -> types.JobAnswer:
+    def build_pending(self) -> types.JobAnswer:
         """Return the answer "pending", sent until the job has ended."""
         return types.JobAnswer(
             self.spec.key,
             types.JobStatus.PENDING,
             code='running',
-            reason=f'{self.open} of {len(self.tasks)} tasks are open',
+            reason=f'{self.open_count} of {len(self.tasks)} tasks are open',
             retry_after=1.0,
         )
 
@@ -148,11 +148,11 @@
         """Return the job under a key, or ``None`` if none is stored."""
         return self._jobs.get(key)
 
-    def refusal(self, key: types.JobKey) -> types.JobAnswer | None:
+    def get_refusal(self, key: types.JobKey) -> types.JobAnswer | None:
         """Return the stored answer to a refused key, or ``None``."""
         return self._refusals.get(key)
 
-    def running(self) -> list[Job]:
+    def list_running(self) -> list[Job]:
         """Return the jobs without a final answer."""
         return list(self._running.values())
 
@@ -173,13 +173,13 @@
         self._running[spec.key] = job
         return job
 
-    def settle(self, job: Job, now: float) -> EndedJob | None:
+    def end_if_complete(self, job: Job, now: float) -> EndedJob | None:
         """End a job whose tasks all have an outcome.
 
         :returns: the final answer and its waiters; ``None`` while a task is
             open or if the job had ended before.
         """
-        if job.open or job.ended:
+        if job.open_count or job.ended:
             return None
         job.answer = _build_final_answer(job)
         job.ended_at = now
@@ -212,7 +212,7 @@
         :returns: job, task and the agent's incarnation at the task's start.
         """
         open_tasks = []
-        for job in self.running():
+        for job in self.list_running():
             for index, record in enumerate(job.tasks):
                 if record.agent == agent and record.answer is None:
                     ref = messages.TaskRef(job.spec.key, index, record.attempt)
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -105,7 +105,7 @@
         :returns: effects that send the answer, none while the job runs;
             ``None`` if this entry has no record of the key.
         """
-        refusal = self.jobs.refusal(spec.key)
+        refusal = self.jobs.get_refusal(spec.key)
         if refusal is not None:
             return answers.deliver((waiter,), refusal)
         job = self.jobs.get(spec.key)
@@ -126,7 +126,7 @@
 
         :returns: effects that send the answer; ``None`` if the key is valid.
         """
-        fault = ownership.check(
+        fault = ownership.check_key(
             spec.key,
             now,
             self._cfg.retention_seconds,
@@ -162,7 +162,7 @@
         heapq.heappush(self._deadlines, (spec.deadline, spec.key))
         takeover.adopt(job, self.takeover.pop(spec.key), self.agents)
         return [
-            core.note('job_adopted', job=spec.key, open=job.open),
+            core.note('job_adopted', job=spec.key, open=job.open_count),
             *self._end_if_complete(job, now),
         ]
 
@@ -212,12 +212,12 @@
         """
         job = self.jobs.get(key)
         if job is None or team not in ('', job.spec.team):
-            answer = self.jobs.refusal(key)
+            answer = self.jobs.get_refusal(key)
             if answer is None and self.takeover.has_reports(key):
                 answer = answers.build_submit_again(key, self._name)
             answer = answer or answers.build_unknown_job(key, self._name)
             return answers.deliver((waiter,), answer)
-        return answers.deliver((waiter,), job.answer or job.pending())
+        return answers.deliver((waiter,), job.answer or job.build_pending())
 
     def cancel(
         self, key: types.JobKey, team: str, waiter: jobs.Waiter, now: float
@@ -421,7 +421,7 @@
 
     def _stop_at_agents(self, job: jobs.Job) -> list[object]:
         stop = messages.StopJob(job.spec.key, ACTION_STOP)
-        return [core.Send(agent, stop) for agent in job.agents()]
+        return [core.Send(agent, stop) for agent in job.list_agents()]
 
     def _end_at_deadline(self, job: jobs.Job, now: float) -> list[object]:
         effects = self._stop_at_agents(job)
@@ -439,7 +439,7 @@
         return effects + self._end_if_complete(job, now)
 
     def _end_if_complete(self, job: jobs.Job, now: float) -> list[object]:
-        ended_job = self.jobs.settle(job, now)
+        ended_job = self.jobs.end_if_complete(job, now)
         if ended_job is None:
             return []
         status = ended_job.answer.status
--- a/src/agatepick/owning/ownership.py
+++ b/src/agatepick/owning/ownership.py
@@ -58,7 +58,7 @@
     return int(key[:8] + key[9:13], 16) / _MILLISECONDS_PER_SECOND
 
 
-def check(
+def check_key(
     key: types.JobKey,
     now: float,
     window: float = KEY_WINDOW_SECONDS,
@@ -113,11 +113,11 @@
     return any(
         _select_owner(key, [*listed, member], skew) is member
         for member in members
-        if created_at < suspect_until(member, skew)
+        if created_at < get_acceptance_end(member, skew)
     )
 
 
-def suspect_until(
+def get_acceptance_end(
     member: messages.Member, skew: float = KEY_SKEW_SECONDS
 ) -> float:
     """Return the earliest stamp of a key that an entry can't have accepted.
--- a/src/agatepick/owning/takeover.py
+++ b/src/agatepick/owning/takeover.py
@@ -20,7 +20,7 @@
 EXPIRY_INTERVAL_SECONDS = 1.0
 """Time between two searches for reports on expired keys.  Each search scans
 all reports."""
-REPORT_WAIT_SECONDS = 5.0
+MAX_REPORT_WAIT_SECONDS = 5.0
 """How long a successor waits for reports after a removal.
 
 An agent that reconnects to an entry pauses up to 1.5 s between two attempts.
@@ -127,20 +127,20 @@
 
         Every connected agent must have completed its reports on every entry
         that was removed late enough to have owned the key.  Once
-        ``REPORT_WAIT_SECONDS`` have passed, missing reports are ignored.
+        ``MAX_REPORT_WAIT_SECONDS`` have passed, missing reports are ignored.
         """
         created_at = ownership.get_timestamp(key)
         removed = [
             member
             for member in members
-            if created_at < ownership.suspect_until(member, self._skew)
+            if created_at < ownership.get_acceptance_end(member, self._skew)
         ]
         wait_starts = [member.removed_at for member in removed]
         # Agents must first connect to an entry listed after the removal.
         wait_starts += [
             member.listed_at for member in members if member.name == self._name
         ]
-        if now >= max(wait_starts, default=0.0) + REPORT_WAIT_SECONDS:
+        if now >= max(wait_starts, default=0.0) + MAX_REPORT_WAIT_SECONDS:
             return True
         connected = {
             (hello.name, hello.incarnation) for hello in agents.values()
@@ -163,7 +163,7 @@
         return all(
             index < len(spec.tasks)
             and reported.report.digest
-            == ledger.task_digest(
+            == ledger.compute_task_digest(
                 spec.team, spec.tasks[index].kind, spec.tasks[index].payload
             )
             for index, reported in tasks.items()
--- a/src/agatepick/platform/following.py
+++ b/src/agatepick/platform/following.py
@@ -11,11 +11,11 @@
 
 LOG = logs.logger(__name__)
 
-RETRY_DELAYS = backoff.BackoffDelays(first=0.15, most=0.3)
+RETRY_DELAYS = backoff.BackoffDelays(first_seconds=0.15, max_seconds=0.3)
 """Delays after failed calls.  All processes must have the current rows within
 two seconds of the store's return."""
 
-HISTORY_DELAYS = backoff.BackoffDelays(first=0.1, most=1.0)
+HISTORY_DELAYS = backoff.BackoffDelays(first_seconds=0.1, max_seconds=1.0)
 """Delays after the store has discarded the requested changes."""
 
 CALL_INTERVAL_SECONDS = 0.1
--- a/src/agatepick/platform/members.py
+++ b/src/agatepick/platform/members.py
@@ -15,7 +15,7 @@
 LOG = logs.logger(__name__)
 
 TABLE = 'agatepick-entries'
-REGISTER_DELAYS = backoff.BackoffDelays(first=0.4, most=0.8)
+REGISTER_DELAYS = backoff.BackoffDelays(first_seconds=0.4, max_seconds=0.8)
 """Delays before an entry retries to register itself."""
 
 
--- a/src/agatepick/platform/worker_record.py
+++ b/src/agatepick/platform/worker_record.py
@@ -26,7 +26,7 @@
 
 TABLE = 'agatepick-workers'
 
-WRITE_DELAYS = backoff.BackoffDelays(first=0.5, most=2.0)
+WRITE_DELAYS = backoff.BackoffDelays(first_seconds=0.5, max_seconds=2.0)
 """Delays before a failed write is retried.  The row is only needed at the next
 start of this process."""
 
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -44,7 +44,7 @@
 """Shortest time between two requests, for a worker that answers without
 waiting until a run ends."""
 
-FAILED_DELAYS = backoff.BackoffDelays(first=0.02, most=0.1)
+FAILED_DELAYS = backoff.BackoffDelays(first_seconds=0.02, max_seconds=0.1)
 """Delays after failed requests, while the worker may still be healthy."""
 
 
--- a/src/agatepick/repeatable/outcomes.py
+++ b/src/agatepick/repeatable/outcomes.py
@@ -24,7 +24,7 @@
 higher one received it from an earlier owner of the job; the step exceeds what
 that owner can have used."""
 
-REFUSED_DELAYS = backoff.BackoffDelays(first=0.05, most=0.5)
+REFUSED_DELAYS = backoff.BackoffDelays(first_seconds=0.05, max_seconds=0.5)
 """Delays before a task that workers refuse is sent again, from its second
 refusal on.  If all workers are unwell, the task would otherwise circulate
 among them without a delay."""
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -328,7 +328,7 @@
     def _make_hello(self) -> messages.Hello:
         return messages.Hello(
             self.name,
-            entry.ENTRY,
+            entry.ROLE_ENTRY,
             self.incarnation,
             self.cfg.process.zone,
             self.cfg.process.rack,
@@ -442,7 +442,7 @@
         process = self.cfg.process
         return messages.Hello(
             self.name,
-            entry.AGENT,
+            entry.ROLE_AGENT,
             self.incarnation,
             process.zone,
             process.rack,
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -23,7 +23,7 @@
 from agatepick.table import ratelimit
 from agatepick.table import store
 
-RETRY_DELAYS = backoff.BackoffDelays(first=0.04, most=0.5)
+RETRY_DELAYS = backoff.BackoffDelays(first_seconds=0.04, max_seconds=0.5)
 """Upper bounds of the random delays before retries, in seconds."""
 
 _PATHS: dict[type[store.Request], str] = {
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,7 +1,12 @@
 from agatepick.decisions import admission
 from agatepick import types
 
-ESTIMATE = admission.JobEstimate(tasks=10, work=5.0, median=0.5, longest=1.0)
+ESTIMATE = admission.JobEstimate(
+    task_count=10,
+    work_seconds=5.0,
+    longest_median_seconds=0.5,
+    longest_seconds=1.0,
+)
 
 
 def _check(within, before=0.0, slots=10, free=10, estimate=ESTIMATE):
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -6,7 +6,7 @@
 
 from agatepick.decisions import backoff
 
-DELAYS = backoff.BackoffDelays(first=0.02, most=0.5)
+DELAYS = backoff.BackoffDelays(first_seconds=0.02, max_seconds=0.5)
 
 
 def test_delays_double_up_to_the_longest():
@@ -40,9 +40,13 @@
             peer.reset()
             continue
         delay = peer.record_failure()
-        assert backoff.MIN_JITTER_FACTOR * DELAYS.first <= delay <= DELAYS.most
+        assert (
+            backoff.MIN_JITTER_FACTOR * DELAYS.first_seconds
+            <= delay
+            <= DELAYS.max_seconds
+        )
 
 
 @given(st.integers(min_value=1, max_value=10_000))
 def test_many_failures_are_counted_without_overflow(failures):
-    assert DELAYS.get_delay(failures) <= DELAYS.most
+    assert DELAYS.get_delay(failures) <= DELAYS.max_seconds
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -43,7 +43,7 @@
     run_times = estimates.RunTimes()
     for _ in range(5000):
         run_times.observe(_task(), 0.1)
-    for _ in range(estimates.WINDOW):
+    for _ in range(estimates.HALVING_OBSERVATIONS):
         run_times.observe(_task(), 1.0)
     assert run_times.quantile(_task(), 0.5) >= 1.0
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -13,7 +13,7 @@
 def add_ended_job(all_jobs, key, at):
     job = all_jobs.add(spec(key), at)
     job.end_task(0, types.Outcome.FINISHED)
-    return all_jobs.settle(job, at)
+    return all_jobs.end_if_complete(job, at)
 
 
 def refused_answer(key):
@@ -31,9 +31,9 @@
     ):
         job = all_jobs.add(spec(outcome, 2), NOW)
         job.end_task(0, outcomes.FINISHED)
-        assert all_jobs.settle(job, NOW) is None
+        assert all_jobs.end_if_complete(job, NOW) is None
         job.end_task(1, outcome)
-        settled = all_jobs.settle(job, NOW)
+        settled = all_jobs.end_if_complete(job, NOW)
         assert settled.answer.status is status
         assert [answer.outcome for answer in settled.answer.tasks] == [
             outcomes.FINISHED,
@@ -51,12 +51,12 @@
     job.end_task(0, types.Outcome.UNKNOWN)
     job.end_task(0, types.Outcome.FINISHED)
     job.end_task(1, types.Outcome.NOT_RUN)
-    first = all_jobs.settle(job, NOW).answer
+    first = all_jobs.end_if_complete(job, NOW).answer
     job.end_task(0, types.Outcome.FINISHED)
-    assert all_jobs.settle(job, NOW + 1) is None
+    assert all_jobs.end_if_complete(job, NOW + 1) is None
     assert all_jobs.get('j').answer is first
     assert first.status is types.JobStatus.FAILED
-    assert all_jobs.running() == []
+    assert all_jobs.list_running() == []
 
 
 def test_ended_jobs_are_deleted_after_the_window_and_not_before():
@@ -67,7 +67,7 @@
     running = all_jobs.add(spec('c'), NOW)
     all_jobs.delete_expired(NOW + WINDOW + 1)
     assert all_jobs.get('b') is None
-    assert all_jobs.refusal('a') is not None
+    assert all_jobs.get_refusal('a') is not None
     all_jobs.delete_expired(NOW + WINDOW + 2)
-    assert all_jobs.refusal('a') is None
-    assert all_jobs.running() == [running]
+    assert all_jobs.get_refusal('a') is None
+    assert all_jobs.list_running() == [running]
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -19,7 +19,7 @@
     """
     detector = _make_detector(10)
     assert _fail(detector, 'a0', 7, 1.0) == [False] * 6 + [True]
-    assert detector.standing('a0') is outliers.Standing.EJECTED
+    assert detector.get_standing('a0') is outliers.Standing.EJECTED
 
 
 def test_failures_on_all_workers_eject_none():
@@ -31,7 +31,7 @@
     for _ in range(50):
         for i in range(10):
             detector.record(f'a{i}', False, 1.0)
-    assert detector.ejected() == ()
+    assert detector.list_ejected() == ()
 
 
 def test_the_share_of_ejected_workers_is_bounded():
@@ -42,7 +42,7 @@
     detector = _make_detector(10)
     for i in range(5):
         _fail(detector, f'a{i}', 20, 1.0)
-    assert len(detector.ejected()) == 3
+    assert len(detector.list_ejected()) == 3
 
 
 def test_good_probes_readmit_and_a_failed_one_doubles_the_ejection():
@@ -56,7 +56,7 @@
     assert detector.start_trials(9.9) == ()
     assert detector.next_wake() == 10.0
     assert detector.start_trials(10.0) == ('a0',)
-    assert detector.standing('a0') is outliers.Standing.TRIAL
+    assert detector.get_standing('a0') is outliers.Standing.TRIAL
     assert detector.record('a0', False, 11.0)
     assert detector.next_wake() == 31.0
     detector.start_trials(31.0)
@@ -65,5 +65,5 @@
         for _ in range(outliers.REQUIRED_PROBES)
     ]
     assert changes == [False, False, True]
-    assert detector.standing('a0') is outliers.Standing.GOOD
-    assert detector.ejected() == ()
+    assert detector.get_standing('a0') is outliers.Standing.GOOD
+    assert detector.list_ejected() == ()
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -160,5 +160,5 @@
     )
     late = agents.NOW + 601
     job_owner.on_tick(late)
-    assert ownership.check(key, late) is None
+    assert ownership.check_key(key, late) is None
     assert job_owner.answer_resubmission(spec, waiter) is not None
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -30,7 +30,7 @@
         (2, None),
         (2.1, faults.AHEAD),
     ):
-        assert ownership.check(key_at(NOW + shift), NOW) is fault
+        assert ownership.check_key(key_at(NOW + shift), NOW) is fault
 
 
 @pytest.mark.parametrize('change', [str.upper, lambda key: key[:-1] + '\n'])
@@ -41,7 +41,7 @@
     tasks would run a second time.
     """
     key = change(key_at(NOW, 0xABC))
-    assert ownership.check(key, NOW) is ownership.KeyFault.MALFORMED
+    assert ownership.check_key(key, NOW) is ownership.KeyFault.MALFORMED
     with pytest.raises(exceptions.BadKey):
         ownership.get_timestamp(key)
 
@@ -102,7 +102,7 @@
     first_owner = None
     for step in range(0, 230, 3):
         now = NOW + step / 10
-        if ownership.check(key, now):
+        if ownership.check_key(key, now):
             continue
         current = tuple(
             entry
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -21,7 +21,7 @@
     budget = _budget()
     allowed = 0
     for _ in range(10000):
-        budget.earn(1)
+        budget.add_tokens(1)
         allowed += budget.spend_token(0, 60.0) is not None
     assert allowed <= presets.ORDINARY.retry_burst + 10000 * 0.1 + 1
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -17,7 +17,7 @@
 
 
 def credits(leases, *owners):
-    return [leases.credits(owner) for owner in owners]
+    return [leases.get_credits(owner) for owner in owners]
 
 
 def test_slots_without_demand_are_spread_evenly():
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -33,7 +33,7 @@
 
 
 def report(index, state):
-    digest = ledger.task_digest('team', 'k', b'{}')
+    digest = ledger.compute_task_digest('team', 'k', b'{}')
     return messages.TaskReport(KEY, index, 1, state, b'1', digest=digest)
 
 
@@ -66,7 +66,7 @@
     job = adopt_job(job_takeover)
     assert outcomes(job) == ['finished', None, 'unknown']
     assert job.tasks[1] == jobs.TaskRecord('x', 7, 1, adopted=True)
-    assert job.open == 1
+    assert job.open_count == 1
 
 
 def test_a_task_that_ends_before_its_job_is_resubmitted_is_kept():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -19,4 +19,4 @@
     assert shares[0] == zones.FIRST_SHARE
     assert shares == sorted(shares)
     assert shares[-10:] == [1.0] * 10
-    assert len(set(shares)) <= zones.STEPS
+    assert len(set(shares)) <= zones.RAMP_STEPS
