--- a/src/agatepick/agentside/agent.py
+++ b/src/agatepick/agentside/agent.py
@@ -220,7 +220,7 @@
     ) -> list[object]:
         if not self._successors.update_members(message):
             return []
-        dials = self._entries.dial_listed(self._successors.listed())
+        dials = self._entries.dial_listed(self._successors.list_members())
         return dials + self._report_to_successors(now)
 
     def _report_to_successors(self, now: float) -> list[object]:
--- a/src/agatepick/decisions/dispatch.py
+++ b/src/agatepick/decisions/dispatch.py
@@ -6,7 +6,7 @@
 free (late binding), so that a straggler or a wrong estimate holds up one slot
 but no queue behind it.
 
-Load pattern of :meth:`Dispatch.get_slot_requests`: work arrives at an entry
+Load pattern of :meth:`Dispatch.create_slot_requests`: work arrives at an entry
 whose share of the slots went to other entries while it was idle.  Agents
 learn an entry's demand from start messages, so an entry sends requests only
 to agents with which it has exchanged no message for
@@ -124,7 +124,9 @@
         self._policy = placement.POLICIES[cfg.policy]()
         self._run_times = estimates.RunTimes()
         self._outliers = outliers.Outliers(self._preset.max_ejected_share)
-        self._workers = workers.Workers(self._policy.leased, self._outliers)
+        self._workers = workers.Workers(
+            self._policy.uses_leases, self._outliers
+        )
         self._queue = queues.FairQueue()
         self._queue.urgent_run = self._preset.urgent_run
         self._budget = retries.RetryBudget(self._preset, rng)
@@ -291,7 +293,7 @@
             self._demand.record_run_time(seconds)
         self._release_needs(agent, job, index)
         self.release_slot(agent, job.team, now)
-        if self._outliers.record(agent, ok, now):
+        if self._outliers.record_outcome(agent, ok, now):
             self._workers.update_limit(agent)
             self._note_standing(agent)
 
@@ -301,8 +303,8 @@
         if self.quotas.has_quota(team):
             self.quotas.remove_running(team)
 
-    def get_slot_requests(self, now: float) -> list[tuple[str, int]]:
-        """Return the agents to request slots from.
+    def create_slot_requests(self, now: float) -> list[tuple[str, int]]:
+        """Record and return the slot requests that are due.
 
         :returns: name of each agent, with the number of waiting tasks that
             this entry requests slots for.
@@ -310,7 +312,7 @@
         want = self.compute_demand(now)
         if not self._blocked or not want:
             return []
-        names = self._workers.select_agents_to_ask(
+        names = self._workers.mark_agents_to_ask(
             self._blocked, now, ASK_INTERVAL_SECONDS
         )
         return [(name, want) for name in names]
--- a/src/agatepick/decisions/outliers.py
+++ b/src/agatepick/decisions/outliers.py
@@ -96,7 +96,7 @@
         """Return the ejected agents, those on trial included."""
         return tuple(sorted(self._ejected))
 
-    def record(self, agent: str, ok: bool, now: float) -> bool:
+    def record_outcome(self, agent: str, ok: bool, now: float) -> bool:
         """Record the outcome of one task of an agent.
 
         :param ok: whether the task succeeded.
--- a/src/agatepick/decisions/placement.py
+++ b/src/agatepick/decisions/placement.py
@@ -151,7 +151,7 @@
 class PlacementPolicy(typing.Protocol):
     """A choice among workers that have a free slot and fit the task."""
 
-    leased: bool
+    uses_leases: bool
     """Whether only leased slots are used; otherwise all slots of a worker."""
 
     def choose(
@@ -173,7 +173,7 @@
 class LeasedSlots:
     """The default policy: leased slots, spread over racks."""
 
-    leased = True
+    uses_leases = True
 
     def choose(
         self,
@@ -201,7 +201,7 @@
 class RandomWorker:
     """A baseline: a random worker that this entry's tasks don't fill."""
 
-    leased = False
+    uses_leases = False
 
     def choose(
         self,
@@ -216,7 +216,7 @@
 class LeastKnownLoad:
     """A baseline: the worker with the fewest tasks of this entry."""
 
-    leased = False
+    uses_leases = False
 
     def choose(
         self,
@@ -231,7 +231,7 @@
 class TwoProbes:
     """A baseline: the less loaded of two random workers."""
 
-    leased = False
+    uses_leases = False
 
     def choose(
         self,
--- a/src/agatepick/decisions/queues.py
+++ b/src/agatepick/decisions/queues.py
@@ -390,7 +390,7 @@
         for requirement in list(level.heaps):
             if requirement in blocked:
                 continue
-            candidate = _find_first_in_heap(
+            candidate = _prune_and_find_first(
                 level.heaps, requirement, throttled_teams
             )
             if candidate is not None and (best is None or candidate < best):
@@ -431,7 +431,7 @@
     return None
 
 
-def _find_first_in_heap(
+def _prune_and_find_first(
     heaps: dict[placement.Requirement, list[_RankedJob]],
     requirement: placement.Requirement,
     throttled_teams: typing.Container[str],
--- a/src/agatepick/decisions/quotas.py
+++ b/src/agatepick/decisions/quotas.py
@@ -318,11 +318,11 @@
 
     def add_running(self, team: str, count: int) -> None:
         """Add placed tasks to the running tasks of a team."""
-        self._get_team(team).running += count
+        self._get_or_add_team(team).running += count
 
     def remove_running(self, team: str) -> None:
         """Remove an ended task from the running tasks of a team."""
-        state = self._get_team(team)
+        state = self._get_or_add_team(team)
         state.running = max(0, state.running - 1)
 
     def set_waiting(self, counts: typing.Mapping[str, int]) -> None:
@@ -331,7 +331,7 @@
         A team's want is the sum of its waiting and running tasks.
         """
         for team in self._layout.quotas:
-            state = self._get_team(team)
+            state = self._get_or_add_team(team)
             state.want = state.running + counts.get(team, 0)
 
     def on_tick(self, now: float) -> list[object]:
@@ -343,7 +343,7 @@
             return []
         effects: list[object] = []
         for team in self._layout.quotas:
-            state = self._get_team(team)
+            state = self._get_or_add_team(team)
             if self._is_ask_due(team, state, now):
                 effects += self._ask(team, state, now)
         return effects
@@ -363,7 +363,7 @@
         grant = self._lender.lend(self._layout, peer, message, now)
         return [core.Send(peer, grant)]
 
-    def _get_team(self, team: str) -> _TeamState:
+    def _get_or_add_team(self, team: str) -> _TeamState:
         state = self._teams.get(team)
         if state is None:
             state = self._teams[team] = _TeamState(team)
--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -39,7 +39,7 @@
 class Workers:
     """The workers of all agents that have sent an offer.
 
-    :param leased: whether only leased slots may be filled; otherwise all
+    :param uses_leases: whether only leased slots may be filled; otherwise all
         slots of each worker.
     :param ejection: standings of the agents, by which some are ejected.
     :ivar limit: number of slots that may be filled, on all workers.
@@ -48,8 +48,8 @@
         leased to other entries.
     """
 
-    def __init__(self, leased: bool, ejection: outliers.Outliers) -> None:
-        self._leased = leased
+    def __init__(self, uses_leases: bool, ejection: outliers.Outliers) -> None:
+        self._uses_leases = uses_leases
         self._outliers = ejection
         self._workers: dict[str, placement.Worker] = {}
         self._indexes: dict[placement.Requirement, placement.ClassIndex] = {}
@@ -159,13 +159,13 @@
         worker.demand_sent_at = now
         return worker.incarnation
 
-    def select_agents_to_ask(
+    def mark_agents_to_ask(
         self,
         requirements: typing.Iterable[placement.Requirement],
         now: float,
         pause: float,
     ) -> list[str]:
-        """Return the agents to request slots from.
+        """Record and return the agents to request slots from.
 
         These have slots that aren't leased to this entry, run none of its
         tasks, and have exchanged no message with it for ``pause``.
@@ -298,7 +298,7 @@
             return 0
         if standing is outliers.Standing.EJECTED:
             return 0
-        slots = worker.credits if self._leased else worker.slots
+        slots = worker.credits if self._uses_leases else worker.slots
         if worker.on_trial:
             return min(1, slots)
         if share < 1.0:
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -462,7 +462,7 @@
             self._start_placement(placement, snapshot, now)
             for placement in placements
         ]
-        for agent, want in self._dispatch.get_slot_requests(now):
+        for agent, want in self._dispatch.create_slot_requests(now):
             effects.append(core.Send(agent, messages.Ask(want)))
         return effects
 
--- a/src/agatepick/owning/starting.py
+++ b/src/agatepick/owning/starting.py
@@ -12,12 +12,12 @@
 class Sender:
     """The entry that sends a start message.
 
-    :param version: version of the configuration that the entry has read.
+    :param config_version: version of the configuration that it has read.
     """
 
     name: types.PeerName
     incarnation: int
-    version: int
+    config_version: int
 
 
 def build_starts(
@@ -42,7 +42,7 @@
         owner=sender.name,
         owner_incarnation=sender.incarnation,
         agent_incarnation=placement.incarnation,
-        version=sender.version,
+        version=sender.config_version,
         start_before=start_before,
         waiting=waiting,
         tasks=tuple(tasks),
--- a/src/agatepick/owning/successors.py
+++ b/src/agatepick/owning/successors.py
@@ -67,7 +67,7 @@
         self._changed = False
         return changed
 
-    def listed(self) -> list[messages.Member]:
+    def list_members(self) -> list[messages.Member]:
         """Return the members that haven't been removed."""
         return [member for member in self._members if not member.removed_at]
 
@@ -96,7 +96,7 @@
         entry arrives after all messages about its own predecessors.
         """
         if successor not in {
-            _get_entry_id(member) for member in self.listed()
+            _get_entry_id(member) for member in self.list_members()
         }:
             return
         for removed in self._removed_at:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -355,13 +355,13 @@
     assert dispatcher.admit(job, _is_open, 1.0) is None
     dispatcher.enqueue(job, 1.0)
     assert dispatcher.place(_get_full_share, 1.0) == []
-    assert dispatcher.get_slot_requests(1.0) == [('a', 3)]
-    assert dispatcher.get_slot_requests(1.1) == []
-    assert dispatcher.get_slot_requests(1.3) == [('a', 3)]
+    assert dispatcher.create_slot_requests(1.0) == [('a', 3)]
+    assert dispatcher.create_slot_requests(1.1) == []
+    assert dispatcher.create_slot_requests(1.3) == [('a', 3)]
     dispatcher.set_credits('a', 2, 1.4)
     (placed,) = dispatcher.place(_get_full_share, 1.4)
     assert len(placed.tasks) == 2
-    assert dispatcher.get_slot_requests(1.5) == []
+    assert dispatcher.create_slot_requests(1.5) == []
 
 
 def test_a_queue_that_own_slots_soon_drain_moves_no_slots(
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -9,7 +9,7 @@
 
 
 def _fail(detector, agent, times, now):
-    return [detector.record(agent, False, now) for _ in range(times)]
+    return [detector.record_outcome(agent, False, now) for _ in range(times)]
 
 
 def test_a_failing_worker_is_ejected_before_all_its_slots_failed():
@@ -30,7 +30,7 @@
     detector = _make_detector(10)
     for _ in range(50):
         for i in range(10):
-            detector.record(f'a{i}', False, 1.0)
+            detector.record_outcome(f'a{i}', False, 1.0)
     assert detector.list_ejected() == ()
 
 
@@ -57,11 +57,11 @@
     assert detector.next_wake() == 10.0
     assert detector.start_trials(10.0) == ('a0',)
     assert detector.get_standing('a0') is outliers.Standing.TRIAL
-    assert detector.record('a0', False, 11.0)
+    assert detector.record_outcome('a0', False, 11.0)
     assert detector.next_wake() == 31.0
     detector.start_trials(31.0)
     changes = [
-        detector.record('a0', True, 32.0)
+        detector.record_outcome('a0', True, 32.0)
         for _ in range(outliers.REQUIRED_PROBES)
     ]
     assert changes == [False, False, True]
