--- a/src/agatepick/decisions/workers.py
+++ b/src/agatepick/decisions/workers.py
@@ -39,7 +39,7 @@
 class Workers:
     """The workers of all agents that have sent an offer.
 
-    :param leased: whether only leased slots may be filled; otherwise all
+    :param uses_leases: whether only leased slots may be filled; otherwise all
         slots of each worker.
     :param ejection: standings of the agents, by which some are ejected.
     :ivar limit: number of slots that may be filled, on all workers.
@@ -48,8 +48,8 @@
         leased to other entries.
     """
 
-    def __init__(self, leased: bool, ejection: outliers.Outliers) -> None:
-        self._leased = leased
+    def __init__(self, uses_leases: bool, ejection: outliers.Outliers) -> None:
+        self._uses_leases = uses_leases
         self._outliers = ejection
         self._workers: dict[str, placement.Worker] = {}
         self._indexes: dict[placement.Requirement, placement.ClassIndex] = {}
@@ -159,13 +159,13 @@
         worker.demand_sent_at = now
         return worker.incarnation
 
-    def select_agents_to_ask(
+    def mark_agents_to_ask(
         self,
         requirements: typing.Iterable[placement.Requirement],
         now: float,
         pause: float,
     ) -> list[str]:
-        """Return the agents to request slots from.
+        """Record and return the agents to request slots from.
 
         These have slots that aren't leased to this entry, run none of its
         tasks, and have exchanged no message with it for ``pause``.
@@ -177,7 +177,7 @@
         self._next_search_at = now + pause / SEARCHES_PER_PAUSE
         names = []
         for requirement in requirements:
-            for worker in self.get_index(requirement).serving.values():
+            for worker in self.get_index(requirement).serving_workers.values():
                 if _is_worth_asking(worker, now - pause):
                     worker.demand_sent_at = now
                     names.append(worker.name)
@@ -239,10 +239,10 @@
         zones_open: typing.Callable[[str], bool],
     ) -> admission.Refusal | None:
         """Return why no worker can run a class of task, or ``None``."""
-        serving = self.get_index(requirement).serving.values()
-        if any(zones_open(worker.zone) for worker in serving):
+        serving_workers = self.get_index(requirement).serving_workers.values()
+        if any(zones_open(worker.zone) for worker in serving_workers):
             return None
-        if serving:
+        if serving_workers:
             return admission.refuse_closed_zones()
         if not self._workers:
             return admission.refuse_no_workers()
@@ -292,13 +292,13 @@
 
     def _compute_limit(self, worker: placement.Worker) -> int:
         share = self._shares[worker.zone]
-        standing = self._outliers.standing(worker.name)
+        standing = self._outliers.get_standing(worker.name)
         worker.on_trial = standing is outliers.Standing.TRIAL
         if not _is_usable(worker) or share <= 0.0:
             return 0
         if standing is outliers.Standing.EJECTED:
             return 0
-        slots = worker.credits if self._leased else worker.slots
+        slots = worker.credits if self._uses_leases else worker.slots
         if worker.on_trial:
             return min(1, slots)
         if share < 1.0:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -15,7 +15,7 @@
     """Add a job that ends at the instant of its arrival."""
     job = all_jobs.add(spec(key), at)
     job.end_task(0, types.Outcome.FINISHED)
-    return all_jobs.settle(job, at)
+    return all_jobs.end_if_complete(job, at)
 
 
 def refused_answer(key):
@@ -33,9 +33,9 @@
     ):
         job = all_jobs.add(spec(outcome, 2), NOW)
         job.end_task(0, outcomes.FINISHED)
-        assert all_jobs.settle(job, NOW) is None
+        assert all_jobs.end_if_complete(job, NOW) is None
         job.end_task(1, outcome)
-        settled = all_jobs.settle(job, NOW)
+        settled = all_jobs.end_if_complete(job, NOW)
         assert settled.answer.status is status
         assert [answer.outcome for answer in settled.answer.tasks] == [
             outcomes.FINISHED,
@@ -53,12 +53,12 @@
     job.end_task(0, types.Outcome.UNKNOWN)
     job.end_task(0, types.Outcome.FINISHED)
     job.end_task(1, types.Outcome.NOT_RUN)
-    first = all_jobs.settle(job, NOW).answer
+    first = all_jobs.end_if_complete(job, NOW).answer
     job.end_task(0, types.Outcome.FINISHED)
-    assert all_jobs.settle(job, NOW + 1) is None
+    assert all_jobs.end_if_complete(job, NOW + 1) is None
     assert all_jobs.get('j').answer is first
     assert first.status is types.JobStatus.FAILED
-    assert all_jobs.running() == []
+    assert all_jobs.list_running() == []
 
 
 def test_ended_jobs_are_deleted_after_the_window_and_not_before():
@@ -69,7 +69,7 @@
     running = all_jobs.add(spec('c'), NOW)
     all_jobs.delete_expired(NOW + WINDOW_SECONDS + 1)
     assert all_jobs.get('b') is None
-    assert all_jobs.refusal('a') is not None
+    assert all_jobs.get_refusal('a') is not None
     all_jobs.delete_expired(NOW + WINDOW_SECONDS + 2)
-    assert all_jobs.refusal('a') is None
-    assert all_jobs.running() == [running]
+    assert all_jobs.get_refusal('a') is None
+    assert all_jobs.list_running() == [running]
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -34,7 +34,7 @@
 
 def report(index, state):
     """Return an agent's report on one task of the lost entry's job."""
-    digest = ledger.task_digest('team', 'k', b'{}')
+    digest = ledger.compute_task_digest('team', 'k', b'{}')
     return messages.TaskReport(KEY, index, 1, state, b'1', digest=digest)
 
 
@@ -72,7 +72,7 @@
     job = adopt_job(job_takeover)
     assert outcomes(job) == ['finished', None, 'unknown']
     assert job.tasks[1] == jobs.TaskRecord('x', 7, 1, adopted=True)
-    assert job.open == 1
+    assert job.open_count == 1
 
 
 def test_a_task_that_ends_before_its_job_is_resubmitted_is_kept():
