--- a/src/agatepick/agentside/startcheck.py
+++ b/src/agatepick/agentside/startcheck.py
@@ -44,7 +44,9 @@
         """
         if not self.offset.within(margin):
             return REASON_CLOCK
-        end = self.start_before - self.offset.seconds - self.offset.error
+        end = (
+            self.start_before - self.offset.seconds - self.offset.error_seconds
+        )
         # With this comparison, a permit whose end is NaN has expired.
         return '' if now < end else REASON_TOO_LATE
 
--- a/src/agatepick/api/operators.py
+++ b/src/agatepick/api/operators.py
@@ -172,7 +172,7 @@
         """Propose a change and send its verdict."""
         based_on = self._parse_if_match()
         proposed = typing.cast(
-            cluster.Proposed,
+            cluster.ProposalOutcome,
             await self.front.calls.call(
                 lambda number: calls.ChangeProposed(number, change, based_on)
             ),
@@ -359,7 +359,9 @@
 }
 
 
-def _make_problem(proposed: cluster.Proposed, status: int) -> web.Problem:
+def _make_problem(
+    proposed: cluster.ProposalOutcome, status: int
+) -> web.Problem:
     detail = _VERDICT_DETAILS[proposed.verdict]
     if proposed.reason:
         detail = f'{detail}: {proposed.reason}'
--- a/src/agatepick/api/web.py
+++ b/src/agatepick/api/web.py
@@ -26,7 +26,7 @@
 
 PROBLEM = 'application/problem+json'
 JSON = 'application/json'
-HARD_LIMIT_FACTOR = 4
+HARD_SIZE_LIMIT_FACTOR = 4
 """Headers or a body over the size limit get a problem document; over this
 multiple of the limit the connection is closed, so that a hostile peer can't
 exhaust the memory."""
@@ -367,8 +367,8 @@
     return tornado.httpserver.HTTPServer(
         app,
         ssl_options=tls,
-        max_body_size=limits.max_body_bytes * HARD_LIMIT_FACTOR,
-        max_header_size=limits.max_header_bytes * HARD_LIMIT_FACTOR,
+        max_body_size=limits.max_body_bytes * HARD_SIZE_LIMIT_FACTOR,
+        max_header_size=limits.max_header_bytes * HARD_SIZE_LIMIT_FACTOR,
         idle_connection_timeout=limits.idle_seconds,
         chunk_size=64 << 10,
     )
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -220,14 +220,14 @@
         counts = self.traffic() - before
         return bench_evidence.Traffic(counts, self.counts.refused_share)
 
-    async def change(self, change: cluster.Change) -> cluster.Proposed:
+    async def change(self, change: cluster.Change) -> cluster.ProposalOutcome:
         """Propose a change at a ready entry; retry until it is accepted."""
         while True:
             site = next(site for site in self.entries if site.is_ready())
             verdict = await site.process.calls.call(
                 lambda number: calls.ChangeProposed(number, change)
             )
-            assert isinstance(verdict, cluster.Proposed)
+            assert isinstance(verdict, cluster.ProposalOutcome)
             if verdict.verdict == 'accepted':
                 return verdict
             LOG.info('event=change_retried verdict=%s', verdict.verdict)
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -202,7 +202,7 @@
         self._cut_connections(self._cluster.entries[0])
         await self._change(cluster.PresetUse('ordinary'))
 
-    async def _change(self, change: cluster.Change) -> cluster.Proposed:
+    async def _change(self, change: cluster.Change) -> cluster.ProposalOutcome:
         description = _describe_change(change)
         self._print_event(f'operator: {description}')
         verdict = await self._cluster.change(change)
--- a/src/agatepick/config/clockwatch.py
+++ b/src/agatepick/config/clockwatch.py
@@ -4,7 +4,7 @@
 from agatepick.net import links
 from agatepick.net import messages
 
-SAMPLE_EXPIRY_SECONDS = 3 * links.SAMPLE_SECONDS
+SAMPLE_EXPIRY_SECONDS = 3 * links.SAMPLE_RENEWAL_SECONDS
 """Age at which a clock sample expires and its peer is ignored.
 
 The peer's lease grants are ignored from then on, so the expiry must exceed the
@@ -15,11 +15,11 @@
 class ClockWatch:
     """Monitor of the clock offsets of peers, derived from their pongs.
 
-    :param margin: largest accepted clock difference, in seconds.
+    :param margin_seconds: largest accepted clock difference, in seconds.
     """
 
-    def __init__(self, margin: float):
-        self._margin = margin
+    def __init__(self, margin_seconds: float):
+        self._margin_seconds = margin_seconds
         self._peers: dict[str, clocks.OffsetEstimate] = {}
         self._sampled_at: dict[str, float] = {}
         self._trusted = True
@@ -52,7 +52,9 @@
     def agrees(self, peer: str) -> bool:
         """Return whether a peer's offset is known and within the margin."""
         estimate = self._peers.get(peer)
-        return estimate is not None and estimate.best.within(self._margin)
+        return estimate is not None and estimate.best.within(
+            self._margin_seconds
+        )
 
     @property
     def trusted(self) -> bool:
@@ -76,4 +78,4 @@
 
     def _exceeds_margin(self, estimate: clocks.OffsetEstimate) -> bool:
         best = estimate.best
-        return abs(best.seconds) - best.error > self._margin
+        return abs(best.seconds) - best.error_seconds > self._margin_seconds
--- a/src/agatepick/config/cluster.py
+++ b/src/agatepick/config/cluster.py
@@ -18,7 +18,7 @@
 from agatepick.net import messages
 
 PRESETS = ('ordinary', 'peak', 'maintenance')
-REMOVED_RETENTION_SECONDS = 600.0
+REMOVED_ENTRY_RETENTION_SECONDS = 600.0
 """How long a removed entry stays in the document.
 
 For job keys up to that age the owner can be computed with the removed entry
@@ -227,7 +227,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Uncertain:
+class UncertainChange:
     """A change whose transaction may still take effect.
 
     :param stamp: stamp of the head that the transaction is conditional on;
@@ -240,7 +240,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Proposed:
+class ProposalOutcome:
     """Effect that reports the outcome of a proposed change to its requester.
 
     :param verdict: ``accepted``, ``conflict`` (another change was written
@@ -259,8 +259,10 @@
     reason: str = ''
 
 
-_Document = ClusterConfig | ChangeRow | Head | Uncertain
-_Kind = typing.TypeVar('_Kind', ClusterConfig, ChangeRow, Head, Uncertain)
+_Document = ClusterConfig | ChangeRow | Head | UncertainChange
+_Kind = typing.TypeVar(
+    '_Kind', ClusterConfig, ChangeRow, Head, UncertainChange
+)
 _encoder = msgspec.json.Encoder()
 
 
@@ -358,7 +360,7 @@
 def _drop_expired(
     entries: tuple[messages.Member, ...], now: float
 ) -> tuple[messages.Member, ...]:
-    oldest = now - REMOVED_RETENTION_SECONDS
+    oldest = now - REMOVED_ENTRY_RETENTION_SECONDS
     return tuple(
         entry
         for entry in entries
@@ -367,13 +369,13 @@
 
 
 def _apply_change(
-    base: ClusterConfig, change: Change, at: float
+    base: ClusterConfig, change: Change, in_force_at: float
 ) -> ClusterConfig:
     match change:
         case ZoneOut(zone):
-            return _set_zone(base, zone, True, at)
+            return _set_zone(base, zone, True, in_force_at)
         case ZoneIn(zone):
-            return _set_zone(base, zone, False, at)
+            return _set_zone(base, zone, False, in_force_at)
         case PresetUse(preset):
             if preset not in PRESETS:
                 raise _make_field_error(
@@ -391,9 +393,11 @@
             others = tuple(name for name in base.leaving if name != agent)
             return dataclasses.replace(base, leaving=others)
         case EntryListed():
-            return _list_entry(base, change, at)
+            return _list_entry(base, change, in_force_at)
         case EntryRemoved(name, incarnation, stopped_at):
-            return _remove_entry(base, name, incarnation, at, stopped_at)
+            return _remove_entry(
+                base, name, incarnation, in_force_at, stopped_at
+            )
         case SettingSet(key, value):
             return _set_setting(base, key, value)
 
@@ -405,12 +409,14 @@
 
 
 def _set_zone(
-    base: ClusterConfig, name: str, out: bool, at: float
+    base: ClusterConfig, name: str, out: bool, in_force_at: float
 ) -> ClusterConfig:
     if base.zone_out(_require_nonempty('zone', name)) == out:
         return base
     others = tuple(zone for zone in base.zones if zone.name != name)
-    return dataclasses.replace(base, zones=(*others, Zone(name, out, at)))
+    return dataclasses.replace(
+        base, zones=(*others, Zone(name, out, in_force_at))
+    )
 
 
 def _set_quota(
@@ -426,15 +432,19 @@
 
 
 def _list_entry(
-    base: ClusterConfig, change: EntryListed, at: float
+    base: ClusterConfig, change: EntryListed, in_force_at: float
 ) -> ClusterConfig:
     old = base.member(_require_nonempty('name', change.name))
     if old is not None and old.incarnation == change.incarnation:
         return base
     if old is not None:
-        base = _remove_entry(base, old.name, old.incarnation, at)
+        base = _remove_entry(base, old.name, old.incarnation, in_force_at)
     member = messages.Member(
-        change.name, change.incarnation, change.address, change.zone, at
+        change.name,
+        change.incarnation,
+        change.address,
+        change.zone,
+        in_force_at,
     )
     return dataclasses.replace(base, entries=(*base.entries, member))
 
@@ -443,11 +453,13 @@
     base: ClusterConfig,
     name: str,
     incarnation: int,
-    at: float,
+    in_force_at: float,
     stopped_at: float = 0.0,
 ) -> ClusterConfig:
     entries = tuple(
-        dataclasses.replace(entry, removed_at=at, stopped_at=stopped_at)
+        dataclasses.replace(
+            entry, removed_at=in_force_at, stopped_at=stopped_at
+        )
         if entry.name == name
         and entry.incarnation == incarnation
         and not entry.removed_at
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -35,26 +35,26 @@
 class ConfigurationSettings:
     """Durations of the configuration protocol, in seconds.
 
-    :param rules: durations that all processes of the cluster share.
-    :param poll: interval between two reads of the head.
-    :param renew: age of the head's stamp at which an entry that reads the
-        head renews the stamp.
-    :param grant: interval between two lease grants to a peer.  A lease must
-        span three of them, so that it survives the loss of one or two.
-    :param store_timeout: timeout of a call to the store.
-    :param listing: interval between two attempts to be listed, or to remove
-        an entry.
-    :param leave: time after which a stopping entry exits even if it is still
-        listed.
+    :param durations: durations that all processes of the cluster share.
+    :param poll_seconds: interval between two reads of the head.
+    :param renew_seconds: age of the head's stamp at which an entry that reads
+        the head renews the stamp.
+    :param grant_seconds: interval between two lease grants to a peer.  A lease
+        must span three of them, so that it survives the loss of one or two.
+    :param store_timeout_seconds: timeout of a call to the store.
+    :param listing_seconds: interval between two attempts to be listed, or to
+        remove an entry.
+    :param leave_seconds: time after which a stopping entry exits even if it is
+        still listed.
     """
 
-    rules: readlease.Rules = readlease.Rules()
-    poll: float = 0.5
-    renew: float = 0.7
-    grant: float = 0.7
-    store_timeout: float = 2.0
-    listing: float = 1.0
-    leave: float = 10.0
+    durations: readlease.LeaseDurations = readlease.LeaseDurations()
+    poll_seconds: float = 0.5
+    renew_seconds: float = 0.7
+    grant_seconds: float = 0.7
+    store_timeout_seconds: float = 2.0
+    listing_seconds: float = 1.0
+    leave_seconds: float = 10.0
 
 
 class Configuration:
@@ -71,16 +71,16 @@
         self._rng = rng
         self._history = history.History()
         self._reader = headreader.HeadReader(self._history)
-        self._writer = proposals.Writer(me, self._history, cfg.rules)
-        self._members = membership.Membership(me, cfg.rules)
-        self._clocks = clockwatch.ClockWatch(cfg.rules.margin)
+        self._writer = proposals.Writer(me, self._history, cfg.durations)
+        self._members = membership.Membership(me, cfg.durations)
+        self._clocks = clockwatch.ClockWatch(cfg.durations.margin_seconds)
         self._pending_calls: dict[int, str] = {}
         self._last_call = 0
         self._last_write = 0
         self._pending_renewal: cluster.Head | None = None
         self._permits = permits.Permits(
             me,
-            cfg.rules,
+            cfg.durations,
             self._history,
             self._members,
             self._writer,
@@ -91,7 +91,12 @@
         self._dials = dials.Dials()
         self._followed_version = 0
         self._listing = listing.Listing(
-            me, self._history, self._members, self._writer, rng, cfg.leave
+            me,
+            self._history,
+            self._members,
+            self._writer,
+            rng,
+            cfg.leave_seconds,
         )
 
     @classmethod
@@ -121,7 +126,7 @@
         """Return whether a stopping entry may exit.
 
         It may once neither the last known version nor the one in force lists
-        it, or ``leave`` seconds have passed since the stop began.
+        it, or ``leave_seconds`` have passed since the stop began.
         """
         return self._listing.may_exit
 
@@ -145,7 +150,7 @@
 
     def zone_open(self, zone: str, now: float) -> bool:
         """Return whether tasks may start in ``zone`` at ``now``."""
-        return now < self.permits(now).zone_bound(zone)
+        return now < self.permits(now).find_departure_time(zone)
 
     def start_before(self, zone: str, now: float) -> float:
         """Return the instant before which a task sent to ``zone`` must start.
@@ -185,7 +190,7 @@
             uncertain=tuple(
                 change.row for change in self._permits.uncertain()
             ),
-            lost=tuple(member.name for member in self._members.lost(now)),
+            lost=tuple(member.name for member in self._members.find_lost(now)),
             in_force=doc,
             accepted=self._history.latest,
         )
@@ -258,9 +263,9 @@
         self._members.record_down(
             event.peer, event.incarnation, event.dead, now
         )
-        if event.peer not in self._members.connected:
+        if event.peer not in self._members.connected_incarnations:
             self._clocks.discard(event.peer)
-        connected = self._members.connected
+        connected = self._members.connected_incarnations
         effects = self._dials.hang_up(
             event.peer, self._collect_addresses(), connected
         )
@@ -270,11 +275,11 @@
         """Run the periodic tasks that are due."""
         effects = self._writer.expire(now)
         self._permits.extend_from_peers(now)
-        if self._is_due('poll', self._cfg.poll, now):
+        if self._is_due('poll', self._cfg.poll_seconds, now):
             effects += self._read()
-        if self._is_due('grant', self._cfg.grant, now):
+        if self._is_due('grant', self._cfg.grant_seconds, now):
             effects += self._grant(now)
-        if self._is_due('listing', self._cfg.listing, now):
+        if self._is_due('listing', self._cfg.listing_seconds, now):
             effects += self._maintain_entries(now)
         effects += self._advance(now)
         self._listing.update_may_exit(now)
@@ -289,7 +294,7 @@
     ) -> list[object]:
         """Start to write a change.
 
-        The outcome is reported by a :class:`cluster.Proposed` effect.
+        The outcome is reported by a :class:`cluster.ProposalOutcome` effect.
 
         :param request_id: number above 0.
         :param based_on: version that the change requires to be the last one;
@@ -315,7 +320,7 @@
     ) -> list[object]:
         self._last_call += 1
         self._pending_calls[self._last_call] = purpose
-        timeout = self._cfg.store_timeout
+        timeout = self._cfg.store_timeout_seconds
         return [store.CallStore(self._last_call, request, timeout)]
 
     def _read(self) -> list[object]:
@@ -350,7 +355,7 @@
         if self._pending_renewal is not None or self._writer.writing:
             return []
         listed = self.latest.lists(self._me) and self._clocks.trusted
-        old = listed and now - head.stamp >= self._cfg.renew
+        old = listed and now - head.stamp >= self._cfg.renew_seconds
         if not old and (uncertain is None or not self._clocks.trusted):
             return []
         stamp = max(now, math.nextafter(head.stamp, math.inf))
@@ -435,7 +440,7 @@
         data = b'' if own is None else cluster.encode(own)
         grant = messages.Grant(self.version, now, data)
         effects: list[object] = []
-        for member in self._members.others:
+        for member in self._members.other_entries:
             if not self._writer.may_grant(member.name):
                 continue
             self._granted_at[member.name] = now
@@ -448,7 +453,7 @@
             return []
         self._followed_version = self.version
         self._members.update_listed(self.latest, now)
-        connected = self._members.connected
+        connected = self._members.connected_incarnations
         return [
             core.note('version_known', version=self.version),
             *self._dials.update(self._collect_addresses(), connected),
@@ -457,7 +462,7 @@
     def _collect_addresses(self) -> dict[str, str]:
         return {
             member.name: member.address
-            for member in self._members.others
+            for member in self._members.other_entries
             if member.name != self._me.name
         }
 
@@ -476,7 +481,7 @@
 
     def _make_peers(self, now: float) -> proposals.Peers:
         return proposals.Peers(
-            self._members.alive(),
+            self._members.get_living_names(),
             self._granted_at,
             self._find_write_refusal(now),
         )
@@ -485,11 +490,14 @@
         """Return why this entry may not write a change; empty if it may."""
         if not self._clocks.trusted:
             return "this entry's clock differs from its peers'"
-        alive = self._members.alive()
+        alive = self._members.get_living_names()
         member = self.latest.member(self._me.name)
         if member is None or member.incarnation != self._me.incarnation:
             return 'this entry is not listed' if alive else ''
-        if alive and now < member.listed_at + self._cfg.rules.margin:
+        if (
+            alive
+            and now < member.listed_at + self._cfg.durations.margin_seconds
+        ):
             return 'this entry is not listed in force yet'
         return ''
 
@@ -517,9 +525,9 @@
         return 'store' if self._permits.has_store_lease(now) else 'peers'
 
 
-def _decode_uncertain(data: bytes) -> cluster.Uncertain | None:
+def _decode_uncertain(data: bytes) -> cluster.UncertainChange | None:
     """Return the change that a grant or intent holds, if any."""
-    return cluster.decode(data, cluster.Uncertain) if data else None
+    return cluster.decode(data, cluster.UncertainChange) if data else None
 
 
 def _request_changes(peer: str, version: int) -> core.Send:
--- a/src/agatepick/config/headreader.py
+++ b/src/agatepick/config/headreader.py
@@ -33,7 +33,7 @@
 
 
 class HeadReader:
-    """Reader that performs one read at a time, request by request."""
+    """Reader of the head and the versions up to it, one read at a time."""
 
     def __init__(self, version_history: history.History):
         self._history = version_history
--- a/src/agatepick/config/headrows.py
+++ b/src/agatepick/config/headrows.py
@@ -63,7 +63,7 @@
         puts.append(
             store.Row(CLUSTER_TABLE, SNAPSHOT_KEY, cluster.encode(after))
         )
-    old = row.version - history.ROWS_KEPT
+    old = row.version - history.MAX_ROWS_KEPT
     deletes = (
         (store.RowName(CHANGE_TABLE, _format_key(old)),) if old > 0 else ()
     )
--- a/src/agatepick/config/history.py
+++ b/src/agatepick/config/history.py
@@ -11,7 +11,7 @@
 from agatepick.config import cluster
 from agatepick.net import messages
 
-ROWS_KEPT = 1024
+MAX_ROWS_KEPT = 1024
 """Change rows kept in memory, to send them to peers, and in the store."""
 
 
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._docs = [cluster.ClusterConfig()]
         self._rows: collections.deque[cluster.ChangeRow] = collections.deque(
-            maxlen=ROWS_KEPT
+            maxlen=MAX_ROWS_KEPT
         )
         self.head = cluster.Head(0, 0.0)
         """The newest known head; its stamp is 0 until that head is read."""
--- a/src/agatepick/config/listing.py
+++ b/src/agatepick/config/listing.py
@@ -81,7 +81,7 @@
             self._me.address,
             self._me.zone,
         )
-        if self._members.alive():
+        if self._members.get_living_names():
             return self._request_listing(change)
         self._submit(change)
         return []
@@ -93,7 +93,7 @@
 
     def remove_lost(self, now: float) -> None:
         """Submit the removal of entries whose processes are dead or silent."""
-        for member in self._members.lost(now):
+        for member in self._members.find_lost(now):
             self._submit(cluster.EntryRemoved(member.name, member.incarnation))
 
     def _request_listing(self, change: cluster.EntryListed) -> list[object]:
@@ -103,14 +103,17 @@
         off from the store and from the new entry could continue without it,
         and own the same new keys as the new entry.
         """
-        reachable = self._members.alive() & self._members.connected.keys()
+        reachable = (
+            self._members.get_living_names()
+            & self._members.connected_incarnations.keys()
+        )
         if not reachable:
             return []
         version = self._history.version
         row = cluster.ChangeRow(
             version + 1, 0.0, change, self._me.name, self._me.incarnation, 0
         )
-        data = cluster.encode(cluster.Uncertain(row, 0.0))
+        data = cluster.encode(cluster.UncertainChange(row, 0.0))
         peer = self._rng.choice(sorted(reachable))
         return [core.Send(peer, messages.Intent(version, data))]
 
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -11,20 +11,20 @@
 from agatepick.config import readlease
 from agatepick.net import messages
 
-REMOVE_DEAD_SECONDS = 2.0
+DEAD_REMOVAL_DELAY_SECONDS = 2.0
 """Delay before a dead entry is removed.
 
 A process that restarts under the same name is listed again within this time,
 which removes the old incarnation by one change instead of two.
 """
-REMOVE_SILENT_SECONDS = 10.0
+SILENT_REMOVAL_DELAY_SECONDS = 10.0
 """Delay before a silent entry is removed.
 
 The delay exceeds three fences, which are longer than a pause that a healthy
 machine recovers from.  Until the removal, callers of the entry's jobs receive
 "outcome pending".
 """
-REMOVE_SECONDS_PER_RANK = 2.0
+REMOVAL_DELAY_SECONDS_PER_RANK = 2.0
 """Additional delay of a remover per living entry that precedes it by name.
 
 It lets one entry write the removal, rather than all of them at once.
@@ -49,20 +49,22 @@
 class Membership:
     """The other listed entries and the state of their processes."""
 
-    def __init__(self, me: messages.Member, rules: readlease.Rules):
+    def __init__(
+        self, me: messages.Member, durations: readlease.LeaseDurations
+    ):
         self._me = me
-        self._rules = rules
+        self._durations = durations
         self._peers: dict[MemberId, _Peer] = {}
         self._connected: dict[str, int] = {}
         self._others: tuple[messages.Member, ...] = ()
 
     @property
-    def others(self) -> tuple[messages.Member, ...]:
+    def other_entries(self) -> tuple[messages.Member, ...]:
         """Return the other listed entries."""
         return self._others
 
     @property
-    def connected(self) -> collections.abc.Mapping[str, int]:
+    def connected_incarnations(self) -> collections.abc.Mapping[str, int]:
         """Return the incarnations of the connected entries, by name."""
         return self._connected
 
@@ -132,7 +134,9 @@
             intent = None
         peer.grant = dataclasses.replace(grant, intent=intent)
 
-    def record_intent(self, name: str, intent: cluster.Uncertain) -> bool:
+    def record_intent(
+        self, name: str, intent: cluster.UncertainChange
+    ) -> bool:
         """Record that a peer is about to write a change.
 
         :returns: whether the peer is a listed entry.
@@ -155,7 +159,7 @@
             self._peers[_get_id(member)].grant for member in self._others
         )
 
-    def uncertain_changes(self) -> list[cluster.Uncertain]:
+    def uncertain_changes(self) -> list[cluster.UncertainChange]:
         """Return the changes that peers reported and may have written."""
         return [
             change
@@ -163,7 +167,7 @@
             for change in grant.uncertain_changes()
         ]
 
-    def alive(self) -> frozenset[str]:
+    def get_living_names(self) -> frozenset[str]:
         """Return the names of the other listed entries not provably dead."""
         return frozenset(
             member.name for member in self._others if not self.is_dead(member)
@@ -179,7 +183,7 @@
             return True
         return self._peers[_get_id(member)].dead_at > 0.0
 
-    def lost(self, now: float) -> list[messages.Member]:
+    def find_lost(self, now: float) -> list[messages.Member]:
         """Return the listed entries that this entry should now remove."""
         return [
             member for member in self._others if self._is_lost(member, now)
@@ -190,11 +194,20 @@
             # The listing of this process removes its older incarnation.
             return False
         peer = self._peers[_get_id(member)]
-        alive = sorted({self._me.name, *self.alive()} - {member.name})
-        rank_delay = REMOVE_SECONDS_PER_RANK * alive.index(self._me.name)
+        alive = sorted(
+            {self._me.name, *self.get_living_names()} - {member.name}
+        )
+        rank_delay = REMOVAL_DELAY_SECONDS_PER_RANK * alive.index(
+            self._me.name
+        )
         if peer.dead_at:
-            return now >= peer.dead_at + REMOVE_DEAD_SECONDS + rank_delay
-        return now >= peer.last_message_at + REMOVE_SILENT_SECONDS + rank_delay
+            return (
+                now >= peer.dead_at + DEAD_REMOVAL_DELAY_SECONDS + rank_delay
+            )
+        return (
+            now
+            >= peer.last_message_at + SILENT_REMOVAL_DELAY_SECONDS + rank_delay
+        )
 
     def _find_connected(self, name: str) -> _Peer | None:
         return self._peers.get((name, self._connected.get(name, -1)))
@@ -202,14 +215,16 @@
     def _mark_dead(self, peer: _Peer, now: float) -> None:
         if not peer.dead_at:
             peer.dead_at = now
-            peer.grant = peer.grant.mark_dead(now, self._rules)
+            peer.grant = peer.grant.mark_dead(now, self._durations)
 
     def _is_resolved_by(
-        self, intent: cluster.Uncertain, grant: readlease.PeerGrant
+        self, intent: cluster.UncertainChange, grant: readlease.PeerGrant
     ) -> bool:
         # The intent was sent at least one fence before its in_force_at.  A
         # grant sent later contains the change while its outcome is open.
-        return grant.sent > intent.row.in_force_at - self._rules.fence
+        return (
+            grant.sent > intent.row.in_force_at - self._durations.fence_seconds
+        )
 
 
 def _get_id(member: messages.Member) -> MemberId:
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -13,8 +13,8 @@
     """Permits at one instant, for one round of placements.
 
     A busy entry looks up the permits of every zone and agent after each
-    message.  Without the cache of the zones' bounds the lookups took a quarter
-    of its reducer's time.
+    message.  Without the cache of the zones' departure times the lookups took
+    a quarter of its reducer's time.
 
     :param lease_end: end of the read lease; 0 if there is none.
     """
@@ -25,29 +25,31 @@
         lease_end: float,
         document: cluster.ClusterConfig,
         pending: tuple[cluster.ClusterConfig, ...],
-        uncertain: tuple[cluster.Uncertain, ...],
+        uncertain: tuple[cluster.UncertainChange, ...],
     ):
         self.lease_end = lease_end
         self._now = now
         self._document = document
         self._pending = pending
         self._uncertain = uncertain
-        self._bounds: dict[str, float] = {}
+        self._departure_times: dict[str, float] = {}
 
     def zone(self, name: str) -> cluster.Zone | None:
         """Return the state of a zone in the document in force."""
         return self._document.zone(name)
 
-    def zone_bound(self, zone: str) -> float:
+    def find_departure_time(self, zone: str) -> float:
         """Return when ``zone`` will or may go out of service.
 
         The result is 0 if it is out already, infinity if no change to that
         effect is pending or uncertain.
         """
-        bound = self._bounds.get(zone)
-        if bound is None:
-            bound = self._bounds[zone] = self._compute_zone_bound(zone)
-        return bound
+        departure_time = self._departure_times.get(zone)
+        if departure_time is None:
+            departure_time = self._departure_times[zone] = (
+                self._compute_departure_time(zone)
+            )
+        return departure_time
 
     def start_before(self, zone: str) -> float:
         """Return the instant before which a task sent to ``zone`` must start.
@@ -56,17 +58,21 @@
         pending departure would let a task wait in a socket's buffer and
         start in a zone that is out.
         """
-        bound = self.zone_bound(zone)
-        return min(self.lease_end, bound) if bound > self._now else 0.0
+        departure_time = self.find_departure_time(zone)
+        return (
+            min(self.lease_end, departure_time)
+            if departure_time > self._now
+            else 0.0
+        )
 
-    def _compute_zone_bound(self, zone: str) -> float:
+    def _compute_departure_time(self, zone: str) -> float:
         if self._document.zone_out(zone):
             return 0.0
         departures = [
             doc.in_force_at for doc in self._pending if doc.zone_out(zone)
         ]
-        bound = readlease.zone_bound(zone, self._uncertain)
-        return min([bound, *departures])
+        departure_time = readlease.find_departure_time(zone, self._uncertain)
+        return min([departure_time, *departures])
 
 
 class Permits:
@@ -75,14 +81,14 @@
     def __init__(
         self,
         me: messages.Member,
-        rules: readlease.Rules,
+        durations: readlease.LeaseDurations,
         version_history: history.History,
         members: membership.Membership,
         writer: proposals.Writer,
         clocks: clockwatch.ClockWatch,
     ):
         self._me = me
-        self._rules = rules
+        self._durations = durations
         self._history = version_history
         self._members = members
         self._writer = writer
@@ -94,7 +100,7 @@
 
     def extend_from_store(self, stamp: float) -> None:
         """Extend the lease after a read of the head."""
-        end = readlease.compute_end(stamp, self._rules)
+        end = readlease.compute_lease_end(stamp, self._durations)
         self._store_lease_end = max(self._store_lease_end, end)
         self._lease_end = max(self._lease_end, end)
 
@@ -105,22 +111,22 @@
         """
         if not self._history.latest.lists(self._me):
             return
-        self._lease_end = readlease.extend(
+        self._lease_end = readlease.extend_lease(
             self._lease_end,
             now,
             self._history.version,
             self._members.grants(),
             self.uncertain(),
-            self._rules,
+            self._durations,
         )
 
-    def uncertain(self) -> tuple[cluster.Uncertain, ...]:
+    def uncertain(self) -> tuple[cluster.UncertainChange, ...]:
         """Return all entries' changes that may still take effect."""
         changes = self._members.uncertain_changes()
         own = self._writer.uncertain()
         if own is not None:
             changes.append(own)
-        return readlease.select_live(changes, self._history.head)
+        return readlease.select_uncertain(changes, self._history.head)
 
     def serving(self, now: float) -> bool:
         """Return whether this entry may serve.
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -20,7 +20,7 @@
 from agatepick.net import messages
 from agatepick.table import store
 
-MAX_ATTEMPTS = 8
+MAX_WRITE_ATTEMPTS = 8
 """Attempts to write one change, at most.
 
 An attempt fails if another entry renews the stamp meanwhile.  That happens
@@ -89,12 +89,12 @@
         self,
         me: messages.Member,
         version_history: history.History,
-        rules: readlease.Rules,
+        durations: readlease.LeaseDurations,
     ):
         self.stage = Stage.IDLE
         self._me = me
         self._history = version_history
-        self._rules = rules
+        self._durations = durations
         self._queue: collections.deque[Proposal] = collections.deque()
         self._deadline = 0.0
         self._intent_at = 0.0
@@ -103,7 +103,7 @@
         self._row: cluster.ChangeRow | None = None
         self._base_head = headrows.NO_HEAD
         self._acked: set[str] = set()
-        self._uncertain: cluster.Uncertain | None = None
+        self._uncertain: cluster.UncertainChange | None = None
 
     @property
     def writing(self) -> bool:
@@ -124,7 +124,7 @@
         """Return whether no proposal is queued."""
         return not self._queue
 
-    def uncertain(self) -> cluster.Uncertain | None:
+    def uncertain(self) -> cluster.UncertainChange | None:
         """Return this entry's change whose outcome is open, if there is one.
 
         It may have taken effect, or may still do so.
@@ -174,7 +174,7 @@
         if self.stage is Stage.WRITE:
             return self._resolve_write()
         uncertain = self._uncertain
-        if uncertain is None or readlease.select_live(
+        if uncertain is None or readlease.select_uncertain(
             [uncertain], self._history.head
         ):
             return []
@@ -211,7 +211,10 @@
             return []
         proposal = self._queue[0]
         self._proposal_attempts += 1
-        if self._proposal_attempts > MAX_ATTEMPTS or now >= self._deadline:
+        if (
+            self._proposal_attempts > MAX_WRITE_ATTEMPTS
+            or now >= self._deadline
+        ):
             return self._finish('unavailable', reason='the head keeps moving')
         if peers.write_refusal:
             return self._finish('unavailable', reason=peers.write_refusal)
@@ -285,15 +288,15 @@
             f"the store's answer was lost: {answer}",
         )
 
-    def _make_uncertain(self) -> cluster.Uncertain | None:
+    def _make_uncertain(self) -> cluster.UncertainChange | None:
         if self._row is None:
             return None
-        return cluster.Uncertain(self._row, self._base_head.stamp)
+        return cluster.UncertainChange(self._row, self._base_head.stamp)
 
     def _resolve_write(self) -> list[object]:
         """Determine the transaction's outcome from the known versions."""
         uncertain = self._make_uncertain()
-        if uncertain is None or readlease.select_live(
+        if uncertain is None or readlease.select_uncertain(
             [uncertain], self._history.head
         ):
             return []
@@ -337,7 +340,7 @@
         if self._base_head == headrows.NO_HEAD:
             # No entry holds a lease for a head that was never written.
             return now
-        at = max(now, self._base_head.stamp) + self._rules.fence
+        at = max(now, self._base_head.stamp) + self._durations.fence_seconds
         return max(at, self._history.latest.in_force_at)
 
     def _send_intent(
@@ -346,7 +349,9 @@
         self.stage = Stage.INTENT
         self._row = row
         self._acked = set()
-        data = cluster.encode(cluster.Uncertain(row, self._base_head.stamp))
+        data = cluster.encode(
+            cluster.UncertainChange(row, self._base_head.stamp)
+        )
         intent = messages.Intent(row.version - 1, data)
         return [core.Send(peer, intent) for peer in sorted(peers.alive)]
 
@@ -354,7 +359,10 @@
         if peer in self._acked:
             return False
         granted_at = peers.granted_at.get(peer)
-        return granted_at is not None and now < granted_at + self._rules.fence
+        return (
+            granted_at is not None
+            and now < granted_at + self._durations.fence_seconds
+        )
 
     def _send_change(self, row: cluster.ChangeRow) -> list[object]:
         changes = messages.Changes(row.version - 1, (cluster.encode(row),))
@@ -389,7 +397,7 @@
         ]
         if proposal.request_id != INTERNAL_REQUEST:
             effects.append(
-                cluster.Proposed(
+                cluster.ProposalOutcome(
                     proposal.request_id, verdict, version, in_force_at, reason
                 )
             )
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -32,9 +32,9 @@
    outcome was known: it failed, and never takes effect; or it took effect,
    and the grant has a version above ``v`` and doesn't extend a lease for
    ``v``.  Or the transaction was in progress or its answer was lost: then the
-   grant contains the change as uncertain, and :func:`extend` ends the lease
-   before the change's ``in_force_at`` (for a zone's departure or return, only
-   starts in that zone end: see :func:`zone_bound`).
+   grant contains the change as uncertain, and :func:`extend_lease` ends the
+   lease before the change's ``in_force_at`` (for a zone's departure or
+   return, only starts in that zone end: see :func:`find_departure_time`).
 3. Dead peers.  The grant of a dead process never expires if the process was
    observed dead while its last grant was valid.  ``W`` sends the transaction
    only after each other listed entry acknowledged its intent, or a whole
@@ -57,20 +57,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rules:
+class LeaseDurations:
     """Durations that all processes of a cluster share, in seconds.
 
-    :param fence: least time from a change's acceptance until it is in force.
-    :param margin: bound on the difference of any two clocks.
+    :param fence_seconds: least time from a change's acceptance until it is in
+        force.
+    :param margin_seconds: bound on the difference of any two clocks.
     """
 
-    fence: float = 3.0
-    margin: float = 0.25
+    fence_seconds: float = 3.0
+    margin_seconds: float = 0.25
 
     @property
     def lease_duration(self) -> float:
         """Return the duration of a lease, from its stamp or grant on."""
-        return self.fence - self.margin
+        return self.fence_seconds - self.margin_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,21 +88,21 @@
 
     version: int = 0
     sent: float = -math.inf
-    uncertain: cluster.Uncertain | None = None
-    intent: cluster.Uncertain | None = None
+    uncertain: cluster.UncertainChange | None = None
+    intent: cluster.UncertainChange | None = None
     dead: bool = False
 
-    def compute_end(self, rules: Rules) -> float:
+    def compute_lease_end(self, durations: LeaseDurations) -> float:
         """Return the end of the lease that this grant allows."""
-        return math.inf if self.dead else self.sent + rules.lease_duration
+        return math.inf if self.dead else self.sent + durations.lease_duration
 
-    def mark_dead(self, now: float, rules: Rules) -> 'PeerGrant':
+    def mark_dead(self, now: float, durations: LeaseDurations) -> 'PeerGrant':
         """Return this grant after its sender was observed dead at ``now``."""
-        if now > self.sent + rules.lease_duration:
+        if now > self.sent + durations.lease_duration:
             return self
         return dataclasses.replace(self, dead=True)
 
-    def uncertain_changes(self) -> tuple[cluster.Uncertain, ...]:
+    def uncertain_changes(self) -> tuple[cluster.UncertainChange, ...]:
         """Return the changes of this peer that may still take effect.
 
         The intent of a live peer doesn't count.  Until the outcome is known,
@@ -113,14 +114,15 @@
         return tuple(change for change in (self.uncertain, intent) if change)
 
 
-def compute_end(stamp: float, rules: Rules) -> float:
+def compute_lease_end(stamp: float, durations: LeaseDurations) -> float:
     """Return the end of the lease that a head with ``stamp`` provides."""
-    return stamp + rules.lease_duration
+    return stamp + durations.lease_duration
 
 
-def select_live(
-    uncertain: collections.abc.Iterable[cluster.Uncertain], head: cluster.Head
-) -> tuple[cluster.Uncertain, ...]:
+def select_uncertain(
+    uncertain: collections.abc.Iterable[cluster.UncertainChange],
+    head: cluster.Head,
+) -> tuple[cluster.UncertainChange, ...]:
     """Return the changes that may still take effect after a read of ``head``.
 
     A change's transaction requires the version and stamp of the head that it
@@ -133,13 +135,13 @@
     )
 
 
-def extend(
+def extend_lease(
     lease_end: float,
     now: float,
     version: int,
     peers: collections.abc.Iterable[PeerGrant],
-    uncertain: collections.abc.Iterable[cluster.Uncertain],
-    rules: Rules,
+    uncertain: collections.abc.Iterable[cluster.UncertainChange],
+    durations: LeaseDurations,
 ) -> float:
     """Return the end of the lease after it is extended by the peers' grants.
 
@@ -155,19 +157,19 @@
     """
     if now >= lease_end:
         return lease_end
-    end = now + rules.lease_duration
+    end = now + durations.lease_duration
     for peer in peers:
         if peer.version > version:
             return lease_end
-        end = min(end, peer.compute_end(rules))
+        end = min(end, peer.compute_lease_end(durations))
     for change in uncertain:
-        if zone_of(change.row.change) is None:
-            end = min(end, change.row.in_force_at - rules.margin)
+        if get_changed_zone(change.row.change) is None:
+            end = min(end, change.row.in_force_at - durations.margin_seconds)
     return max(lease_end, end)
 
 
-def zone_bound(
-    zone: str, uncertain: collections.abc.Iterable[cluster.Uncertain]
+def find_departure_time(
+    zone: str, uncertain: collections.abc.Iterable[cluster.UncertainChange]
 ) -> float:
     """Return when an uncertain departure would take ``zone`` out.
 
@@ -183,7 +185,7 @@
     )
 
 
-def zone_of(change: cluster.Change) -> str | None:
+def get_changed_zone(change: cluster.Change) -> str | None:
     """Return the zone that a change takes out or returns, if any."""
     if isinstance(change, cluster.ZoneOut | cluster.ZoneIn):
         return change.zone
--- a/src/agatepick/net/clocks.py
+++ b/src/agatepick/net/clocks.py
@@ -10,7 +10,8 @@
 import math
 import time
 
-SAMPLES_KEPT = 8
+MAX_SAMPLES_KEPT = 8
+"""Samples of a peer's clock that an estimate is chosen from, at most."""
 
 
 class ProcessClock:
@@ -42,16 +43,16 @@
     """Offset of a peer's clock from the local clock, with its error bound.
 
     :param seconds: the peer's clock less the local clock.
-    :param error: bound on the error; the true offset differs from ``seconds``
-        by at most this many seconds.
+    :param error_seconds: bound on the error; the true offset differs from
+        ``seconds`` by at most this much.
     """
 
     seconds: float
-    error: float
+    error_seconds: float
 
-    def within(self, margin: float) -> bool:
-        """Return whether the offset is at most ``margin``, error included."""
-        return abs(self.seconds) + self.error <= margin
+    def within(self, margin_seconds: float) -> bool:
+        """Return whether the offset, error included, is within a margin."""
+        return abs(self.seconds) + self.error_seconds <= margin_seconds
 
 
 UNKNOWN_OFFSET = Offset(0.0, math.inf)
@@ -93,8 +94,8 @@
     def add(self, sample: Offset) -> None:
         """Add a sample and update :attr:`best`."""
         self._samples.append(sample)
-        del self._samples[:-SAMPLES_KEPT]
+        del self._samples[:-MAX_SAMPLES_KEPT]
         # The best sample is stored, since each start of a task reads it.
         self.best = min(
-            self._samples, key=lambda kept_sample: kept_sample.error
+            self._samples, key=lambda kept_sample: kept_sample.error_seconds
         )
--- a/src/agatepick/net/httpcalls.py
+++ b/src/agatepick/net/httpcalls.py
@@ -32,13 +32,13 @@
     """Client of one server.
 
     :param address: ``ip:port``.
-    :param connections: largest number of open connections; further calls
+    :param max_connections: largest number of open connections; further calls
         wait for one of them.
     """
 
-    def __init__(self, address: str, connections: int) -> None:
+    def __init__(self, address: str, max_connections: int) -> None:
         self.address = address
-        self._slots = asyncio.Semaphore(connections)
+        self._slots = asyncio.Semaphore(max_connections)
         self._idle: list[_Connection] = []
         self._buffer = reading.make_buffer()
 
@@ -147,7 +147,7 @@
         self.reusable = False
         self._fail(exc or ConnectionResetError('closed by the server'))
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Feed received bytes to the parser."""
         if self._parser is None:
             # A response without a request is a fault of the server.
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -37,19 +37,19 @@
 """
 HELLO_TIMEOUT_SECONDS = 5.0
 HEARTBEAT_SECONDS = 1.0
-SILENCE_SECONDS = 5.0
+MAX_SILENCE_SECONDS = 5.0
 """Time without a message after which a peer is disconnected.
 
 Five heartbeats last longer than a garbage collection or a busy event loop, and
 less than a caller waits.
 """
-SAMPLE_SECONDS = 15.0
+SAMPLE_RENEWAL_SECONDS = 15.0
 """Age at which a clock sample is renewed on a connection in use.
 
 Two clocks that drift apart by 500 ppm differ by a further 8 ms by then.
 """
-SAMPLE_ROUND_TRIP_SECONDS = 0.1
-"""Longest round trip of a sample that is kept for ``SAMPLE_SECONDS``.
+MAX_SAMPLE_ROUND_TRIP_SECONDS = 0.1
+"""Longest round trip of a sample that is kept for ``SAMPLE_RENEWAL_SECONDS``.
 
 A longer round trip makes the error bound too wide.
 """
@@ -60,7 +60,7 @@
 A peer that accepts connections and closes them at once is dialled with
 increasing delays.
 """
-GREATER_NAME_DELAY_SECONDS = 0.25
+GREATER_NAME_DIAL_DELAY_SECONDS = 0.25
 """Delay of a dial by the entry with the greater name.
 
 Two entries dial each other.  Without the delay both would connect at the same
@@ -72,14 +72,16 @@
 class LinkTimeouts:
     """Intervals and timeouts of the connections, in seconds.
 
-    :param heartbeat: interval between checks of all connections.
-    :param silence: time without a message after which a peer is disconnected.
-    :param dial: timeout for a connection to open, and for the peer's Hello.
+    :param heartbeat_seconds: interval between checks of all connections.
+    :param silence_seconds: time without a message after which a peer is
+        disconnected.
+    :param dial_seconds: timeout for a connection to open, and for the peer's
+        Hello.
     """
 
-    heartbeat: float = HEARTBEAT_SECONDS
-    silence: float = SILENCE_SECONDS
-    dial: float = HELLO_TIMEOUT_SECONDS
+    heartbeat_seconds: float = HEARTBEAT_SECONDS
+    silence_seconds: float = MAX_SILENCE_SECONDS
+    dial_seconds: float = HELLO_TIMEOUT_SECONDS
 
 
 class LatencyModel(typing.Protocol):
@@ -190,7 +192,7 @@
         if not self.lost.done():
             self.lost.set_result(None)
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Handle each complete frame among the received bytes."""
         self._unread = self._unread[self._read_offset :] + data
         self._read_offset = 0
@@ -245,7 +247,7 @@
     def needs_ping(self, now: float) -> bool:
         """Return whether the peer is silent or its clock sample is old."""
         silent = now - self.last_message_at >= HEARTBEAT_SECONDS
-        return silent or now - self._sampled_at >= SAMPLE_SECONDS
+        return silent or now - self._sampled_at >= SAMPLE_RENEWAL_SECONDS
 
     def record_pong(self, pong: messages.Pong, now: float) -> None:
         """Record a pong, unless it arrived too late to be a clock sample.
@@ -255,7 +257,7 @@
         sample: its lease grants would be ignored, and agents would refuse its
         starts.
         """
-        if now - pong.sent <= SAMPLE_ROUND_TRIP_SECONDS:
+        if now - pong.sent <= MAX_SAMPLE_ROUND_TRIP_SECONDS:
             self._sampled_at = now
 
     def _store_early(self, message: messages.Message) -> None:
@@ -406,14 +408,14 @@
     def dial(self, peer: types.PeerName, address: str) -> None:
         """Connect to ``peer`` at ``ip:port``, and again after each loss.
 
-        This ends with :meth:`hangup`.
+        This ends with :meth:`hang_up`.
         """
         if peer in self._dials:
             return
         loop = asyncio.get_running_loop()
         self._dials[peer] = loop.create_task(self._maintain(peer, address))
 
-    def hangup(self, peer: types.PeerName) -> None:
+    def hang_up(self, peer: types.PeerName) -> None:
         """Close the connection to a peer and stop dialling it."""
         task = self._dials.pop(peer, None)
         if task is not None:
@@ -469,7 +471,7 @@
 
     async def _receive_hello(self, conn: Connection, address: str) -> bool:
         try:
-            hello = await conn.receive_first(self._timeouts.dial)
+            hello = await conn.receive_first(self._timeouts.dial_seconds)
         except (OSError, TimeoutError) as exc:
             LOG.info('event=greet_failed peer=%s reason=%r', address, exc)
             conn.close()
@@ -543,7 +545,7 @@
         """
         own = self._hello()
         if own.role == ENTRY and own.name > peer:
-            await asyncio.sleep(GREATER_NAME_DELAY_SECONDS)
+            await asyncio.sleep(GREATER_NAME_DIAL_DELAY_SECONDS)
         if peer in self._peers:
             return True
         host, _, port = address.rpartition(':')
@@ -577,7 +579,7 @@
     ) -> Connection | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self._timeouts.dial):
+            async with asyncio.timeout(self._timeouts.dial_seconds):
                 _, conn = await loop.create_connection(
                     lambda: self._make_connection(lambda conn: None),
                     host,
@@ -594,10 +596,10 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(self._timeouts.heartbeat)
+            await asyncio.sleep(self._timeouts.heartbeat_seconds)
             now = self._clock.now()
             for conn in list(self._peers.values()):
-                if now - conn.last_message_at > self._timeouts.silence:
+                if now - conn.last_message_at > self._timeouts.silence_seconds:
                     conn.close()
                 elif conn.needs_ping(now):
                     conn.ping(now)
--- a/src/agatepick/net/messages.py
+++ b/src/agatepick/net/messages.py
@@ -20,9 +20,9 @@
 SCHEMA = pathlib.Path(__file__).with_name('messages.capnp')
 MAX_NESTING = 8
 WORD_BYTES = 8
-MAX_TRAVERSALS = 2
-SPARE_WORDS = 128
-"""Words a reader may traverse, beyond ``MAX_TRAVERSALS`` times the message.
+MAX_TRAVERSALS_PER_MESSAGE = 2
+SPARE_TRAVERSAL_WORDS = 128
+"""Words that a reader may traverse beyond ``MAX_TRAVERSALS_PER_MESSAGE``.
 
 A valid message needs one traversal.  With a limit independent of the message's
 size, a few hundred bytes can declare a list of a million empty items, which
@@ -560,7 +560,8 @@
         with _load_schema().Envelope.from_bytes(
             data,
             traversal_limit_in_words=(
-                MAX_TRAVERSALS * len(data) // WORD_BYTES + SPARE_WORDS
+                MAX_TRAVERSALS_PER_MESSAGE * len(data) // WORD_BYTES
+                + SPARE_TRAVERSAL_WORDS
             ),
             nesting_limit=MAX_NESTING,
         ) as envelope:
--- a/src/agatepick/net/reading.py
+++ b/src/agatepick/net/reading.py
@@ -20,7 +20,7 @@
     """Base class of a connection; subclasses handle the received bytes.
 
     :param buffer: buffer that bytes are read into.  Connections of one event
-        loop share it, as nothing runs between a read and :meth:`received`.
+        loop share it, as nothing runs between a read and :meth:`handle_data`.
     :ivar transport: the transport; ``None`` before the connection is made.
     """
 
@@ -28,7 +28,7 @@
         self.transport: asyncio.Transport | None = None
         self._buffer = buffer
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Handle received bytes."""
         raise NotImplementedError
 
@@ -46,5 +46,5 @@
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand ``nbytes`` received bytes to :meth:`received`."""
-        self.received(bytes(memoryview(self._buffer)[:nbytes]))
+        """Hand ``nbytes`` received bytes to :meth:`handle_data`."""
+        self.handle_data(bytes(memoryview(self._buffer)[:nbytes]))
--- a/src/agatepick/owning/entry.py
+++ b/src/agatepick/owning/entry.py
@@ -415,6 +415,6 @@
         return messages.Members(in_force.version, in_force.entries)
 
     def _reply_if_proposed(self, effect: object) -> object:
-        if isinstance(effect, cluster.Proposed):
+        if isinstance(effect, cluster.ProposalOutcome):
             return calls.Reply(effect.request_id, effect)
         return effect
--- a/src/agatepick/owning/owner.py
+++ b/src/agatepick/owning/owner.py
@@ -416,7 +416,7 @@
             )
         snapshot = self._config.permits(now)
         return self._dispatch.admit(
-            spec, lambda zone: now < snapshot.zone_bound(zone), now
+            spec, lambda zone: now < snapshot.find_departure_time(zone), now
         )
 
     def _stop_at_agents(self, job: jobs.Job) -> list[object]:
--- a/src/agatepick/repeatable/process.py
+++ b/src/agatepick/repeatable/process.py
@@ -23,7 +23,9 @@
 
 _INCARNATION_BITS = 63
 
-TIMEOUTS = links.LinkTimeouts(heartbeat=0.4, silence=1.2, dial=1.0)
+TIMEOUTS = links.LinkTimeouts(
+    heartbeat_seconds=0.4, silence_seconds=1.2, dial_seconds=1.0
+)
 """Timing of the links.  Agents and entries exchange renewals every 0.2 s, so
 1.2 s of silence is longer than any pause of a busy process; a connection that
 has been silent for so long is replaced."""
--- a/src/agatepick/runtime/processes.py
+++ b/src/agatepick/runtime/processes.py
@@ -46,11 +46,11 @@
 
 FLUSH_SECONDS = 0.1
 _INCARNATION_BITS = 63
-_POLL_FENCE_SHARE = 1 / 6
-_RENEW_FENCE_SHARE = 0.23
+_POLL_INTERVAL_PER_FENCE = 1 / 6
+_RENEWAL_INTERVAL_PER_FENCE = 0.23
 """Interval between renewals, and between grants, as a fraction of the fence;
-``_POLL_FENCE_SHARE`` is the one between reads of the head.  Two reads or two
-renewals or grants in a row may fail before a read lease expires."""
+``_POLL_INTERVAL_PER_FENCE`` is the one between reads of the head.  Two reads
+or two renewals or grants in a row may fail before a read lease expires."""
 
 
 Feed = typing.Callable[[object], None]
@@ -273,7 +273,9 @@
         table = self.dependencies.table
         if table is None:
             table = tablestore.TableStore.from_config(
-                tablestore.TableSettings(_strip_scheme(self.cfg.store.url)),
+                tablestore.TableClientSettings(
+                    _strip_scheme(self.cfg.store.url)
+                ),
                 self.dependencies.rng,
             )
         client = table
@@ -312,11 +314,15 @@
         return entry.EntryConfig(
             me=self.member,
             configuration=configuration.ConfigurationSettings(
-                readlease.Rules(timing.fence_seconds, timing.margin_seconds),
-                poll=timing.fence_seconds * _POLL_FENCE_SHARE,
-                renew=timing.fence_seconds * _RENEW_FENCE_SHARE,
-                grant=timing.fence_seconds * _RENEW_FENCE_SHARE,
-                store_timeout=self.cfg.store.timeout_seconds,
+                readlease.LeaseDurations(
+                    timing.fence_seconds, timing.margin_seconds
+                ),
+                poll_seconds=timing.fence_seconds * _POLL_INTERVAL_PER_FENCE,
+                renew_seconds=timing.fence_seconds
+                * _RENEWAL_INTERVAL_PER_FENCE,
+                grant_seconds=timing.fence_seconds
+                * _RENEWAL_INTERVAL_PER_FENCE,
+                store_timeout_seconds=self.cfg.store.timeout_seconds,
             ),
             dispatch=dispatch.DispatchSettings(self.name, policy=self._policy),
             limits=owner.OwnerConfig(
--- a/src/agatepick/runtime/shell.py
+++ b/src/agatepick/runtime/shell.py
@@ -47,7 +47,7 @@
         """Register ``peers`` as handler of the effects on connections."""
         self.handle(core.Send, lambda e: peers.send(e.peer, e.message))
         self.handle(core.Dial, lambda e: peers.dial(e.peer, e.address))
-        self.handle(core.Hangup, lambda e: peers.hangup(e.peer))
+        self.handle(core.Hangup, lambda e: peers.hang_up(e.peer))
 
     def begin(self) -> None:
         """Start the ticks: pass the first one to the reducer."""
--- a/src/agatepick/table/breaker.py
+++ b/src/agatepick/table/breaker.py
@@ -10,13 +10,13 @@
     deadline, and an operator would be notified of a known outage only after
     seconds.  An entry's reads take two seconds to fail five times, so a single
     lost packet doesn't open the breaker.  An open breaker allows a probe every
-    ``PROBE_SECONDS``, jittered so that the entries don't all call a recovering
-    store at once.  A second is a third of the fence, so an entry resumes
-    within one fence of the recovery.
+    ``PROBE_INTERVAL_SECONDS``, jittered so that the entries don't all call a
+    recovering store at once.  A second is a third of the fence, so an entry
+    resumes within one fence of the recovery.
     """
 
     FAILURES_TO_OPEN = 5
-    PROBE_SECONDS = 1.0
+    PROBE_INTERVAL_SECONDS = 1.0
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -48,4 +48,6 @@
             self._schedule_probe(now)
 
     def _schedule_probe(self, now: float) -> None:
-        self._probe_at = now + self.PROBE_SECONDS * self._rng.uniform(0.5, 1.5)
+        self._probe_at = now + self.PROBE_INTERVAL_SECONDS * self._rng.uniform(
+            0.5, 1.5
+        )
--- a/src/agatepick/table/store.py
+++ b/src/agatepick/table/store.py
@@ -91,12 +91,12 @@
 class CallStore:
     """Effect that sends a request to the store.
 
-    :param timeout: seconds after which the answer is an error.
+    :param timeout_seconds: time after which the answer is an error.
     """
 
     id: int
     request: Request
-    timeout: float
+    timeout_seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/agatepick/table/tablestore.py
+++ b/src/agatepick/table/tablestore.py
@@ -34,21 +34,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TableSettings:
+class TableClientSettings:
     """Address of the table service, and rate limits of its client.
 
     :param address: ``ip:port``.
-    :param reads: reads a second that this process may send, at most.
-    :param writes: transactions a second that it may send, at most.
+    :param max_reads_per_second: most reads that this process may send.
+    :param max_writes_per_second: most transactions that it may send.
     """
 
     address: str
-    reads: float = 20.0
-    writes: float = 10.0
+    max_reads_per_second: float = 20.0
+    max_writes_per_second: float = 10.0
 
 
 @dataclasses.dataclass
-class Counts:
+class RequestCounts:
     """Counters of requests that were sent to the service or withheld."""
 
     reads: int = 0
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        cfg: TableSettings,
+        cfg: TableClientSettings,
         rng: random.Random,
         client: tornado.httpclient.AsyncHTTPClient,
         now: typing.Callable[[], float],
@@ -73,13 +73,17 @@
         self._now = now
         self._breaker = breaker.CircuitBreaker(rng)
         self._retry_budget = ratelimit.RetryBudget()
-        self._reads = ratelimit.TokenBucket(cfg.reads, cfg.reads, now())
-        self._writes = ratelimit.TokenBucket(cfg.writes, cfg.writes, now())
-        self.counts = Counts()
+        self._reads = ratelimit.TokenBucket(
+            cfg.max_reads_per_second, cfg.max_reads_per_second, now()
+        )
+        self._writes = ratelimit.TokenBucket(
+            cfg.max_writes_per_second, cfg.max_writes_per_second, now()
+        )
+        self.counts = RequestCounts()
 
     @classmethod
     def from_config(
-        cls, cfg: TableSettings, rng: random.Random
+        cls, cfg: TableClientSettings, rng: random.Random
     ) -> 'TableStore':
         """Return a client on the running event loop."""
         client = tornado.simple_httpclient.SimpleAsyncHTTPClient(
@@ -95,7 +99,7 @@
     async def call(self, call: store.CallStore) -> store.StoreAnswered:
         """Execute one call; errors are returned in the answer, not raised."""
         self._retry_budget.add_request()
-        deadline = self._now() + call.timeout
+        deadline = self._now() + call.timeout_seconds
         attempts = 0
         while True:
             answer = await self._call_once(
--- a/src/agatepick/telemetry/logs.py
+++ b/src/agatepick/telemetry/logs.py
@@ -75,7 +75,7 @@
         self._refilled_at: float | None = None
         self.dropped = 0
 
-    def try_consume(self, routine: bool, now: float) -> bool:
+    def acquire(self, routine: bool, now: float) -> bool:
         """Take one line from the budget, or count the line as dropped.
 
         :param routine: whether the line belongs to normal operation.
@@ -118,7 +118,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line or count it as dropped."""
         routine = getattr(record, 'routine', False)
-        if not self._budget.try_consume(routine, record.created):
+        if not self._budget.acquire(routine, record.created):
             return
         dropped = self._budget.pop_dropped_count()
         text = self.format(record)
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -314,7 +314,7 @@
         description = self.replies[number]
         if isinstance(answer, types.JobAnswer):
             self.answers.append(answer)
-        if isinstance(answer, cluster.Proposed):
+        if isinstance(answer, cluster.ProposalOutcome):
             self.verdicts.append((description, answer))
             text = f'{answer.verdict}, version {answer.version}'
             if answer.verdict == 'accepted':
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -163,7 +163,7 @@
             return test_operators.Status()
         events.append(event)
         verdict = 'accepted' if len(events) == 1 else 'conflict'
-        return cluster.Proposed(event.call, verdict, 8, 12.5)
+        return cluster.ProposalOutcome(event.call, verdict, 8, 12.5)
 
     entry(answer)
     assert cli.main(['zone', 'out', 'talca']) == 0
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -14,8 +14,8 @@
     """The ping takes 10 ms, the pong 30 ms; the peer is 2 s ahead."""
     offset = clocks.compute_offset(100.0, 102.01, 102.02, 100.05)
     assert abs(offset.seconds - 1.99) < 1e-9
-    assert abs(offset.error - 0.02) < 1e-9
-    assert abs(offset.seconds - 2.0) <= offset.error
+    assert abs(offset.error_seconds - 0.02) < 1e-9
+    assert abs(offset.seconds - 2.0) <= offset.error_seconds
     assert not offset.within(1.0) and offset.within(2.1)
 
 
@@ -28,6 +28,6 @@
     assert not estimate.best.within(1e9)
     estimate.add(clocks.Offset(0.0, 0.001))
     assert estimate.best.within(0.25)
-    for _ in range(clocks.SAMPLES_KEPT):
+    for _ in range(clocks.MAX_SAMPLES_KEPT):
         estimate.add(clocks.Offset(1.0, 0.01))
     assert not estimate.best.within(0.25)
--- a/tests/test_clockwatch.py
+++ b/tests/test_clockwatch.py
@@ -24,7 +24,7 @@
     """
     watch = clockwatch.ClockWatch(MARGIN)
     watch.add('e1', pong(NOW), NOW)
-    later = NOW + links.SAMPLE_SECONDS + links.HEARTBEAT_SECONDS
+    later = NOW + links.SAMPLE_RENEWAL_SECONDS + links.HEARTBEAT_SECONDS
     watch.add('a1', pong(later), later)
     assert watch.agrees('e1')
 
@@ -57,7 +57,7 @@
         assert conn.needs_ping(NOW)
         conn.record_pong(pong(NOW, trip=0.01), NOW)
         assert not conn.needs_ping(NOW + 0.5)
-        conn.last_message_at = NOW + links.SAMPLE_SECONDS
-        assert conn.needs_ping(NOW + links.SAMPLE_SECONDS)
+        conn.last_message_at = NOW + links.SAMPLE_RENEWAL_SECONDS
+        assert conn.needs_ping(NOW + links.SAMPLE_RENEWAL_SECONDS)
 
     asyncio.run(main())
--- a/tests/test_cluster_properties.py
+++ b/tests/test_cluster_properties.py
@@ -44,7 +44,7 @@
     min_size=2,
     max_size=14,
 )
-HALF = virtual_cluster.RULES.margin / 2
+HALF = virtual_cluster.DURATIONS.margin_seconds / 2
 OFFSETS = st.lists(st.floats(-0.9 * HALF, 0.9 * HALF), max_size=3)
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 from agatepick.net import messages
 from tests import virtual_cluster
 
-RULES = virtual_cluster.RULES
+DURATIONS = virtual_cluster.DURATIONS
 ZONE_A_OUT = cluster.ZoneOut('a')
 
 
@@ -49,7 +49,7 @@
     run(world, 1.0)
     outcome = world.proposed[number]
     assert outcome.verdict == 'accepted'
-    assert outcome.in_force_at <= world.now + RULES.fence
+    assert outcome.in_force_at <= world.now + DURATIONS.fence_seconds
     for name in 'xyz':
         assert conf(world, name).version == outcome.version
         now = world.clock(name)
@@ -182,7 +182,7 @@
     assert world.leases() == ['x', 'y', 'z']
     world.cut('x', 'z')
     world.cut('y', 'z')
-    run(world, RULES.fence)
+    run(world, DURATIONS.fence_seconds)
     assert world.leases() == ['x', 'y']
     world.heal()
     run(world, 10.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -203,7 +203,7 @@
     async def main():
         left, right = await connect_nodes()
         left.links.send('b', messages.Goodbye('x'))
-        left.links.hangup('b')
+        left.links.hang_up('b')
         await right.wait_for(
             core.Received, lambda e: e.message == messages.Goodbye('x')
         )
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -42,12 +42,12 @@
     explain failures.
     """
     budget = logs.LineBudget(100.0)
-    routine = sum(budget.try_consume(True, 1.0) for _ in range(200))
-    failures = sum(budget.try_consume(False, 1.0) for _ in range(40))
+    routine = sum(budget.acquire(True, 1.0) for _ in range(200))
+    failures = sum(budget.acquire(False, 1.0) for _ in range(40))
     assert routine == 50
     assert failures == 40
     assert budget.pop_dropped_count() == 150
-    assert budget.try_consume(True, 2.0)
+    assert budget.acquire(True, 2.0)
 
 
 def test_a_stopped_reader_does_not_block_logging():
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -32,7 +32,7 @@
     def answer(event):
         if isinstance(event, calls.StatusAsked):
             return Status()
-        return cluster.Proposed(event.call, kind, version, 12.5)
+        return cluster.ProposalOutcome(event.call, kind, version, 12.5)
 
     return answer
 
--- a/tests/test_readlease.py
+++ b/tests/test_readlease.py
@@ -3,16 +3,16 @@
 from agatepick.config import cluster
 from agatepick.config import readlease
 
-RULES = readlease.Rules(fence=3.0, margin=0.25)
+DURATIONS = readlease.LeaseDurations(fence_seconds=3.0, margin_seconds=0.25)
 
 
 def uncertain_change(change, stamp=90.0, at=103.0):
     row = cluster.ChangeRow(6, at, change, 'w', 1, 1)
-    return cluster.Uncertain(row, stamp)
+    return cluster.UncertainChange(row, stamp)
 
 
 def extend_lease(*peers, lease=101.0, changes=()):
-    return readlease.extend(lease, 100.0, 5, peers, changes, RULES)
+    return readlease.extend_lease(lease, 100.0, 5, peers, changes, DURATIONS)
 
 
 def test_a_lease_is_extended_up_to_the_end_of_the_oldest_grant():
@@ -43,8 +43,13 @@
     had expired before.
     """
     grant = readlease.PeerGrant(5, 90.0)
-    assert grant.mark_dead(92.75, RULES).compute_end(RULES) == math.inf
-    assert grant.mark_dead(92.76, RULES).compute_end(RULES) == 92.75
+    assert (
+        grant.mark_dead(92.75, DURATIONS).compute_lease_end(DURATIONS)
+        == math.inf
+    )
+    assert (
+        grant.mark_dead(92.76, DURATIONS).compute_lease_end(DURATIONS) == 92.75
+    )
 
 
 def test_the_intent_of_a_dead_peer_is_uncertain():
@@ -52,7 +57,7 @@
     change = uncertain_change(cluster.PresetUse('peak'))
     grant = readlease.PeerGrant(5, 99.0, intent=change)
     assert grant.uncertain_changes() == ()
-    assert grant.mark_dead(99.5, RULES).uncertain_changes() == (change,)
+    assert grant.mark_dead(99.5, DURATIONS).uncertain_changes() == (change,)
 
 
 def test_an_uncertain_preset_limits_the_lease_and_a_departure_its_zone():
@@ -60,12 +65,14 @@
     assert extend_lease(changes=[preset]) == 101.75
     departure = uncertain_change(cluster.ZoneOut('a'), at=102.0)
     assert extend_lease(changes=[departure]) == 102.75
-    assert readlease.zone_bound('a', [departure]) == 102.0
-    assert readlease.zone_bound('b', [departure]) == math.inf
+    assert readlease.find_departure_time('a', [departure]) == 102.0
+    assert readlease.find_departure_time('b', [departure]) == math.inf
 
 
 def test_a_newer_stamp_or_version_resolves_an_uncertain_change():
     change = uncertain_change(cluster.ZoneOut('a'))
-    assert readlease.select_live([change], cluster.Head(5, 90.0)) == (change,)
-    assert readlease.select_live([change], cluster.Head(5, 90.1)) == ()
-    assert readlease.select_live([change], cluster.Head(6, 90.0)) == ()
+    assert readlease.select_uncertain([change], cluster.Head(5, 90.0)) == (
+        change,
+    )
+    assert readlease.select_uncertain([change], cluster.Head(5, 90.1)) == ()
+    assert readlease.select_uncertain([change], cluster.Head(6, 90.0)) == ()
--- a/tests/test_tablestore.py
+++ b/tests/test_tablestore.py
@@ -14,7 +14,7 @@
 
 
 def make_client(server, **limits):
-    cfg = tablestore.TableSettings(server.address, **limits)
+    cfg = tablestore.TableClientSettings(server.address, **limits)
     return tablestore.TableStore.from_config(cfg, random.Random(1))
 
 
@@ -119,7 +119,7 @@
         assert server.counts.writes == 3
         assert client.counts.withheld == 5
 
-    run(scenario, writes=3.0)
+    run(scenario, max_writes_per_second=3.0)
 
 
 def test_a_write_to_a_closed_port_is_unavailable():
@@ -136,7 +136,7 @@
         assert circuit.allow(10.0)
         circuit.record_failure(10.0)
     assert not circuit.allow(10.0)
-    later = 10.0 + 1.5 * circuit.PROBE_SECONDS
+    later = 10.0 + 1.5 * circuit.PROBE_INTERVAL_SECONDS
     assert circuit.allow(later) and not circuit.allow(later)
     circuit.record_success()
     assert circuit.allow(later)
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -19,8 +19,8 @@
 from agatepick.table import store
 
 START = 1_000.0
-RULES = readlease.Rules()
-CFG = configuration.ConfigurationSettings(RULES)
+DURATIONS = readlease.LeaseDurations()
+CFG = configuration.ConfigurationSettings(DURATIONS)
 ZONES = ('a', 'b')
 STEP = 0.1
 SILENCE = 5.0
@@ -229,9 +229,9 @@
         doc = node.conf.in_force(now)
         assert doc.in_force_at <= now
         for row in rows[doc.version :]:
-            if row.in_force_at + RULES.margin >= now:
+            if row.in_force_at + DURATIONS.margin_seconds >= now:
                 continue
-            zone = readlease.zone_of(row.change)
+            zone = readlease.get_changed_zone(row.change)
             covered = zone and not node.conf.zone_open(zone, now)
             assert covered, f'{node.name} holds {doc.version}, not {row}'
         for zone in ZONES:
@@ -255,9 +255,9 @@
         begin = None
         for row in self.rows():
             if row.change == cluster.ZoneOut(zone) and begin is None:
-                begin = row.in_force_at + RULES.margin
+                begin = row.in_force_at + DURATIONS.margin_seconds
             elif row.change == cluster.ZoneIn(zone) and begin is not None:
-                yield begin, row.in_force_at - RULES.margin
+                yield begin, row.in_force_at - DURATIONS.margin_seconds
                 begin = None
         if begin is not None:
             yield begin, float('inf')
@@ -292,7 +292,7 @@
                 node.dials.pop(peer, None)
             case store.CallStore():
                 self._call_store(node, effect)
-            case cluster.Proposed():
+            case cluster.ProposalOutcome():
                 self.proposed[effect.request_id] = effect
             case core.Note():
                 self.notes.append((self.now, node.name, effect))
@@ -425,7 +425,7 @@
             self.schedule(self.rng.uniform(0.001, 0.01), deliver_answer)
 
         execute.request = call.request
-        self.schedule(call.timeout, timed_out)
+        self.schedule(call.timeout_seconds, timed_out)
         if mode == 'hold':
             self.held.append((kind, execute))
         else:
