--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -253,7 +253,7 @@
             if version < self._watch.versions.get(name, 0):
                 self._watch.reversions += 1
             self._watch.versions[name] = version
-            if site.process.entry.configuration.lease_until(now) > now:
+            if site.process.entry.configuration.get_lease_end(now) > now:
                 versions.add(version)
         self._watch.divergences += len(versions) > 1
 
--- a/src/agatepick/config/configuration.py
+++ b/src/agatepick/config/configuration.py
@@ -134,12 +134,12 @@
         """Return the document in force at ``now``."""
         return self._history.in_force(now)
 
-    def lease_until(self, now: float) -> float:
+    def get_lease_end(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease.
 
         A task may start only strictly before that instant.
         """
-        return self._permits.lease_until(now)
+        return self._permits.get_lease_end(now)
 
     def serving(self, now: float) -> bool:
         """Return whether this entry may serve.
@@ -180,7 +180,7 @@
             in_force_at=doc.in_force_at,
             preset=doc.preset,
             lease_source=self._find_lease_source(now),
-            lease_seconds=max(0.0, self.lease_until(now) - now),
+            lease_seconds=max(0.0, self.get_lease_end(now) - now),
             serving=self.serving(now),
             settled=self.settled(now),
             zones=doc.zones,
@@ -275,11 +275,11 @@
         """Run the periodic tasks that are due."""
         effects = self._writer.expire(now)
         self._permits.extend_from_peers(now)
-        if self._is_due('poll', self._cfg.poll_seconds, now):
+        if self._schedule_if_due('poll', self._cfg.poll_seconds, now):
             effects += self._read()
-        if self._is_due('grant', self._cfg.grant_seconds, now):
+        if self._schedule_if_due('grant', self._cfg.grant_seconds, now):
             effects += self._grant(now)
-        if self._is_due('listing', self._cfg.listing_seconds, now):
+        if self._schedule_if_due('listing', self._cfg.listing_seconds, now):
             effects += self._maintain_entries(now)
         effects += self._advance(now)
         self._listing.update_may_exit(now)
@@ -506,10 +506,11 @@
             self._listing.remove_lost(now)
         return self._listing.maintain() if self._permits.has_read else []
 
-    def _is_due(self, name: str, seconds: float, now: float) -> bool:
-        """Return whether a periodic task is due; schedule its next run then.
+    def _schedule_if_due(self, name: str, seconds: float, now: float) -> bool:
+        """Schedule the next run of a periodic task if one is due now.
 
         :param seconds: mean interval between two runs.
+        :returns: whether a run is due.
         """
         if now < self._due_at.get(name, 0.0):
             return False
@@ -520,7 +521,7 @@
         return True
 
     def _find_lease_source(self, now: float) -> str:
-        if not self.lease_until(now):
+        if not self.get_lease_end(now):
             return 'none'
         return 'store' if self._permits.has_store_lease(now) else 'peers'
 
--- a/src/agatepick/config/permits.py
+++ b/src/agatepick/config/permits.py
@@ -139,7 +139,7 @@
             and self._history.in_force(now).lists(self._me)
         )
 
-    def lease_until(self, now: float) -> float:
+    def get_lease_end(self, now: float) -> float:
         """Return the end of the read lease, or 0 without a lease."""
         end = min(
             self._lease_end, self._history.find_removal_time(self._me, now)
@@ -155,7 +155,7 @@
         """Return all permits at ``now``."""
         return Snapshot(
             now,
-            self.lease_until(now),
+            self.get_lease_end(now),
             self._history.in_force(now),
             self._history.pending(now),
             self.uncertain(),
--- a/src/agatepick/net/httpcalls.py
+++ b/src/agatepick/net/httpcalls.py
@@ -46,14 +46,14 @@
         self,
         method: str,
         path: str,
-        seconds: float,
+        timeout_seconds: float,
         body: bytes = b'',
         headers: typing.Mapping[str, str] | None = None,
     ) -> Response:
         """Send one request and return its response.
 
-        :param seconds: timeout of the whole call, including the wait for a
-            free connection.
+        :param timeout_seconds: timeout of the whole call, including the wait
+            for a free connection.
         :raises ConnectionRefusedError: if no process listens at the address.
         :raises TimeoutError: if the timeout has expired.
         :raises OSError: if the connection was lost, or the response isn't
@@ -67,7 +67,7 @@
             lines.append(f'Content-Length: {len(body)}')
         head = '\r\n'.join(lines) + '\r\n\r\n'
         data = head.encode('latin-1') + body
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             async with self._slots:
                 return await self._send(method == 'GET', data)
 
--- a/src/agatepick/net/links.py
+++ b/src/agatepick/net/links.py
@@ -36,7 +36,7 @@
 The limit prevents the process from running out of memory.
 """
 HELLO_TIMEOUT_SECONDS = 5.0
-HEARTBEAT_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 MAX_SILENCE_SECONDS = 5.0
 """Time without a message after which a peer is disconnected.
 
@@ -79,7 +79,7 @@
         Hello.
     """
 
-    heartbeat_seconds: float = HEARTBEAT_SECONDS
+    heartbeat_seconds: float = HEARTBEAT_INTERVAL_SECONDS
     silence_seconds: float = MAX_SILENCE_SECONDS
     dial_seconds: float = HELLO_TIMEOUT_SECONDS
 
@@ -221,13 +221,13 @@
         self._flush()
         self._disconnect()
 
-    async def receive_first(self, seconds: float) -> messages.Message:
+    async def receive_first(self, timeout_seconds: float) -> messages.Message:
         """Wait for the first message of the peer and return it.
 
         :raises OSError: if the connection is lost before.
         :raises TimeoutError: if no message arrives in time.
         """
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             return await self._first_message
 
     async def serve(
@@ -246,7 +246,7 @@
 
     def needs_ping(self, now: float) -> bool:
         """Return whether the peer is silent or its clock sample is old."""
-        silent = now - self.last_message_at >= HEARTBEAT_SECONDS
+        silent = now - self.last_message_at >= HEARTBEAT_INTERVAL_SECONDS
         return silent or now - self._sampled_at >= SAMPLE_RENEWAL_SECONDS
 
     def record_pong(self, pong: messages.Pong, now: float) -> None:
@@ -328,14 +328,14 @@
 class Links:
     """All connections of one process to its peers.
 
-    :param hello: callback that returns the process's current Hello.
+    :param make_hello: callback that returns the process's current Hello.
     :param feed: callback for the events ``PeerUp``, ``PeerDown`` and
         ``Received``.
     """
 
     def __init__(
         self,
-        hello: typing.Callable[[], messages.Hello],
+        make_hello: typing.Callable[[], messages.Hello],
         feed: typing.Callable[[object], None],
         clock: types.Clock,
         rng: random.Random,
@@ -346,7 +346,7 @@
         timeouts: LinkTimeouts = LinkTimeouts(),
     ):
         self.traffic = Traffic()
-        self._hello = hello
+        self._make_hello = make_hello
         self._feed = feed
         self._clock = clock
         self._rng = rng
@@ -442,7 +442,7 @@
     def _on_accepted(self, conn: Connection) -> None:
         assert conn.transport is not None
         address = str(conn.transport.get_extra_info('peername'))
-        conn.send(self._hello())
+        conn.send(self._make_hello())
         self._start_task(self._serve_accepted(conn, address))
 
     async def _serve_accepted(self, conn: Connection, address: str) -> None:
@@ -543,7 +543,7 @@
 
         :returns: whether the peer was connected.
         """
-        own = self._hello()
+        own = self._make_hello()
         if own.role == ENTRY and own.name > peer:
             await asyncio.sleep(GREATER_NAME_DIAL_DELAY_SECONDS)
         if peer in self._peers:
@@ -558,7 +558,7 @@
             conn.close()
             await self._wait_until_lost(name)
             return True
-        conn.send(self._hello())
+        conn.send(self._make_hello())
         await self._serve(conn)
         return True
 
--- a/tests/test_clockwatch.py
+++ b/tests/test_clockwatch.py
@@ -24,7 +24,9 @@
     """
     watch = clockwatch.ClockWatch(MARGIN)
     watch.add('e1', pong(NOW), NOW)
-    later = NOW + links.SAMPLE_RENEWAL_SECONDS + links.HEARTBEAT_SECONDS
+    later = (
+        NOW + links.SAMPLE_RENEWAL_SECONDS + links.HEARTBEAT_INTERVAL_SECONDS
+    )
     watch.add('a1', pong(later), later)
     assert watch.agrees('e1')
 
--- a/tests/test_entries_and_agents.py
+++ b/tests/test_entries_and_agents.py
@@ -55,16 +55,16 @@
     def in_force(self, now):
         return [one for one in self._configs if one.in_force_at <= now][-1]
 
-    def lease_until(self, now):
+    def get_lease_end(self, now):
         return self._read_at + LEASE
 
     def permits(self, now):
-        lease = self.lease_until(now)
+        lease = self.get_lease_end(now)
         return permits.Snapshot(now, lease, self.in_force(now), (), ())
 
     def serving(self, now):
         listed = self.in_force(now).member(self._name) is not None
-        return listed and now < self.lease_until(now)
+        return listed and now < self.get_lease_end(now)
 
     def on_tick(self, now):
         self._read_at = now
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -209,7 +209,7 @@
             for node in self.nodes.values()
             if node.alive
             and not node.paused
-            and node.conf.lease_until(self.clock(node.name))
+            and node.conf.get_lease_end(self.clock(node.name))
         ]
 
     def check_invariants(self):
