--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -202,7 +202,7 @@
         self._cut_connections(self._cluster.entries[0])
         await self._change(cluster.PresetUse('ordinary'))
 
-    async def _change(self, change: cluster.Change) -> cluster.Proposed:
+    async def _change(self, change: cluster.Change) -> cluster.ProposalOutcome:
         description = _describe_change(change)
         self._print_event(f'operator: {description}')
         verdict = await self._cluster.change(change)
@@ -253,7 +253,7 @@
             if version < self._watch.versions.get(name, 0):
                 self._watch.reversions += 1
             self._watch.versions[name] = version
-            if site.process.entry.configuration.lease_until(now) > now:
+            if site.process.entry.configuration.get_lease_end(now) > now:
                 versions.add(version)
         self._watch.divergences += len(versions) > 1
 
--- a/src/agatepick/net/httpcalls.py
+++ b/src/agatepick/net/httpcalls.py
@@ -32,13 +32,13 @@
     """Client of one server.
 
     :param address: ``ip:port``.
-    :param connections: largest number of open connections; further calls
+    :param max_connections: largest number of open connections; further calls
         wait for one of them.
     """
 
-    def __init__(self, address: str, connections: int) -> None:
+    def __init__(self, address: str, max_connections: int) -> None:
         self.address = address
-        self._slots = asyncio.Semaphore(connections)
+        self._slots = asyncio.Semaphore(max_connections)
         self._idle: list[_Connection] = []
         self._buffer = reading.make_buffer()
 
@@ -46,14 +46,14 @@
         self,
         method: str,
         path: str,
-        seconds: float,
+        timeout_seconds: float,
         body: bytes = b'',
         headers: typing.Mapping[str, str] | None = None,
     ) -> Response:
         """Send one request and return its response.
 
-        :param seconds: timeout of the whole call, including the wait for a
-            free connection.
+        :param timeout_seconds: timeout of the whole call, including the wait
+            for a free connection.
         :raises ConnectionRefusedError: if no process listens at the address.
         :raises TimeoutError: if the timeout has expired.
         :raises OSError: if the connection was lost, or the response isn't
@@ -67,7 +67,7 @@
             lines.append(f'Content-Length: {len(body)}')
         head = '\r\n'.join(lines) + '\r\n\r\n'
         data = head.encode('latin-1') + body
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             async with self._slots:
                 return await self._send(method == 'GET', data)
 
@@ -147,7 +147,7 @@
         self.reusable = False
         self._fail(exc or ConnectionResetError('closed by the server'))
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Feed received bytes to the parser."""
         if self._parser is None:
             # A response without a request is a fault of the server.
