--- a/src/agatepick/bench/bench.py
+++ b/src/agatepick/bench/bench.py
@@ -18,10 +18,10 @@
 PLOTTED_LOADS = (0.5, 0.8, 0.95)
 BASELINES = ('random-worker', 'least-known-load', 'two-probes')
 COMPARED_FIGURES = ('p99', 'wasted_messages_share', 'refused_starts_share')
-SLOPES = 'slopes'
+SLOPES_PATTERN = 'slopes'
 
 
-def add_baseline_figures(
+def play_baselines(
     options: bench_run.Options, played: bench_run.PlayResult
 ) -> bench_run.PlayResult:
     """Play the same load with each baseline policy; add its figures."""
@@ -67,7 +67,7 @@
 def run_command(
     pattern: str,
     seed: int = 1,
-    seconds: float = bench_run.DEFAULT_SECONDS,
+    seconds: float = bench_run.DEFAULT_LOAD_SECONDS,
     load: float | None = None,
     deployment: str = 'lectores',
     json: bool = False,
@@ -81,14 +81,14 @@
     :param policy: placement policy; empty for the default one.
     :param baselines: whether to play the baseline policies too.
     """
-    if pattern == SLOPES:
+    if pattern == SLOPES_PATTERN:
         return slopes_command.run(json=json, **options)
     run_options = bench_run.Options(
         bench_plan.Pattern(pattern), seed, seconds, load, deployment, policy
     )
     played = bench_run.run(run_options)
     if baselines:
-        played = add_baseline_figures(run_options, played)
+        played = play_baselines(run_options, played)
     report = played.report
     if plot:
         draw_plot(run_options, played, pathlib.Path(plot))
--- a/src/agatepick/bench/bench_arrivals.py
+++ b/src/agatepick/bench/bench_arrivals.py
@@ -15,12 +15,12 @@
 LONGEST_SHORT_TASK_SECONDS = 1.0
 LONG_TASK_SHARE = 0.05
 """Share of tasks that run for several seconds."""
-LONG_TASK_SECONDS = (2.0, 5.0)
+LONG_TASK_SECONDS_RANGE = (2.0, 5.0)
 KINDS = ('kind-0', 'kind-1', 'kind-2', 'kind-3', 'long', 'short')
-TEAMS = 8
-HOT_TEAMS = 3
-HOT_SHARE = 0.8
-"""Share of the load that the three hot teams send."""
+TEAM_COUNT = 8
+HEAVY_TEAM_COUNT = 3
+HEAVY_TEAMS_LOAD_SHARE = 0.8
+"""Share of the load that the three heavy teams send."""
 MAX_TASKS_PER_JOB = 130
 DEADLINE_SECONDS = 30.0
 """Time from a job's arrival to its deadline, unless the pattern sets one."""
@@ -28,7 +28,7 @@
 SATURATION_RUN_TIME_FACTOR = 2.0
 
 
-DEFAULT_LOADS = {
+DEFAULT_SLOT_SHARE_BY_PATTERN = {
     bench_plan.Pattern.BURST: 0.5,
     bench_plan.Pattern.HOT: 0.95,
     bench_plan.Pattern.SATURATION: 1.5,
@@ -40,8 +40,8 @@
     bench_plan.Pattern.SLOW_UPSTREAM: 0.6,
 }
 """Share of all slots that the arriving jobs keep busy, by pattern."""
-DEFAULT_LOAD = 0.8
-"""Share of all slots, for the patterns not in :data:`DEFAULT_LOADS`."""
+DEFAULT_SLOT_SHARE = 0.8
+"""Share of all slots, for the patterns without one of their own."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,10 +65,10 @@
 
     :param at: arrival, in seconds from the run's start.
     :param timeout_seconds: time from the arrival to the deadline.
-    :param resubmit_after: seconds after which the caller submits the job
-        again, or None.
+    :param resubmit_delay_seconds: time after which the caller submits the
+        job again, or None.
     :param to_other_entry: whether the resubmission goes to another entry.
-    :param possible: whether a worker is large enough for its tasks.
+    :param fits_worker: whether a worker is large enough for its tasks.
     """
 
     number: int
@@ -77,9 +77,9 @@
     tasks: tuple[TaskPlan, ...]
     timeout_seconds: float = DEADLINE_SECONDS
     urgent: bool = False
-    resubmit_after: float | None = None
+    resubmit_delay_seconds: float | None = None
     to_other_entry: bool = False
-    possible: bool = True
+    fits_worker: bool = True
 
     @property
     def work(self) -> float:
@@ -92,7 +92,7 @@
     """Jobs and faults of one run, determined by pattern and seed.
 
     :param seconds: period in which the jobs arrive.
-    :param load: share of all slots that the jobs keep busy.
+    :param slot_share: share of all slots that the jobs keep busy.
     :param slow_factors: pairs of a worker's number and the factor by which
         its tasks run longer.
     :param failing_workers: numbers of the workers that fail every task.
@@ -101,7 +101,7 @@
     pattern: bench_plan.Pattern
     seed: int
     seconds: float
-    load: float
+    slot_share: float
     jobs: tuple[JobPlan, ...]
     steps: tuple[bench_plan.Step, ...] = ()
     slow_factors: tuple[tuple[int, float], ...] = ()
@@ -111,12 +111,12 @@
 def draw_seconds(rng: random.Random) -> float:
     """Draw a run time: mostly 50 ms to 1 s, a few of several seconds."""
     if rng.random() < LONG_TASK_SHARE:
-        return rng.uniform(*LONG_TASK_SECONDS)
+        return rng.uniform(*LONG_TASK_SECONDS_RANGE)
     spread = LONGEST_SHORT_TASK_SECONDS / SHORTEST_TASK_SECONDS
     return float(SHORTEST_TASK_SECONDS * spread ** rng.random())
 
 
-def draw_size(rng: random.Random) -> int:
+def draw_task_count(rng: random.Random) -> int:
     """Draw a number of tasks: mostly a few, some tens, seldom up to 130."""
     share = rng.random()
     if share < 0.6:
@@ -131,14 +131,14 @@
 
 def draw_team(rng: random.Random) -> str:
     """Draw a team from a uniform distribution."""
-    return f'team-{rng.randrange(TEAMS)}'
+    return f'team-{rng.randrange(TEAM_COUNT)}'
 
 
-def draw_hot_team(rng: random.Random) -> str:
+def draw_heavy_or_light_team(rng: random.Random) -> str:
     """Draw one of three heavy teams in 80% of cases, else a light one."""
-    if rng.random() < HOT_SHARE:
-        return f'heavy-{rng.randrange(HOT_TEAMS)}'
-    return f'light-{rng.randrange(TEAMS - HOT_TEAMS)}'
+    if rng.random() < HEAVY_TEAMS_LOAD_SHARE:
+        return f'heavy-{rng.randrange(HEAVY_TEAM_COUNT)}'
+    return f'light-{rng.randrange(TEAM_COUNT - HEAVY_TEAM_COUNT)}'
 
 
 def draw_plain_job(rng: random.Random, number: int, at: float) -> JobPlan:
@@ -151,13 +151,13 @@
     kind = f'kind-{rng.randrange(4)}'
     return tuple(
         TaskPlan(kind, secs, secs)
-        for secs in (draw_seconds(rng) for _ in range(draw_size(rng)))
+        for secs in (draw_seconds(rng) for _ in range(draw_task_count(rng)))
     )
 
 
 def draw_hot_job(rng: random.Random, number: int, at: float) -> JobPlan:
     """Draw a job for a load of which three heavy teams send 80%."""
-    return JobPlan(number, at, draw_hot_team(rng), draw_tasks(rng))
+    return JobPlan(number, at, draw_heavy_or_light_team(rng), draw_tasks(rng))
 
 
 def draw_saturating_job(rng: random.Random, number: int, at: float) -> JobPlan:
@@ -192,16 +192,16 @@
     The declared run time of a task is a tenth of the actual one, the actual
     one or ten times that.  One job in 50 fits on no worker.
     """
-    possible = rng.random() >= 0.02
+    fits_worker = rng.random() >= 0.02
     tasks = tuple(
         dataclasses.replace(
             task,
             expected_seconds=task.seconds * rng.choice((0.1, 1.0, 10.0)),
-            cpu=0.0 if possible else 2000.0,
+            cpu=0.0 if fits_worker else 2000.0,
         )
         for task in draw_tasks(rng)
     )
-    return JobPlan(number, at, draw_team(rng), tasks, possible=possible)
+    return JobPlan(number, at, draw_team(rng), tasks, fits_worker=fits_worker)
 
 
 def draw_resubmitted_job(
@@ -216,12 +216,12 @@
         return job
     return dataclasses.replace(
         job,
-        resubmit_after=rng.uniform(0.01, 2.0),
+        resubmit_delay_seconds=rng.uniform(0.01, 2.0),
         to_other_entry=rng.random() < 0.5,
     )
 
 
-def draw_full_job(rng: random.Random, number: int, at: float) -> JobPlan:
+def make_largest_job(rng: random.Random, number: int, at: float) -> JobPlan:
     """Return a job with the most tasks, each of the shortest run time.
 
     Such jobs make the cost of dispatch dominate over that of running tasks.
@@ -236,7 +236,7 @@
     bench_plan.Pattern.LONG_AMONG_SHORT: draw_mixed_job,
     bench_plan.Pattern.WRONG_SIZES: draw_misdeclared_job,
     bench_plan.Pattern.RESUBMIT: draw_resubmitted_job,
-    bench_plan.Pattern.THROUGHPUT: draw_full_job,
+    bench_plan.Pattern.THROUGHPUT: make_largest_job,
 }
 
 
@@ -244,25 +244,27 @@
     pattern: bench_plan.Pattern,
     seed: int,
     seconds: float,
-    load: float | None,
+    slot_share: float | None,
     deployment: bench_plan.Deployment,
 ) -> Load:
     """Draw all jobs of a run and plan its steps.
 
-    :param load: share of all slots to keep busy; None for the pattern's
+    :param slot_share: share of all slots to keep busy; None for the pattern's
         default.
     """
     rng = random.Random(seed)
-    if load is None:
-        load = DEFAULT_LOADS.get(pattern, DEFAULT_LOAD)
-    jobs = draw_arrivals(rng, pattern, seconds, load, deployment)
+    if slot_share is None:
+        slot_share = DEFAULT_SLOT_SHARE_BY_PATTERN.get(
+            pattern, DEFAULT_SLOT_SHARE
+        )
+    jobs = draw_arrivals(rng, pattern, seconds, slot_share, deployment)
     if pattern is bench_plan.Pattern.BURST:
         jobs += draw_burst(rng, len(jobs), seconds, deployment)
     return Load(
         pattern,
         seed,
         seconds,
-        load,
+        slot_share,
         tuple(sorted(jobs, key=lambda job: job.at)),
         steps=bench_plan.plan_steps(pattern, seconds, deployment),
         slow_factors=((0, 5.0),)
@@ -278,7 +280,7 @@
     rng: random.Random,
     pattern: bench_plan.Pattern,
     seconds: float,
-    load: float,
+    slot_share: float,
     deployment: bench_plan.Deployment,
 ) -> list[JobPlan]:
     """Draw Poisson arrivals whose work fills the given share of the slots.
@@ -289,19 +291,19 @@
     draws would change the load.
     """
     draw_job = JOB_FACTORIES.get(pattern, draw_plain_job)
-    target_work = load * seconds * deployment.total_slots
+    target_work = slot_share * seconds * deployment.total_slots
     jobs: list[JobPlan] = []
     work = 0.0
     while work < target_work:
         job = draw_job(rng, len(jobs), rng.uniform(0.0, seconds))
         jobs.append(job)
-        work += job.work if job.possible else 0.0
+        work += job.work if job.fits_worker else 0.0
     return jobs
 
 
 def draw_burst(
     rng: random.Random,
-    first: int,
+    first_job_number: int,
     seconds: float,
     deployment: bench_plan.Deployment,
 ) -> list[JobPlan]:
@@ -314,6 +316,6 @@
     work = 0.0
     while work < target_work:
         at = seconds / 3 + rng.uniform(0.0, 0.25)
-        jobs.append(draw_plain_job(rng, first + len(jobs), at))
+        jobs.append(draw_plain_job(rng, first_job_number + len(jobs), at))
         work += jobs[-1].work
     return jobs
--- a/src/agatepick/bench/bench_callers.py
+++ b/src/agatepick/bench/bench_callers.py
@@ -2,7 +2,7 @@
 
 A balancer chooses a ready entry for each request.  When a connection breaks or
 the outcome is pending, the caller retries with the same key at another entry,
-up to :data:`OUTCOME_WAIT_SECONDS` past the deadline; a refusal is final.
+up to :data:`MAX_OUTCOME_WAIT_SECONDS` past the deadline; a refusal is final.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
 from agatepick import types
 
 MAX_OPEN_REQUESTS = 10_000
-CONNECT_SECONDS = 2.0
-OUTCOME_WAIT_SECONDS = 10.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+MAX_OUTCOME_WAIT_SECONDS = 10.0
 """Time past a job's deadline during which its caller retries."""
-RETRY_DELAY_SECONDS = (0.05, 0.25)
+RETRY_DELAY_SECONDS_RANGE = (0.05, 0.25)
 
 
 class TaskBody(msgspec.Struct, frozen=True):
@@ -54,8 +54,8 @@
 class Balancer(typing.Protocol):
     """Selection of the entry for a caller's next request."""
 
-    def pick(self, avoid: str = '') -> str:
-        """Return the URL of a ready entry, if possible not ``avoid``."""
+    def pick(self, avoided_url: str = '') -> str:
+        """Return the URL of a ready entry, if possible not ``avoided_url``."""
         ...
 
 
@@ -73,7 +73,7 @@
 class Callers:
     """All callers of one run.
 
-    :param latency: one-way latency between a caller and an entry, seconds.
+    :param latency_seconds: one-way latency between a caller and an entry.
     :ivar keys: idempotency keys of all submitted jobs, by job number.
     :ivar open: keys of the jobs without a recorded reply, by job number.
     :ivar cancelled: numbers of the jobs that their callers cancelled.
@@ -83,7 +83,7 @@
         self,
         balancer: Balancer,
         recorder: bench_upstream.StartRecorder,
-        latency: float,
+        latency_seconds: float,
         rng: random.Random,
     ):
         self.replies: list[bench_evidence.Reply] = []
@@ -93,7 +93,7 @@
         self.request_errors = RequestErrors()
         self._balancer = balancer
         self._recorder = recorder
-        self._latency = latency
+        self._latency_seconds = latency_seconds
         self._rng = rng
         self._http = tornado.simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True, max_clients=MAX_OPEN_REQUESTS
@@ -111,7 +111,7 @@
         body = encode_job(job)
         url = self._balancer.pick()
         submissions = [self._send(job, key, body, url, False)]
-        if job.resubmit_after is not None:
+        if job.resubmit_delay_seconds is not None:
             submissions.append(self._resubmit(job, key, body, url))
         await asyncio.gather(*submissions)
 
@@ -119,7 +119,7 @@
         """Cancel a job by its number."""
         key = self.keys[number]
         self.cancelled.add(number)
-        await asyncio.sleep(self._latency)
+        await asyncio.sleep(self._latency_seconds)
         await self._fetch(
             tornado.httpclient.HTTPRequest(
                 f'{self._balancer.pick()}/v1/jobs/{key}', method='DELETE'
@@ -129,9 +129,9 @@
     async def _resubmit(
         self, job: bench_arrivals.JobPlan, key: str, body: bytes, url: str
     ) -> None:
-        await asyncio.sleep(job.resubmit_after or 0.0)
+        await asyncio.sleep(job.resubmit_delay_seconds or 0.0)
         if job.to_other_entry:
-            url = self._balancer.pick(avoid=url)
+            url = self._balancer.pick(avoided_url=url)
         await self._send(job, key, body, url, True)
 
     async def _send(
@@ -143,7 +143,7 @@
         resubmission: bool,
     ) -> None:
         sent_at = self._recorder.now()
-        give_up_at = sent_at + job.timeout_seconds + OUTCOME_WAIT_SECONDS
+        give_up_at = sent_at + job.timeout_seconds + MAX_OUTCOME_WAIT_SECONDS
         while True:
             answer, error = await self._post(key, body, url, give_up_at)
             final = answer is not None and (
@@ -151,8 +151,8 @@
             )
             if final or self._recorder.now() >= give_up_at:
                 break
-            await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_SECONDS))
-            url = self._balancer.pick(avoid=url)
+            await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_SECONDS_RANGE))
+            url = self._balancer.pick(avoided_url=url)
         self.open.pop(job.number, None)
         self.replies.append(
             bench_evidence.Reply(
@@ -170,7 +170,7 @@
     async def _post(
         self, key: str, body: bytes, url: str, give_up_at: float
     ) -> tuple[types.JobAnswer | None, str]:
-        await asyncio.sleep(self._latency)
+        await asyncio.sleep(self._latency_seconds)
         response = await self._fetch(
             tornado.httpclient.HTTPRequest(
                 f'{url}/v1/jobs',
@@ -180,11 +180,11 @@
                     'Content-Type': 'application/json',
                     'Idempotency-Key': key,
                 },
-                connect_timeout=CONNECT_SECONDS,
+                connect_timeout=CONNECT_TIMEOUT_SECONDS,
                 request_timeout=max(1.0, give_up_at - self._recorder.now()),
             )
         )
-        await asyncio.sleep(self._latency)
+        await asyncio.sleep(self._latency_seconds)
         if response is None:
             return None, 'cut'
         return read_answer(response.body, response.code, key), ''
--- a/src/agatepick/bench/bench_cluster.py
+++ b/src/agatepick/bench/bench_cluster.py
@@ -31,7 +31,7 @@
 LOG = logging.getLogger(__name__)
 
 ANY_PORT = '127.0.0.1:0'
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.05
 ANNOUNCEMENT_LEASE_SECONDS = 5.0
 UNUSED_URL = 'http://127.0.0.1:1'
@@ -53,21 +53,21 @@
 
 
 @dataclasses.dataclass
-class Counts:
+class EffectCounts:
     """Counts of tasks sent to agents, of refused ones, and of events.
 
     These events are the :class:`.core.Note` effects of the processes.
 
-    :param started: tasks that entries sent to agents to be started.
-    :param refused: those that the agents refused.
-    :param notes: number of notes, by name.
+    :param sent_tasks: tasks that entries sent to agents to be started.
+    :param refused_tasks: those that the agents refused.
+    :param count_by_note: number of notes, by name.
     :param first_note_at: instant of the first note, in seconds from the run's
         start, by name.
     """
 
-    started: int = 0
-    refused: int = 0
-    notes: collections.Counter[str] = dataclasses.field(
+    sent_tasks: int = 0
+    refused_tasks: int = 0
+    count_by_note: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     first_note_at: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -75,7 +75,7 @@
     @property
     def refused_share(self) -> float:
         """Share of sent tasks that agents refused."""
-        return self.refused / self.started if self.started else 0.0
+        return self.refused_tasks / self.sent_tasks if self.sent_tasks else 0.0
 
 
 class CountingReducer:
@@ -87,7 +87,7 @@
     def __init__(
         self,
         reducer: core.Reducer,
-        counts: Counts,
+        counts: EffectCounts,
         now: collections.abc.Callable[[], float],
     ):
         self._reducer = reducer
@@ -103,15 +103,15 @@
 
     def _count_effect(self, effect: object) -> None:
         if isinstance(effect, core.Note):
-            self._counts.notes[effect.name] += 1
+            self._counts.count_by_note[effect.name] += 1
             self._counts.first_note_at.setdefault(effect.name, self._now())
             return
         if not isinstance(effect, core.Send):
             return
         if isinstance(effect.message, messages.Starts):
-            self._counts.started += len(effect.message.tasks)
+            self._counts.sent_tasks += len(effect.message.tasks)
         elif isinstance(effect.message, messages.Results):
-            self._counts.refused += sum(
+            self._counts.refused_tasks += sum(
                 report.state == types.TaskState.REFUSED
                 for report in effect.message.reports
             )
@@ -157,7 +157,7 @@
         recorder: bench_upstream.StartRecorder,
         policy: str = '',
     ):
-        self.counts = Counts()
+        self.counts = EffectCounts()
         self.entries: list[EntrySite] = []
         self.agents: list[AgentSite] = []
         self.table: standin_table.TableServer
@@ -192,15 +192,15 @@
             entry.process.kill()
         await self.table.stop()
 
-    def pick(self, avoid: str = '') -> str:
-        """Return the URL of a ready entry, if possible not ``avoid``."""
+    def pick(self, avoided_url: str = '') -> str:
+        """Return the URL of a ready entry, if possible not ``avoided_url``."""
         ready = [site.url for site in self.entries if site.is_ready()]
-        others = [url for url in ready if url != avoid]
+        others = [url for url in ready if url != avoided_url]
         urls = others or ready
         urls = urls or [site.url for site in self.entries if site.alive]
         return self._rng.choice(urls)
 
-    def traffic(self) -> collections.Counter[str]:
+    def count_messages_sent(self) -> collections.Counter[str]:
         """Count the messages that all processes have sent so far, by kind."""
         total = collections.Counter(self._stopped_traffic)
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
@@ -208,16 +208,19 @@
             total.update(site.process.links.traffic.by_kind)
         return total
 
-    def bytes_sent(self) -> int:
+    def count_bytes_sent(self) -> int:
         """Count the bytes sent by all processes except replaced agents."""
         sites: list[EntrySite | AgentSite] = [*self.entries, *self.agents]
         return sum(site.process.links.traffic.bytes_out for site in sites)
 
-    def traffic_since(
+    def compute_traffic_since(
         self, before: collections.Counter[str]
     ) -> bench_evidence.Traffic:
-        """Return the traffic since ``before``, a result of :meth:`traffic`."""
-        counts = self.traffic() - before
+        """Return the traffic since an earlier count of messages.
+
+        :param before: result of :meth:`count_messages_sent`.
+        """
+        counts = self.count_messages_sent() - before
         return bench_evidence.Traffic(counts, self.counts.refused_share)
 
     async def change(self, change: cluster.Change) -> cluster.Proposed:
@@ -262,7 +265,7 @@
         self._stopped_traffic.update(old.process.links.traffic.by_kind)
         self.agents[number] = await self._start_agent(number)
 
-    def _new_name(self, prefix: str, number: int) -> str:
+    def _make_process_name(self, prefix: str, number: int) -> str:
         self._name_count += 1
         return f'{prefix}-{number}-{self._name_count}'
 
@@ -270,7 +273,7 @@
         self, name: str, zone: str
     ) -> processes.Dependencies:
         self._zones[name] = zone
-        seconds = self._deployment.zone_latency
+        seconds = self._deployment.zone_latency_seconds
         return processes.Dependencies(
             self._clock,
             random.Random(self._rng.random()),
@@ -278,7 +281,7 @@
         )
 
     async def _start_entry(self, number: int) -> EntrySite:
-        name = self._new_name('entry', number)
+        name = self._make_process_name('entry', number)
         zone = self._deployment.zone_of(number)
         cfg = settings.EntrySettings(
             process=settings.Process(name, zone),
@@ -294,11 +297,11 @@
             cfg, dependencies, policy
         )
         await process.start()
-        self._count_messages(process)
+        self._wrap_reducer(process)
         return EntrySite(process)
 
     async def _start_agent(self, number: int) -> AgentSite:
-        name = self._new_name('agent', number)
+        name = self._make_process_name('agent', number)
         zone = self._deployment.zone_of(number)
         rack = f'rack-{number // self._deployment.rack_size}'
         seeds = tuple(
@@ -323,7 +326,7 @@
         )
         process = processes.AgentProcess.from_settings(cfg, dependencies)
         await process.start()
-        self._count_messages(process)
+        self._wrap_reducer(process)
         created[0].begin()
         return AgentSite(process, created[0])
 
@@ -345,7 +348,7 @@
         )
         return standin_upstream.LocalUpstream(worker, feed, announced)
 
-    def _count_messages(self, process: processes.Process) -> None:
+    def _wrap_reducer(self, process: processes.Process) -> None:
         process.shell.reducer = CountingReducer(
             process.shell.reducer, self.counts, self._recorder.now
         )
@@ -361,6 +364,6 @@
     async def _wait_until(
         self, condition: collections.abc.Callable[[], bool]
     ) -> None:
-        async with asyncio.timeout(READY_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(POLL_SECONDS)
--- a/src/agatepick/bench/bench_lag.py
+++ b/src/agatepick/bench/bench_lag.py
@@ -10,7 +10,7 @@
 
 from agatepick.bench import bench_measures
 
-PERIOD_SECONDS = 0.02
+SAMPLE_PERIOD_SECONDS = 0.02
 
 
 class LoopLag:
@@ -32,7 +32,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def figures(self) -> dict[str, float | int | str | None]:
+    def compute_figures(self) -> dict[str, float | int | str | None]:
         """Return the mean and 99th percentile of the lag in milliseconds."""
         return {
             'loop_lag_mean_ms': self._histogram.get_mean_value() / 1e3,
@@ -45,8 +45,8 @@
     async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + PERIOD_SECONDS
-            await asyncio.sleep(PERIOD_SECONDS)
+            due = loop.time() + SAMPLE_PERIOD_SECONDS
+            await asyncio.sleep(SAMPLE_PERIOD_SECONDS)
             overrun = (loop.time() - due) * 1e6
-            lowest = bench_measures.LOWEST_MICROSECONDS
+            lowest = bench_measures.MIN_RECORDED_MICROSECONDS
             self._histogram.record_value(max(lowest, round(overrun)))
--- a/src/agatepick/bench/bench_ledger.py
+++ b/src/agatepick/bench/bench_ledger.py
@@ -19,26 +19,30 @@
 from agatepick.net import messages
 from agatepick import types
 
-TASKS = 100_000
+TASK_COUNT = 100_000
 TASKS_PER_JOB = 130
 TASKS_PER_MESSAGE = 4
-SLOTS = 8
-BODY = b'{"seconds": 0.1}'
+SLOTS_PER_AGENT = 8
+TASK_PAYLOAD = b'{"seconds": 0.1}'
 ANSWER_BYTES = 100
-OWNER = ledger.EntryId('entry', 1)
+OWNER_ID = ledger.EntryId('entry', 1)
 START_TIME = 1_800_000_000.0
 
 
 def main() -> None:
     """Measure the ledger and print the figures."""
     figures = {
-        'tasks': TASKS,
+        'tasks': TASK_COUNT,
         'tasks_a_job': TASKS_PER_JOB,
-        'ledger_us_a_task': round(_measure_ledger_seconds() / TASKS * 1e6, 2),
-        'agent_us_a_task': round(_measure_agent_seconds() / TASKS * 1e6, 2),
-        'bytes_a_task': round(_measure_bytes(b'') / TASKS),
+        'ledger_us_a_task': round(
+            _measure_ledger_seconds() / TASK_COUNT * 1e6, 2
+        ),
+        'agent_us_a_task': round(
+            _measure_agent_seconds() / TASK_COUNT * 1e6, 2
+        ),
+        'bytes_a_task': round(_measure_bytes(b'') / TASK_COUNT),
         'bytes_a_task_with_answer': round(
-            _measure_bytes(b'x' * ANSWER_BYTES) / TASKS
+            _measure_bytes(b'x' * ANSWER_BYTES) / TASK_COUNT
         ),
         'answer_bytes': ANSWER_BYTES,
     }
@@ -57,7 +61,7 @@
         1,
         'k',
         'team',
-        BODY,
+        TASK_PAYLOAD,
         types.Needs(1.0, 100, 0),
         START_TIME + 60,
     )
@@ -68,7 +72,7 @@
 ) -> None:
     for task in tasks:
         task_ledger.find_report(task, START_TIME)
-        task_ledger.start(task, OWNER, START_TIME)
+        task_ledger.start(task, OWNER_ID, START_TIME)
         # Each answer is a copy, as answers share no memory in a real agent.
         body = bytes(bytearray(answer))
         task_ledger.end(
@@ -81,7 +85,7 @@
 
 
 def _measure_ledger_seconds() -> float:
-    tasks = [_make_task(number) for number in range(TASKS)]
+    tasks = [_make_task(number) for number in range(TASK_COUNT)]
     task_ledger = _make_ledger()
     started_at = time.process_time()
     _record_runs(task_ledger, tasks, b'')
@@ -92,8 +96,8 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     task_ledger = _make_ledger()
-    for first in range(0, TASKS, TASKS_PER_JOB):
-        last = min(first + TASKS_PER_JOB, TASKS)
+    for first in range(0, TASK_COUNT, TASKS_PER_JOB):
+        last = min(first + TASKS_PER_JOB, TASK_COUNT)
         _record_runs(
             task_ledger,
             [_make_task(number) for number in range(first, last)],
@@ -113,19 +117,20 @@
     reducer = agent.Agent.from_config(agent.AgentConfig('agent'), 1)
     needs = types.Needs(64.0, 1 << 16, 0)
     reducer.reduce(
-        upstream.Announced('s', ('k',), SLOTS, needs, 'x', 1e6), START_TIME
+        upstream.Announced('s', ('k',), SLOTS_PER_AGENT, needs, 'x', 1e6),
+        START_TIME,
     )
-    hello = messages.Hello(OWNER.name, 'entry', 1, '', '', '', 0)
+    hello = messages.Hello(OWNER_ID.name, 'entry', 1, '', '', '', 0)
     reducer.reduce(core.PeerUp(hello), START_TIME)
     pong = messages.Pong(START_TIME, START_TIME, START_TIME)
-    reducer.reduce(core.Received(OWNER.name, pong), START_TIME)
-    tasks = [_make_task(number) for number in range(TASKS)]
+    reducer.reduce(core.Received(OWNER_ID.name, pong), START_TIME)
+    tasks = [_make_task(number) for number in range(TASK_COUNT)]
     now = START_TIME
     started_at = time.process_time()
-    for first in range(0, TASKS, TASKS_PER_MESSAGE):
+    for first in range(0, TASK_COUNT, TASKS_PER_MESSAGE):
         batch = tuple(tasks[first : first + TASKS_PER_MESSAGE])
-        starts = messages.Starts(OWNER.name, 1, 1, 1, now + 3, 0, batch)
-        reducer.reduce(core.Received(OWNER.name, starts), now)
+        starts = messages.Starts(OWNER_ID.name, 1, 1, 1, now + 3, 0, batch)
+        reducer.reduce(core.Received(OWNER_ID.name, starts), now)
         now += 0.001
         for task in batch:
             reducer.reduce(_make_task_ended(task), now)
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -16,8 +16,8 @@
 from agatepick.bench import bench_ideal
 from agatepick import types
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 3600 * 1000 * 1000
+MIN_RECORDED_MICROSECONDS = 1
+MAX_RECORDED_MICROSECONDS = 3600 * 1000 * 1000
 SIGNIFICANT_DIGITS = 3
 
 
@@ -45,7 +45,9 @@
 def new_histogram() -> histogram.HdrHistogram:
     """Return an empty histogram of microseconds."""
     return histogram.HdrHistogram(
-        LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
+        MIN_RECORDED_MICROSECONDS,
+        MAX_RECORDED_MICROSECONDS,
+        SIGNIFICANT_DIGITS,
     )
 
 
@@ -58,7 +60,7 @@
     """
     hist = new_histogram()
     for value in seconds:
-        hist.record_value(max(LOWEST_MICROSECONDS, round(value * 1e6)))
+        hist.record_value(max(MIN_RECORDED_MICROSECONDS, round(value * 1e6)))
     return hist
 
 
@@ -141,7 +143,7 @@
 def get_percentile(hist: histogram.HdrHistogram, percentile: float) -> float:
     """Return a percentile of a histogram in its unit, at least 1."""
     value = hist.get_value_at_percentile(percentile)
-    return float(max(LOWEST_MICROSECONDS, value))
+    return float(max(MIN_RECORDED_MICROSECONDS, value))
 
 
 def compute_fairness(
--- a/src/agatepick/bench/bench_plan.py
+++ b/src/agatepick/bench/bench_plan.py
@@ -30,9 +30,9 @@
 class Deployment:
     """Size and latencies of one installation.
 
-    :param zone_latency: one-way latency between zones, seconds.
-    :param client_latency: one-way latency between a caller and an entry,
-        seconds.
+    :param zone_latency_seconds: one-way latency between zones.
+    :param client_latency_seconds: one-way latency between a caller and an
+        entry.
     :param cores: cores of each worker; ``memory_mb`` and ``slots`` likewise.
     :param workers: number of workers, each with an agent.
     :param rack_size: workers in one rack.
@@ -40,8 +40,8 @@
 
     name: str
     zones: tuple[str, ...]
-    zone_latency: float
-    client_latency: float
+    zone_latency_seconds: float
+    client_latency_seconds: float
     cores: float
     memory_mb: int
     entries: int = 2
@@ -63,16 +63,16 @@
     'lectores': Deployment(
         'lectores',
         ('talca', 'curico', 'linares', 'chillan'),
-        zone_latency=0.001,
-        client_latency=0.003,
+        zone_latency_seconds=0.001,
+        client_latency_seconds=0.003,
         cores=64,
         memory_mb=256 * 1024,
     ),
     'cascadia': Deployment(
         'cascadia',
         ('cascadia-a', 'cascadia-b', 'cascadia-c'),
-        zone_latency=0.0005,
-        client_latency=0.003,
+        zone_latency_seconds=0.0005,
+        client_latency_seconds=0.003,
         cores=32,
         memory_mb=128 * 1024,
     ),
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -16,7 +16,7 @@
 from agatepick.bench import bench_upstream
 from agatepick.config import cluster
 
-DRAIN_SECONDS = 45.0
+MAX_DRAIN_SECONDS = 45.0
 """Time after the last arrivals during which the bench waits for answers."""
 
 
@@ -59,14 +59,16 @@
     async def play(self) -> None:
         """Play all jobs and steps; wait for the answers.
 
-        :data:`DRAIN_SECONDS` after the arrivals the bench stops the callers
-        that still wait for an answer.
+        :data:`MAX_DRAIN_SECONDS` after the arrivals the bench stops the
+        callers that still wait for an answer.
         """
         tasks = [
             asyncio.create_task(self._play_job(job)) for job in self._load.jobs
         ]
         step_task = asyncio.create_task(self._play_steps())
-        remaining = self._load.seconds + DRAIN_SECONDS - self._recorder.now()
+        remaining = (
+            self._load.seconds + MAX_DRAIN_SECONDS - self._recorder.now()
+        )
         _, unfinished = await asyncio.wait(
             [*tasks, step_task], timeout=remaining
         )
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -12,7 +12,7 @@
 from agatepick.bench import bench_violations
 
 PLOT_DPI = 120
-WORK_BINS = 60
+WORK_BIN_COUNT = 60
 """Number of intervals for which the plot of work shows the busy slots."""
 
 Figure = float | int | str | None
@@ -66,7 +66,7 @@
         'deployment': evidence.deployment.name,
         'seed': load.seed,
         'seconds': load.seconds,
-        'load': load.load,
+        'load': load.slot_share,
         'jobs': len(load.jobs),
         'tasks': sum(len(job.tasks) for job in load.jobs),
         **compute_response_figures(evidence, ideal),
@@ -76,7 +76,7 @@
         **compute_departure_figures(evidence, ideal),
         **(extra or {}),
     }
-    title = f'{load.pattern} seed={load.seed} load={load.load}'
+    title = f'{load.pattern} seed={load.seed} load={load.slot_share}'
     return Report(title, figures, compute_work_series(evidence, ideal))
 
 
@@ -166,7 +166,7 @@
 
     :returns: triples as in :attr:`Report.series`, one per bin.
     """
-    width = evidence.load.seconds / WORK_BINS
+    width = evidence.load.seconds / WORK_BIN_COUNT
     spans = [(run.start, run.end) for run in evidence.runs]
     return tuple(
         (
@@ -180,7 +180,7 @@
             )
             / width,
         )
-        for bin_index in range(WORK_BINS)
+        for bin_index in range(WORK_BIN_COUNT)
     )
 
 
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -26,9 +26,9 @@
 from agatepick.config import cluster
 from agatepick.net import clocks
 
-DEFAULT_SECONDS = 20.0
+DEFAULT_LOAD_SECONDS = 20.0
 LIGHT_TEAM_PREFIX = 'light'
-EJECTED_NOTE = 'worker_ejected'
+WORKER_EJECTED_NOTE = 'worker_ejected'
 
 Figures = dict[str, bench_report.Figure]
 
@@ -44,7 +44,7 @@
 
     pattern: bench_plan.Pattern
     seed: int = 1
-    seconds: float = DEFAULT_SECONDS
+    seconds: float = DEFAULT_LOAD_SECONDS
     load: float | None = None
     deployment: str = 'lectores'
     policy: str = ''
@@ -102,14 +102,17 @@
     )
     rng = random.Random(load.seed)
     callers = bench_callers.Callers(
-        installation, recorder, deployment.client_latency, rng
+        installation, recorder, deployment.client_latency_seconds, rng
     )
     player = bench_player.Player(load, installation, callers, recorder)
     try:
         await installation.start()
         for change in first_changes:
             await installation.change(change)
-        before, bytes_sent = installation.traffic(), installation.bytes_sent()
+        before, bytes_sent = (
+            installation.count_messages_sent(),
+            installation.count_bytes_sent(),
+        )
         recorder.start_run()
         lag = bench_lag.LoopLag()
         lag.start()
@@ -117,8 +120,8 @@
         await player.play()
         cpu_seconds = time.process_time() - cpu_seconds
         lag.stop()
-        traffic = installation.traffic_since(before)
-        bytes_sent = installation.bytes_sent() - bytes_sent
+        traffic = installation.compute_traffic_since(before)
+        bytes_sent = installation.count_bytes_sent() - bytes_sent
     finally:
         callers.close()
         await installation.stop()
@@ -134,7 +137,7 @@
         'policy': policy or 'default',
         **compute_run_figures(evidence, callers, player, installation),
         'bytes': bytes_sent,
-        **lag.figures(),
+        **lag.compute_figures(),
         'cpu_seconds_all_processes_and_bench': cpu_seconds,
         'starts_per_cpu_second_of_all': len(recorder.runs) / cpu_seconds,
     }
@@ -228,7 +231,7 @@
 ) -> Figures:
     """Return the figures of starts on a worker that fails every task."""
     failed_starts = [run.start for run in evidence.runs if run.failed]
-    ejected_at = installation.counts.first_note_at.get(EJECTED_NOTE)
+    ejected_at = installation.counts.first_note_at.get(WORKER_EJECTED_NOTE)
     figures: Figures = {
         'failed_starts': len(failed_starts),
         'failed_starts_share': len(failed_starts) / max(1, len(evidence.runs)),
--- a/src/agatepick/bench/bench_upstream.py
+++ b/src/agatepick/bench/bench_upstream.py
@@ -66,7 +66,7 @@
         self,
         task: standin_upstream.TaskKey,
         payload: bytes,
-        done: standin_upstream.Done,
+        done: standin_upstream.DoneCallback,
     ) -> None:
         """Start a task and record the start."""
         if self.faults.dead:
--- a/src/agatepick/capacity/capacity.py
+++ b/src/agatepick/capacity/capacity.py
@@ -14,11 +14,11 @@
 
 from agatepick.capacity import slopes
 
-WORKERS = 9100
+WORKER_COUNT = 9100
 STARTS_PER_SECOND = 510_000
 TASKS_PER_JOB = 130
-TEAMS = 150
-ZONES = 8
+TEAM_COUNT = 150
+ZONE_COUNT = 8
 CHANGES_PER_DAY = 31_000
 DAY_SECONDS = 86_400
 MAX_CORE_SHARE = 0.041
@@ -47,14 +47,15 @@
 class Plan:
     """Sizes of the planned installation, computed from a measurement.
 
-    :param cpu_per_task: processor time that an entry takes per task, seconds.
+    :param cpu_seconds_per_task: processor time that an entry takes per
+        task.
     :param entries: number of entry processes, with one core each.
     :param agents_per_entry: agents that an entry can be connected to within
         :data:`MAX_BYTES_PER_SECOND`.
     :param entries_per_agent: entries that are then connected to one agent.
     """
 
-    cpu_per_task: float
+    cpu_seconds_per_task: float
     entries: int
     agents_per_entry: int
     entries_per_agent: float
@@ -63,19 +64,19 @@
     def from_slopes(cls, measurement: slopes.Slopes) -> 'Plan':
         """Compute the sizes from the measured costs."""
         line = measurement.line('entry_cpu_by_tasks')
-        cpu_per_task = line.at(TASKS_PER_JOB) / TASKS_PER_JOB
+        cpu_seconds_per_task = line.at(TASKS_PER_JOB) / TASKS_PER_JOB
         entries = math.ceil(
-            STARTS_PER_SECOND * cpu_per_task / ENTRY_CORE_SHARE
+            STARTS_PER_SECOND * cpu_seconds_per_task / ENTRY_CORE_SHARE
         )
         control_line = measurement.line('entry_control_bytes')
         agents_per_entry = max(
             1, math.floor(control_line.size_at(MAX_BYTES_PER_SECOND))
         )
         return cls(
-            cpu_per_task,
+            cpu_seconds_per_task,
             entries,
             agents_per_entry,
-            entries * agents_per_entry / WORKERS,
+            entries * agents_per_entry / WORKER_COUNT,
         )
 
 
@@ -160,12 +161,12 @@
     rows = [
         (
             'entry CPU a task, jobs of 130',
-            f'{format_number(plan.cpu_per_task * 1e6)} µs',
+            f'{format_number(plan.cpu_seconds_per_task * 1e6)} µs',
             'measured',
         ),
         (
             'starts/s of one entry on a whole core',
-            format_number(1 / plan.cpu_per_task),
+            format_number(1 / plan.cpu_seconds_per_task),
             'extrapolated',
         ),
         (
@@ -204,7 +205,7 @@
             'entry as owner',
             'agents it hears, B/s',
             'entry_control_bytes',
-            WORKERS,
+            WORKER_COUNT,
             MAX_BYTES_PER_SECOND,
             'links, dispatch',
         ),
@@ -212,7 +213,7 @@
             'entry as owner',
             'idle core share over agents',
             'entry_idle_core',
-            WORKERS,
+            WORKER_COUNT,
             MAX_CORE_SHARE,
             'links, shell',
         ),
@@ -220,7 +221,7 @@
             'entry as owner',
             'resident bytes over agents',
             'entry_resident',
-            WORKERS,
+            WORKER_COUNT,
             MAX_RESIDENT_BYTES,
             'dispatch, links',
         ),
@@ -236,7 +237,7 @@
             'entry as quota coordinator',
             'quota messages/s over teams',
             'team_messages',
-            TEAMS,
+            TEAM_COUNT,
             math.inf,
             'quotas',
         ),
@@ -375,7 +376,7 @@
         measurement.line('job_bytes').at(TASKS_PER_JOB) / TASKS_PER_JOB
     )
     starts_per_entry = STARTS_PER_SECOND / plan.entries
-    starts_per_agent = STARTS_PER_SECOND / WORKERS
+    starts_per_agent = STARTS_PER_SECOND / WORKER_COUNT
     rows = [
         (
             'messages a task, both ways',
@@ -410,7 +411,7 @@
 def make_failure_table(measurement: slopes.Slopes) -> list[str]:
     """Return the table of failures and of a start of all processes."""
     plan = Plan.from_slopes(measurement)
-    starts_per_agent = STARTS_PER_SECOND / WORKERS
+    starts_per_agent = STARTS_PER_SECOND / WORKER_COUNT
     running_tasks = starts_per_agent * MEAN_TASK_SECONDS
     listings = plan.entries
     rows = [
@@ -432,8 +433,9 @@
         ),
         (
             'a zone lost without a departure',
-            f'{format_number(WORKERS / ZONES)} workers at once',
-            f'{format_number(WORKERS / ZONES * running_tasks)} tasks unknown',
+            f'{format_number(WORKER_COUNT / ZONE_COUNT)} workers at once',
+            f'{format_number(WORKER_COUNT / ZONE_COUNT * running_tasks)} '
+            'tasks unknown',
         ),
         (
             'start of everything at once',
--- a/src/agatepick/capacity/slopes_command.py
+++ b/src/agatepick/capacity/slopes_command.py
@@ -23,7 +23,7 @@
     entries: int = 2,
     agents: int = 8,
     read: str = '',
-    mode: str = slopes_programs.IDLE_BY_AGENTS,
+    mode: str = slopes_programs.MODE_IDLE_BY_AGENTS,
     points: str = '',
 ) -> commands.Output:
     """Run one step of a measurement; see the module's docstring."""
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -24,23 +24,23 @@
 from agatepick.net import clocks
 
 HOST = '127.0.0.1'
-SLOTS = 8
+SLOTS_PER_AGENT = 8
 SETTLE_SECONDS = 8.0
-WATCH_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 TASK_SECONDS = 0.02
 TASKS_PER_POINT = 5200
 """Tasks submitted for one point under load: 40 jobs of 130 tasks."""
 TASKS_PER_JOB = (1, 8, 32, 130)
-MEMORY_STEPS = 5
+MEMORY_POINT_COUNT = 5
 MAX_OPEN_TASKS = 260
 """Limit of tasks in submitted jobs that have no answer yet.  Further tasks
 would only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
-IDLE_BY_AGENTS = 'idle-by-agents'
-IDLE_BY_ENTRIES = 'idle-by-entries'
-LOADED = 'loaded'
-REMEMBERED = 'remembered'
+MODE_IDLE_BY_AGENTS = 'idle-by-agents'
+MODE_IDLE_BY_ENTRIES = 'idle-by-entries'
+MODE_LOADED = 'loaded'
+MODE_REMEMBERED = 'remembered'
 
 LINE_SPECS = (
     slopes.LineSpec(
@@ -202,19 +202,21 @@
         f'[worker]\nname = "worker-{number}"\n'
         f'listen = "{HOST}:{run_port}"\n'
         f'agent = "http://{HOST}:{announce_port}"\n'
-        f'kinds = ["short"]\nslots = {SLOTS}\n[log]\nlevel = "warning"\n'
+        f'kinds = ["short"]\nslots = {SLOTS_PER_AGENT}\n'
+        f'[log]\nlevel = "warning"\n'
     )
 
 
 def measure_points(directory: pathlib.Path, mode: str) -> list[Point]:
     """Measure the processes that the script has started.
 
-    :param mode: one of the constants :data:`IDLE_BY_AGENTS`,
-        :data:`IDLE_BY_ENTRIES`, :data:`LOADED` and :data:`REMEMBERED`.
+    :param mode: one of the constants :data:`MODE_IDLE_BY_AGENTS`,
+        :data:`MODE_IDLE_BY_ENTRIES`, :data:`MODE_LOADED` and
+        :data:`MODE_REMEMBERED`.
     """
     pids = _read_pids(directory)
     time.sleep(SETTLE_SECONDS)
-    if mode in (LOADED, REMEMBERED):
+    if mode in (MODE_LOADED, MODE_REMEMBERED):
         return asyncio.run(_measure_loaded(directory, pids, mode))
     return _measure_idle(pids, mode)
 
@@ -232,14 +234,14 @@
 
 
 def _measure_idle(pids: dict[str, list[int]], mode: str) -> list[Point]:
-    role = 'entry' if mode == IDLE_BY_AGENTS else 'agent'
+    role = 'entry' if mode == MODE_IDLE_BY_AGENTS else 'agent'
     size = len(pids['agent' if role == 'entry' else 'entry'])
     before = _take_samples(pids[role])
-    time.sleep(WATCH_SECONDS)
+    time.sleep(IDLE_SECONDS)
     after = _take_samples(pids[role])
     usage = slopes_process.compute_mean_usage(
         [
-            slopes_process.compute_usage(old, new, WATCH_SECONDS)
+            slopes_process.compute_usage(old, new, IDLE_SECONDS)
             for old, new in zip(before, after, strict=True)
         ]
     )
@@ -256,7 +258,7 @@
         self._urls = urls
         self._next = 0
 
-    def pick(self, avoid: str = '') -> str:
+    def pick(self, avoided_url: str = '') -> str:
         """Return the URL of the next entry."""
         self._next += 1
         return self._urls[self._next % len(self._urls)]
@@ -272,7 +274,7 @@
     )
     points: list[Point] = []
     try:
-        if mode == REMEMBERED:
+        if mode == MODE_REMEMBERED:
             line = 'entry_resident_by_tasks'
             return await _measure_memory(callers, pids, 130, line)
         points += await _measure_memory(
@@ -293,7 +295,7 @@
 ) -> list[Point]:
     points = []
     sent = 0
-    for _ in range(MEMORY_STEPS):
+    for _ in range(MEMORY_POINT_COUNT):
         sent += await _submit_jobs(callers, tasks)
         resident = slopes_process.compute_mean_usage(
             [
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -30,8 +30,8 @@
 configuration lists all entries."""
 AGENT_COUNTS = (4, 8, 16, 32)
 ENTRY_COUNTS = (2, 3, 4, 6)
-FEW_AGENTS = 4
-FEW_ENTRIES = 2
+FIXED_AGENT_COUNT = 4
+FIXED_ENTRY_COUNT = 2
 CHANGES_PER_SECOND = (0.5, 1.0, 2.0, 4.0)
 TASKS_PER_JOB = (1, 4, 16, 64, 130)
 TEAM_COUNTS = (2, 8, 24, 64)
@@ -42,63 +42,63 @@
         'agents',
         'B/s',
         'wire',
-        f'{FEW_ENTRIES} entries, idle',
+        f'{FIXED_ENTRY_COUNT} entries, idle',
     ),
     slopes.LineSpec(
         'entry_control_messages',
         'agents',
         'messages/s',
         'wire',
-        f'{FEW_ENTRIES} entries, idle',
+        f'{FIXED_ENTRY_COUNT} entries, idle',
     ),
     slopes.LineSpec(
         'entry_control_bytes_by_entries',
         'entries',
         'B/s',
         'wire',
-        f'{FEW_AGENTS} agents, idle',
+        f'{FIXED_AGENT_COUNT} agents, idle',
     ),
     slopes.LineSpec(
         'agent_control_bytes',
         'entries',
         'B/s',
         'wire',
-        f'{FEW_AGENTS} agents, idle',
+        f'{FIXED_AGENT_COUNT} agents, idle',
     ),
     slopes.LineSpec(
         'table_reads',
         'entries',
         'reads/s',
         'wire',
-        f'{FEW_AGENTS} agents, idle',
+        f'{FIXED_AGENT_COUNT} agents, idle',
     ),
     slopes.LineSpec(
         'table_writes',
         'entries',
         'writes/s',
         'wire',
-        f'{FEW_AGENTS} agents, idle',
+        f'{FIXED_AGENT_COUNT} agents, idle',
     ),
     slopes.LineSpec(
         'entry_bytes_by_changes',
         'changes/s',
         'B/s',
         'wire',
-        f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
+        f'{FIXED_ENTRY_COUNT} entries, {FIXED_AGENT_COUNT} agents',
     ),
     slopes.LineSpec(
         'table_reads_by_changes',
         'changes/s',
         'reads/s',
         'wire',
-        f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
+        f'{FIXED_ENTRY_COUNT} entries, {FIXED_AGENT_COUNT} agents',
     ),
     slopes.LineSpec(
         'table_writes_by_changes',
         'changes/s',
         'writes/s',
         'wire',
-        f'{FEW_ENTRIES} entries, {FEW_AGENTS} agents',
+        f'{FIXED_ENTRY_COUNT} entries, {FIXED_AGENT_COUNT} agents',
     ),
     slopes.LineSpec(
         'job_messages',
@@ -130,45 +130,50 @@
 class TrafficRate:
     """Traffic of one process per second."""
 
-    messages: float
-    bytes: float
+    messages_per_second: float
+    bytes_per_second: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class CounterSample:
     """Counters of one installation at one instant.
 
-    :param entries: messages and bytes of each entry, both sent and received;
-        ``agents`` likewise.
-    :param reads: requests to the table service; ``writes`` likewise.
+    :param entry_traffic: messages and bytes of each entry, both sent and
+        received; ``agent_traffic`` likewise.
+    :param table_reads: requests to the table service; ``table_writes``
+        likewise.
     """
 
-    entries: tuple[tuple[int, int], ...]
-    agents: tuple[tuple[int, int], ...]
-    reads: int
-    writes: int
+    entry_traffic: tuple[tuple[int, int], ...]
+    agent_traffic: tuple[tuple[int, int], ...]
+    table_reads: int
+    table_writes: int
 
 
 def measure() -> tuple[slopes.Line, ...]:
     """Measure all lines of this module in about three minutes."""
     points: Points = collections.defaultdict(list)
     for count in AGENT_COUNTS:
-        asyncio.run(measure_idle(points, FEW_ENTRIES, count, by_agents=True))
+        asyncio.run(
+            measure_idle(points, FIXED_ENTRY_COUNT, count, by_agents=True)
+        )
     for count in ENTRY_COUNTS:
-        asyncio.run(measure_idle(points, count, FEW_AGENTS, by_agents=False))
-    for rate in CHANGES_PER_SECOND:
-        asyncio.run(measure_changes(points, rate))
-    for tasks in TASKS_PER_JOB:
-        asyncio.run(measure_loaded(points, tasks))
-    for teams in TEAM_COUNTS:
-        asyncio.run(measure_quotas(points, teams))
+        asyncio.run(
+            measure_idle(points, count, FIXED_AGENT_COUNT, by_agents=False)
+        )
+    for changes_per_second in CHANGES_PER_SECOND:
+        asyncio.run(measure_changes(points, changes_per_second))
+    for tasks_per_job in TASKS_PER_JOB:
+        asyncio.run(measure_loaded(points, tasks_per_job))
+    for team_count in TEAM_COUNTS:
+        asyncio.run(measure_quotas(points, team_count))
     return slopes.fit_all(LINE_SPECS, points)
 
 
-def read_counters(installation: bench_cluster.Cluster) -> Reading:
+def read_counters(installation: bench_cluster.Cluster) -> CounterSample:
     """Read all counters of an installation."""
     counts = installation.table.counts
-    return Reading(
+    return CounterSample(
         tuple(
             sum_traffic(site.process.links.traffic)
             for site in installation.entries
@@ -209,13 +214,17 @@
 
 
 def make_setup(
-    entries: int, agents: int, jobs: tuple[bench_arrivals.JobPlan, ...] = ()
+    entry_count: int,
+    agent_count: int,
+    jobs: tuple[bench_arrivals.JobPlan, ...] = (),
 ) -> tuple[
     bench_arrivals.Load, bench_plan.Deployment, bench_upstream.StartRecorder
 ]:
     """Return a load, a deployment and a start recorder for one measurement."""
     deployment = dataclasses.replace(
-        bench_plan.DEPLOYMENTS['lectores'], entries=entries, workers=agents
+        bench_plan.DEPLOYMENTS['lectores'],
+        entries=entry_count,
+        workers=agent_count,
     )
     pattern = bench_plan.Pattern.STEADY
     load = bench_arrivals.Load(pattern, 1, LOADED_SECONDS, LOADED_SHARE, jobs)
@@ -224,14 +233,14 @@
 
 
 async def measure_idle(
-    points: Points, entries: int, agents: int, by_agents: bool
+    points: Points, entry_count: int, agent_count: int, by_agents: bool
 ) -> None:
     """Measure an installation without jobs; add the points of its lines.
 
     :param by_agents: whether the points are for lines over the number of
         agents; otherwise over that of entries.
     """
-    load, deployment, recorder = make_setup(entries, agents)
+    load, deployment, recorder = make_setup(entry_count, agent_count)
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
@@ -242,26 +251,35 @@
         after = read_counters(installation)
     finally:
         await installation.stop()
-    entry = compute_mean_traffic(before.entries, after.entries, IDLE_SECONDS)
-    agent = compute_mean_traffic(before.agents, after.agents, IDLE_SECONDS)
+    entry = compute_mean_traffic(
+        before.entry_traffic, after.entry_traffic, IDLE_SECONDS
+    )
+    agent = compute_mean_traffic(
+        before.agent_traffic, after.agent_traffic, IDLE_SECONDS
+    )
     if by_agents:
-        points['entry_control_bytes'].append((agents, entry.bytes))
-        points['entry_control_messages'].append((agents, entry.messages))
+        points['entry_control_bytes'].append(
+            (agent_count, entry.bytes_per_second)
+        )
+        points['entry_control_messages'].append(
+            (agent_count, entry.messages_per_second)
+        )
         return
-    reads = (after.reads - before.reads) / IDLE_SECONDS
-    writes = (after.writes - before.writes) / IDLE_SECONDS
-    points['entry_control_bytes_by_entries'].append((entries, entry.bytes))
-    points['agent_control_bytes'].append((entries, agent.bytes))
-    points['table_reads'].append((entries, reads))
-    points['table_writes'].append((entries, writes))
-
+    reads = (after.table_reads - before.table_reads) / IDLE_SECONDS
+    writes = (after.table_writes - before.table_writes) / IDLE_SECONDS
+    points['entry_control_bytes_by_entries'].append(
+        (entry_count, entry.bytes_per_second)
+    )
+    points['agent_control_bytes'].append((entry_count, agent.bytes_per_second))
+    points['table_reads'].append((entry_count, reads))
+    points['table_writes'].append((entry_count, writes))
 
-async def measure_changes(points: Points, rate: float) -> None:
-    """Measure an installation during changes of its configuration.
 
-    :param rate: changes per second.
-    """
-    load, deployment, recorder = make_setup(FEW_ENTRIES, FEW_AGENTS)
+async def measure_changes(points: Points, changes_per_second: float) -> None:
+    """Measure an installation during changes of its configuration."""
+    load, deployment, recorder = make_setup(
+        FIXED_ENTRY_COUNT, FIXED_AGENT_COUNT
+    )
     clock = clocks.ProcessClock.start()
     installation = bench_cluster.Cluster(load, deployment, clock, recorder)
     try:
@@ -270,7 +288,9 @@
         before, since = read_counters(installation), recorder.now()
         change_count = 0
         while recorder.now() - since < CHANGE_SECONDS:
-            await asyncio.sleep(since + change_count / rate - recorder.now())
+            await asyncio.sleep(
+                since + change_count / changes_per_second - recorder.now()
+            )
             await installation.change(
                 cluster.SettingSet('bench', str(change_count))
             )
@@ -279,69 +299,70 @@
         after = read_counters(installation)
     finally:
         await installation.stop()
-    entry = compute_mean_traffic(before.entries, after.entries, seconds)
+    entry = compute_mean_traffic(
+        before.entry_traffic, after.entry_traffic, seconds
+    )
     actual_rate = change_count / seconds
-    points['entry_bytes_by_changes'].append((actual_rate, entry.bytes))
-    reads = (after.reads - before.reads) / seconds
-    writes = (after.writes - before.writes) / seconds
+    points['entry_bytes_by_changes'].append(
+        (actual_rate, entry.bytes_per_second)
+    )
+    reads = (after.table_reads - before.table_reads) / seconds
+    writes = (after.table_writes - before.table_writes) / seconds
     points['table_reads_by_changes'].append((actual_rate, reads))
     points['table_writes_by_changes'].append((actual_rate, writes))
 
 
 def make_even_jobs(
-    deployment: bench_plan.Deployment, tasks: int, teams: int = 1
+    deployment: bench_plan.Deployment, tasks_per_job: int, team_count: int = 1
 ) -> tuple[bench_arrivals.JobPlan, ...]:
     """Return jobs of equal size at equal intervals.
 
     They keep :data:`LOADED_SHARE` of the slots busy.
-
-    :param tasks: tasks of each job.
     """
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
     work = LOADED_SHARE * LOADED_SECONDS * deployment.total_slots
-    count = max(4, round(work / (tasks * TASK_SECONDS)))
+    count = max(4, round(work / (tasks_per_job * TASK_SECONDS)))
     return tuple(
         bench_arrivals.JobPlan(
             number,
             number * LOADED_SECONDS / count,
-            f'team-{number % teams}',
-            plan * tasks,
+            f'team-{number % team_count}',
+            plan * tasks_per_job,
         )
         for number in range(count)
     )
 
 
-async def measure_loaded(points: Points, tasks: int) -> None:
-    """Measure messages and bytes per job, for jobs of one size.
-
-    :param tasks: tasks of each job.
-    """
+async def measure_loaded(points: Points, tasks_per_job: int) -> None:
+    """Measure messages and bytes per job, for jobs of one size."""
     deployment = bench_plan.DEPLOYMENTS['lectores']
-    jobs = make_even_jobs(deployment, tasks)
+    jobs = make_even_jobs(deployment, tasks_per_job)
     load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
     played = await bench_run.play(load, deployment)
     figures = played.report.figures
     counts = played.evidence.traffic.counts
     useful = counts.get('Starts', 0) + counts.get('Results', 0)
-    points['job_messages'].append((tasks, useful / len(jobs)))
+    points['job_messages'].append((tasks_per_job, useful / len(jobs)))
     sent = figures.get('bytes')
     assert isinstance(sent, int | float)
-    points['job_bytes'].append((tasks, sent / len(jobs)))
+    points['job_bytes'].append((tasks_per_job, sent / len(jobs)))
 
 
-async def measure_quotas(points: Points, teams: int) -> None:
+async def measure_quotas(points: Points, team_count: int) -> None:
     """Measure the quota messages per second with jobs of several teams.
 
-    :param teams: number of teams, each with a quota.
+    :param team_count: number of teams, each with a quota.
     """
     deployment = bench_plan.DEPLOYMENTS['lectores']
-    jobs = make_even_jobs(deployment, 4, teams)
+    jobs = make_even_jobs(deployment, 4, team_count)
     load, _, _ = make_setup(deployment.entries, deployment.workers, jobs)
     quotas = tuple(
         cluster.QuotaSet(f'team-{number}', deployment.total_slots)
-        for number in range(teams)
+        for number in range(team_count)
     )
     played = await bench_run.play(load, deployment, first_changes=quotas)
     counts = played.evidence.traffic.counts
     quota_messages = counts.get('QuotaAsk', 0) + counts.get('QuotaGrant', 0)
-    points['team_messages'].append((teams, quota_messages / LOADED_SECONDS))
+    points['team_messages'].append(
+        (team_count, quota_messages / LOADED_SECONDS)
+    )
--- a/src/agatepick/cmd/client.py
+++ b/src/agatepick/cmd/client.py
@@ -175,7 +175,9 @@
                 deadline - time.monotonic(), MIN_TIMEOUT_SECONDS
             )
             fetch_result = await self._post(body, key, remaining_seconds)
-            delay = self._compute_delay(tries, _get_retry_after(fetch_result))
+            delay = self._compute_retry_delay(
+                tries, _get_retry_after(fetch_result)
+            )
             late = time.monotonic() + delay >= deadline
             if late or not _is_retryable(fetch_result):
                 return dataclasses.replace(_unwrap(fetch_result), tries=tries)
@@ -245,7 +247,7 @@
             self._next_entry += 1
         return result.Success(_parse_response(response, entry))
 
-    def _compute_delay(self, tries: int, min_seconds: float) -> float:
+    def _compute_retry_delay(self, tries: int, min_seconds: float) -> float:
         """Return the seconds until the next attempt.
 
         Callers that were rejected together would otherwise retry together
--- a/src/agatepick/cmd/command_tree.py
+++ b/src/agatepick/cmd/command_tree.py
@@ -21,7 +21,7 @@
 from agatepick import exceptions
 
 Run = typing.Callable[[], commands.Output]
-SLOPES = 'slopes'
+SLOPES_PATTERN = 'slopes'
 BENCH_OPTIONS = (
     'seed',
     'seconds',
@@ -153,7 +153,7 @@
                 lambda context: commands.show_or_cancel_job(context, job),
             )
         else:
-            self._set_show(entry, json, '/v1/status')
+            self._set_show_command(entry, json, '/v1/status')
 
     @_keep_text
     def config_check(self, file: str, json: bool = False) -> None:
@@ -163,7 +163,7 @@
     @_keep_text
     def config_show(self, entry: str = '', json: bool = False) -> None:
         """Show the configuration of the cluster."""
-        self._set_show(entry, json, '/v1/config')
+        self._set_show_command(entry, json, '/v1/config')
 
     @_keep_text
     def config_set(
@@ -187,7 +187,7 @@
     @_keep_text
     def preset_show(self, entry: str = '', json: bool = False) -> None:
         """Show the presets and the one in force."""
-        self._set_show(entry, json, '/v1/presets')
+        self._set_show_command(entry, json, '/v1/presets')
 
     @_keep_text
     def preset_use(
@@ -205,7 +205,7 @@
     @_keep_text
     def zone_list(self, entry: str = '', json: bool = False) -> None:
         """Show the availability zones and whether they are in service."""
-        self._set_show(entry, json, '/v1/zones')
+        self._set_show_command(entry, json, '/v1/zones')
 
     @_keep_text
     def zone_out(
@@ -331,7 +331,7 @@
 
         self._run = run
 
-    def _set_show(self, entry: str, as_json: bool, path: str) -> None:
+    def _set_show_command(self, entry: str, as_json: bool, path: str) -> None:
         self._set_entry_command(
             entry, as_json, lambda context: commands.show(context, path)
         )
@@ -412,12 +412,12 @@
     pattern: str, options: dict[str, typing.Any]
 ) -> commands.Output:
     patterns = [member.value for member in bench_plan.Pattern]
-    if pattern not in (*patterns, SLOPES):
+    if pattern not in (*patterns, SLOPES_PATTERN):
         raise exceptions.BadUsage(
             f'bench: found {pattern!r}; allowed: {", ".join(patterns)}, '
-            f'{SLOPES}'
+            f'{SLOPES_PATTERN}'
         )
-    if pattern != SLOPES:
+    if pattern != SLOPES_PATTERN:
         _check_bench_options(options)
     return _call_module('bench.bench', 'run_command', pattern, **options)
 
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -32,8 +32,8 @@
 DEPLOYMENT = bench_plan.Deployment(
     'demo',
     ('talca', 'curico', 'linares'),
-    zone_latency=0.001,
-    client_latency=0.003,
+    zone_latency_seconds=0.001,
+    client_latency_seconds=0.003,
     cores=16,
     memory_mb=64 * 1024,
     workers=6,
@@ -42,11 +42,11 @@
 SLOT_LOAD_SHARE = 0.4
 """Share of all slots that the demo's jobs keep busy.  While a zone is out of
 service, the remaining two thirds of the workers can still handle this load."""
-SEED = 7
-SHORTEST_LOAD_SECONDS = 15.0
-DRAIN_SECONDS = 30.0
-PROGRESS_SECONDS = 2.0
-CHECK_DELAY_SECONDS = 0.05
+LOAD_SEED = 7
+MIN_LOAD_SECONDS = 15.0
+MAX_DRAIN_SECONDS = 30.0
+PROGRESS_INTERVAL_SECONDS = 2.0
+VERSION_CHECK_DELAY_SECONDS = 0.05
 
 
 @dataclasses.dataclass
@@ -91,7 +91,7 @@
     """One run of the demo.
 
     :param seconds: duration of the load, at least
-        :data:`SHORTEST_LOAD_SECONDS`.
+        :data:`MIN_LOAD_SECONDS`.
     :param print_line: function that prints a line of progress.
     """
 
@@ -99,12 +99,12 @@
         self, seconds: float, print_line: typing.Callable[[str], None]
     ) -> None:
         self._print_line = print_line
-        self._seconds = max(seconds, SHORTEST_LOAD_SECONDS)
+        self._seconds = max(seconds, MIN_LOAD_SECONDS)
         self._clock = clocks.ProcessClock.start()
         self._recorder = bench_upstream.StartRecorder(self._clock)
         self._load = bench_arrivals.draw_load(
             bench_plan.Pattern.STEADY,
-            SEED,
+            LOAD_SEED,
             self._seconds,
             SLOT_LOAD_SHARE,
             DEPLOYMENT,
@@ -115,8 +115,8 @@
         self._callers = bench_callers.Callers(
             self._cluster,
             self._recorder,
-            DEPLOYMENT.client_latency,
-            random.Random(SEED),
+            DEPLOYMENT.client_latency_seconds,
+            random.Random(LOAD_SEED),
         )
         self._departures: list[bench_evidence.ZoneDeparture] = []
         self._watch = ConfigurationWatch()
@@ -130,11 +130,11 @@
         )
         try:
             await self._cluster.start()
-            before = self._cluster.traffic()
+            before = self._cluster.count_messages_sent()
             self._recorder.start_run()
             self._print_event(f'sending {len(self._load.jobs)} jobs')
             await self._run_load()
-            traffic = self._cluster.traffic_since(before)
+            traffic = self._cluster.compute_traffic_since(before)
         finally:
             self._callers.close()
             await self._cluster.stop()
@@ -159,7 +159,7 @@
         progress = asyncio.create_task(self._report_progress())
         operations = asyncio.create_task(self._run_operations())
         remaining_seconds = (
-            self._seconds + DRAIN_SECONDS - self._recorder.now()
+            self._seconds + MAX_DRAIN_SECONDS - self._recorder.now()
         )
         _, unfinished = await asyncio.wait(
             [*jobs, operations], timeout=remaining_seconds
@@ -180,7 +180,7 @@
         await self._callers.submit(job)
 
     async def _run_operations(self) -> None:
-        await self._sleep_until_share(0.1)
+        await self._sleep_until_load_share(0.1)
         removal = await self._change(cluster.ZoneOut(LEAVING_ZONE))
         departure = bench_evidence.ZoneDeparture(
             LEAVING_ZONE,
@@ -190,15 +190,15 @@
             float('inf'),
         )
         self._departures.append(departure)
-        await self._sleep_until_share(0.4)
+        await self._sleep_until_load_share(0.4)
         restoration = await self._change(cluster.ZoneIn(LEAVING_ZONE))
         returned_at = self._recorder.to_run_seconds(restoration.in_force_at)
         self._departures[0] = dataclasses.replace(
             departure, returned_at=returned_at
         )
-        await self._sleep_until_share(0.6)
+        await self._sleep_until_load_share(0.6)
         await self._change(cluster.PresetUse('peak'))
-        await self._sleep_until_share(0.8)
+        await self._sleep_until_load_share(0.8)
         self._cut_connections(self._cluster.entries[0])
         await self._change(cluster.PresetUse('ordinary'))
 
@@ -212,7 +212,7 @@
             f'{in_force:.1f} s'
         )
         await asyncio.sleep(
-            in_force - self._recorder.now() + CHECK_DELAY_SECONDS
+            in_force - self._recorder.now() + VERSION_CHECK_DELAY_SECONDS
         )
         self._print_event(f'in force: {description}')
         return verdict
@@ -225,12 +225,12 @@
             f'{entry.process.name}: {len(peers)} connections cut'
         )
 
-    async def _sleep_until_share(self, share: float) -> None:
+    async def _sleep_until_load_share(self, share: float) -> None:
         await asyncio.sleep(share * self._seconds - self._recorder.now())
 
     async def _report_progress(self) -> None:
         while True:
-            await asyncio.sleep(PROGRESS_SECONDS)
+            await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
             self._check_versions()
             starts = collections.Counter(
                 run.zone for run in self._recorder.runs
--- a/src/agatepick/cmd/explain.py
+++ b/src/agatepick/cmd/explain.py
@@ -14,9 +14,9 @@
 from agatepick.cmd import commands
 from agatepick import exceptions
 
-_PAIR = re.compile(r'([A-Za-z_][\w.]*)=("(?:[^"\\]|\\.)*"|\S*)')
+_LOG_FIELD_PATTERN = re.compile(r'([A-Za-z_][\w.]*)=("(?:[^"\\]|\\.)*"|\S*)')
 
-END_EVENTS = ('job_ended', 'job_refused')
+JOB_END_EVENTS = ('job_ended', 'job_refused')
 
 REASON_TEXTS = {
     'overloaded': 'more work waited than could start in time',
@@ -64,9 +64,11 @@
         return f'{self.at - start:+9.3f} s {self.process} {self.event} {pairs}'
 
 
-def parse(text: str) -> Line | None:
+def parse_line(text: str) -> Line | None:
     """Return the event in a log line; ``None`` if it isn't an event."""
-    pairs = {key: _unquote(value) for key, value in _PAIR.findall(text)}
+    pairs = {
+        key: _unquote(value) for key, value in _LOG_FIELD_PATTERN.findall(text)
+    }
     try:
         at = float(pairs.pop('time'))
         process, event = pairs.pop('process'), pairs.pop('event')
@@ -79,7 +81,7 @@
 def collect_lines(lines: typing.Iterable[str], job: str) -> list[Line]:
     """Return the events of a request, sorted by time."""
     job_field = f'job={job}'
-    parsed = [parse(text) for text in lines if job_field in text]
+    parsed = [parse_line(text) for text in lines if job_field in text]
     matching = [
         line for line in parsed if line and line.fields.get('job') == job
     ]
@@ -88,9 +90,9 @@
 
 def find_cause(lines: list[Line]) -> str:
     """Return the cause of a request's outcome, or of its delay."""
-    end_lines = [line for line in lines if line.event in END_EVENTS]
+    end_lines = [line for line in lines if line.event in JOB_END_EVENTS]
     if not end_lines:
-        return _describe_lost(lines)
+        return _describe_lost_job(lines)
     end_fields = end_lines[-1].fields
     reason = end_fields.get('reason', '')
     if (
@@ -105,7 +107,7 @@
     return f'{reason}: {explanation}'
 
 
-def _describe_lost(lines: list[Line]) -> str:
+def _describe_lost_job(lines: list[Line]) -> str:
     text = 'no end was logged: its entry was lost, or the log is cut off'
     agent_lines = [
         line for line in lines if line.event in _RUNS_ENDED_BY_AGENT
--- a/src/agatepick/cmd/summary.py
+++ b/src/agatepick/cmd/summary.py
@@ -47,7 +47,7 @@
     """
     lines_by_job: dict[str, list[explain.Line]] = {}
     for text in lines:
-        line = explain.parse(text) if ' job=' in text else None
+        line = explain.parse_line(text) if ' job=' in text else None
         if line is not None:
             lines_by_job.setdefault(line.fields['job'], []).append(line)
     counts: collections.Counter[FailureGroup] = collections.Counter()
@@ -75,7 +75,7 @@
     queues = [line.fields.get('queue', '') for line in job_lines]
     queue = next((queue_name for queue_name in queues if queue_name), '')
     end_lines = [
-        line for line in job_lines if line.event in explain.END_EVENTS
+        line for line in job_lines if line.event in explain.JOB_END_EVENTS
     ]
     if not end_lines:
         return FailureGroup(second, queue, 'lost', 'no_end_logged')
--- a/src/agatepick/runtime/daemons.py
+++ b/src/agatepick/runtime/daemons.py
@@ -118,7 +118,7 @@
         term=ANNOUNCEMENT_LEASE_SECONDS,
     )
     worker = standin_upstream.HttpWorker(
-        standin_upstream.StandIn(default_seconds=worker_cfg.task_seconds),
+        standin_upstream.StandIn(default_task_seconds=worker_cfg.task_seconds),
         worker_cfg.agent,
         announced,
         worker_cfg.listen,
--- a/src/agatepick/standins/standin_upstream.py
+++ b/src/agatepick/standins/standin_upstream.py
@@ -58,12 +58,12 @@
 
 
 TaskKey = tuple[types.JobKey, int]
-Done = typing.Callable[[types.TaskState, bytes, str], None]
+DoneCallback = typing.Callable[[types.TaskState, bytes, str], None]
 
 
 @dataclasses.dataclass(slots=True)
 class _Run:
-    done: Done
+    done: DoneCallback
     timer: asyncio.TimerHandle
     payload: Payload
 
@@ -71,15 +71,15 @@
 class StandIn:
     """Worker that runs tasks on the event loop and counts their starts.
 
-    :param default_seconds: run time of tasks whose payload has none.
+    :param default_task_seconds: run time of tasks whose payload has none.
     :ivar max_running: largest number of tasks that ran at once.
     """
 
     def __init__(
-        self, faults: Faults | None = None, default_seconds: float = 0.0
+        self, faults: Faults | None = None, default_task_seconds: float = 0.0
     ):
         self.faults = faults or Faults()
-        self._default_seconds = default_seconds
+        self._default_task_seconds = default_task_seconds
         self.starts: collections.Counter[TaskKey] = collections.Counter()
         """Number of starts of each task."""
         self.max_running = 0
@@ -91,7 +91,7 @@
         """Number of running tasks."""
         return len(self._runs)
 
-    def start(self, task: TaskKey, payload: bytes, done: Done) -> None:
+    def start(self, task: TaskKey, payload: bytes, done: DoneCallback) -> None:
         """Start a task; call ``done`` once, unless the worker crashes.
 
         :param done: function that gets the state, body and reason.
@@ -102,7 +102,7 @@
         task_payload = msgspec.json.decode(payload or b'{}', type=Payload)
         seconds = task_payload.seconds
         if seconds is None:
-            seconds = self._default_seconds
+            seconds = self._default_task_seconds
         seconds *= self.faults.slow_factor
         if self.faults.fail_all:
             seconds = 0.0
@@ -114,7 +114,7 @@
         self._runs[run_id] = (task, _Run(done, timer, task_payload))
         self.max_running = max(self.max_running, self.running)
 
-    def act(self, task: TaskKey, action: upstream.Action) -> None:
+    def apply_action(self, task: TaskKey, action: upstream.Action) -> None:
         """Stop or throttle a running task; ignore a checkpoint."""
         for run_id, (key, run) in list(self._runs.items()):
             if key != task:
@@ -213,7 +213,7 @@
 
     def stop(self, effect: upstream.StopTask) -> None:
         """Pass an action on a running task, such as a stop, to the worker."""
-        self._worker.act((effect.job, effect.index), effect.action)
+        self._worker.apply_action((effect.job, effect.index), effect.action)
 
 
 class HttpWorker:
@@ -345,5 +345,5 @@
         self.worker = worker
 
     def post(self, job: str, index: str, action: str) -> None:
-        self.worker.act((job, int(index)), upstream.Action(action))
+        self.worker.apply_action((job, int(index)), upstream.Action(action))
         self.set_status(204)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,7 +30,7 @@
 
 def test_plan_sizes_follow_from_the_lines(measurement):
     plan = capacity.Plan.from_slopes(measurement)
-    assert plan.cpu_per_task == pytest.approx(100e-6 + 400e-6 / 130)
+    assert plan.cpu_seconds_per_task == pytest.approx(100e-6 + 400e-6 / 130)
     assert plan.entries == 76
     assert plan.agents_per_entry == 32
     assert plan.entries_per_agent == pytest.approx(76 * 32 / 9100)
