--- a/src/agatepick/bench/bench_ideal.py
+++ b/src/agatepick/bench/bench_ideal.py
@@ -27,14 +27,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ideal:
+class IdealSchedule:
     """Schedule that the ideal scheduler made of one load.
 
-    :param responses: response time in seconds, by job number.
+    :param response_seconds: response time, by job number.
     :param runs: start and end of each task, seconds from the run's start.
     """
 
-    responses: dict[int, float]
+    response_seconds: dict[int, float]
     runs: tuple[tuple[float, float], ...]
 
 
@@ -42,7 +42,7 @@
     jobs: collections.abc.Iterable[bench_arrivals.JobPlan],
     deployment: bench_plan.Deployment,
     closures: collections.abc.Sequence[Closure] = (),
-) -> Ideal:
+) -> IdealSchedule:
     """Return the ideal scheduler's schedule for the given jobs."""
     free = [
         (0.0, worker, slot)
@@ -61,7 +61,7 @@
             runs.append((start, stop))
             end = max(end, stop)
         responses[job.number] = end - job.at
-    return Ideal(responses, tuple(runs))
+    return IdealSchedule(responses, tuple(runs))
 
 
 def take_slot(
--- a/src/agatepick/bench/bench_measures.py
+++ b/src/agatepick/bench/bench_measures.py
@@ -218,7 +218,7 @@
 
 
 def compute_work_ratio(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> float | None:
     """Return the work done after a zone's departure over the ideal work.
 
--- a/src/agatepick/bench/bench_player.py
+++ b/src/agatepick/bench/bench_player.py
@@ -46,14 +46,14 @@
                 [str], collections.abc.Coroutine[object, object, None]
             ],
         ] = {
-            bench_plan.Action.ZONE_OUT: self._zone_out,
-            bench_plan.Action.ZONE_IN: self._zone_in,
-            bench_plan.Action.STORE_DOWN: self._store_down,
-            bench_plan.Action.STORE_UP: self._store_up,
+            bench_plan.Action.ZONE_OUT: self._take_zone_out,
+            bench_plan.Action.ZONE_IN: self._return_zone,
+            bench_plan.Action.STORE_DOWN: self._start_table_outage,
+            bench_plan.Action.STORE_UP: self._end_table_outage,
             bench_plan.Action.KILL_ENTRY: self._kill_entry,
             bench_plan.Action.REPLACE_ENTRY: self._replace_entry,
             bench_plan.Action.REPLACE_AGENT: self._replace_agent,
-            bench_plan.Action.CANCEL_HALF: self._cancel_half,
+            bench_plan.Action.CANCEL_HALF: self._cancel_half_of_jobs,
         }
 
     async def play(self) -> None:
@@ -96,7 +96,7 @@
             except Exception as exc:
                 self.step_errors.append(f'{step.action}: {exc!r}')
 
-    async def _zone_out(self, zone: str) -> None:
+    async def _take_zone_out(self, zone: str) -> None:
         requested_at = self._recorder.now()
         verdict = await self._installation.change(cluster.ZoneOut(zone))
         accepted_at = self._recorder.now()
@@ -105,17 +105,17 @@
             zone, requested_at, accepted_at, in_force_at, float('inf')
         )
 
-    async def _zone_in(self, zone: str) -> None:
+    async def _return_zone(self, zone: str) -> None:
         verdict = await self._installation.change(cluster.ZoneIn(zone))
         returned_at = self._recorder.to_run_seconds(verdict.in_force_at)
         self.departures[zone] = dataclasses.replace(
             self.departures[zone], returned_at=returned_at
         )
 
-    async def _store_down(self, target: str) -> None:
+    async def _start_table_outage(self, target: str) -> None:
         self._installation.set_store_down(True)
 
-    async def _store_up(self, target: str) -> None:
+    async def _end_table_outage(self, target: str) -> None:
         self._installation.set_store_down(False)
 
     async def _kill_entry(self, target: str) -> None:
@@ -127,7 +127,7 @@
     async def _replace_agent(self, target: str) -> None:
         await self._installation.replace_agent(int(target))
 
-    async def _cancel_half(self, target: str) -> None:
+    async def _cancel_half_of_jobs(self, target: str) -> None:
         numbers = sorted(self._callers.open)[::2]
         await asyncio.gather(
             *(self._callers.cancel(number) for number in numbers)
--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -53,7 +53,7 @@
 
 def summarize(
     evidence: bench_evidence.Evidence,
-    ideal: bench_ideal.Ideal,
+    ideal: bench_ideal.IdealSchedule,
     extra: collections.abc.Mapping[str, Figure] | None = None,
 ) -> Report:
     """Return the report with all figures of one run.
@@ -81,13 +81,15 @@
 
 
 def compute_response_figures(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> dict[str, Figure]:
     """Return the figures of the completed jobs' response times."""
     times = bench_measures.compute_response_times(evidence)
-    responses = bench_measures.compare_to_ideal(times, ideal.responses)
+    responses = bench_measures.compare_to_ideal(times, ideal.response_seconds)
     figures: dict[str, Figure] = {
-        'fairness': bench_measures.compute_fairness(evidence, ideal.responses)
+        'fairness': bench_measures.compute_fairness(
+            evidence, ideal.response_seconds
+        )
     }
     if responses is not None:
         figures = {**dataclasses.asdict(responses), **figures}
@@ -140,7 +142,7 @@
 
 
 def compute_departure_figures(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> dict[str, Figure]:
     """Return the figures of the first zone taken out of service, if any."""
     if not evidence.departures:
@@ -160,7 +162,7 @@
 
 
 def compute_work_series(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> tuple[tuple[float, float, float], ...]:
     """Return the busy slots over time, of the run and of the ideal scheduler.
 
--- a/src/agatepick/bench/bench_run.py
+++ b/src/agatepick/bench/bench_run.py
@@ -145,7 +145,9 @@
     return PlayResult(report, evidence)
 
 
-def simulate_ideal(evidence: bench_evidence.Evidence) -> bench_ideal.Ideal:
+def simulate_ideal(
+    evidence: bench_evidence.Evidence,
+) -> bench_ideal.IdealSchedule:
     """Simulate the ideal scheduler for the accepted jobs.
 
     Refused and cancelled jobs are left out: they use no slots in the run, so
--- a/src/agatepick/capacity/capacity.py
+++ b/src/agatepick/capacity/capacity.py
@@ -29,7 +29,7 @@
 """Limit of the stand-in table service."""
 MAX_WRITES_PER_SECOND = 400
 """Several hundred per second: the limit of the stand-in table service."""
-ENTRY_CORE_SHARE = 0.7
+PLANNED_ENTRY_CORE_SHARE = 0.7
 """Share of its core that an entry uses at the planned size.
 
 The rest is for bursts and for the work of a failed entry."""
@@ -66,7 +66,7 @@
         line = measurement.line('entry_cpu_by_tasks')
         cpu_seconds_per_task = line.at(TASKS_PER_JOB) / TASKS_PER_JOB
         entries = math.ceil(
-            STARTS_PER_SECOND * cpu_seconds_per_task / ENTRY_CORE_SHARE
+            STARTS_PER_SECOND * cpu_seconds_per_task / PLANNED_ENTRY_CORE_SHARE
         )
         control_line = measurement.line('entry_control_bytes')
         agents_per_entry = max(
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -280,8 +280,8 @@
         points += await _measure_memory(
             callers, pids, 1, 'entry_resident_by_jobs'
         )
-        for tasks in TASKS_PER_JOB:
-            points += await _measure_cpu(callers, pids, tasks)
+        for tasks_per_job in TASKS_PER_JOB:
+            points += await _measure_cpu(callers, pids, tasks_per_job)
     finally:
         callers.close()
     return points
@@ -290,34 +290,36 @@
 async def _measure_memory(
     callers: bench_callers.Callers,
     pids: dict[str, list[int]],
-    tasks: int,
+    tasks_per_job: int,
     line: str,
 ) -> list[Point]:
     points = []
     sent = 0
     for _ in range(MEMORY_POINT_COUNT):
-        sent += await _submit_jobs(callers, tasks)
+        sent += await _submit_jobs(callers, tasks_per_job)
         resident = slopes_process.compute_mean_usage(
             [
                 slopes_process.compute_usage(sample, sample, 1.0)
                 for sample in _take_samples(pids['entry'])
             ]
         ).resident_bytes
-        points.append(Point(line, sent * tasks, resident))
+        points.append(Point(line, sent * tasks_per_job, resident))
     return points
 
 
 async def _measure_cpu(
-    callers: bench_callers.Callers, pids: dict[str, list[int]], tasks: int
+    callers: bench_callers.Callers,
+    pids: dict[str, list[int]],
+    tasks_per_job: int,
 ) -> list[Point]:
     roles = ('entry', 'agent')
     before = {role: _take_samples(pids[role]) for role in roles}
-    jobs = await _submit_jobs(callers, tasks)
+    jobs = await _submit_jobs(callers, tasks_per_job)
     after = {role: _take_samples(pids[role]) for role in roles}
     return [
         Point(
             f'{role}_cpu_by_tasks',
-            tasks,
+            tasks_per_job,
             _sum_cpu_seconds(before[role], after[role]) / jobs,
         )
         for role in roles
@@ -333,18 +335,20 @@
     )
 
 
-async def _submit_jobs(callers: bench_callers.Callers, tasks: int) -> int:
+async def _submit_jobs(
+    callers: bench_callers.Callers, tasks_per_job: int
+) -> int:
     """Submit jobs of one size with bounded concurrency.
 
     :returns: the number of jobs.
     """
-    count = max(40, TASKS_PER_POINT // tasks)
+    count = max(40, TASKS_PER_POINT // tasks_per_job)
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
-    semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
+    semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks_per_job))
 
     async def submit_job(number: int) -> None:
         job = bench_arrivals.JobPlan(
-            number, 0.0, f'team-{number % 4}', plan * tasks
+            number, 0.0, f'team-{number % 4}', plan * tasks_per_job
         )
         async with semaphore:
             await callers.submit(job)
--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -23,7 +23,7 @@
 IDLE_SECONDS = 8.0
 CHANGE_SECONDS = 12.0
 LOADED_SECONDS = 6.0
-LOADED_SHARE = 0.5
+BUSY_SLOT_SHARE = 0.5
 TASK_SECONDS = 0.1
 SETTLE_SECONDS = 2.0
 """Time after the start until all links have completed their handshakes and the
@@ -227,7 +227,9 @@
         workers=agent_count,
     )
     pattern = bench_plan.Pattern.STEADY
-    load = bench_arrivals.Load(pattern, 1, LOADED_SECONDS, LOADED_SHARE, jobs)
+    load = bench_arrivals.Load(
+        pattern, 1, LOADED_SECONDS, BUSY_SLOT_SHARE, jobs
+    )
     recorder = bench_upstream.StartRecorder(clocks.ProcessClock.start())
     return load, deployment, recorder
 
@@ -317,10 +319,10 @@
 ) -> tuple[bench_arrivals.JobPlan, ...]:
     """Return jobs of equal size at equal intervals.
 
-    They keep :data:`LOADED_SHARE` of the slots busy.
+    They keep :data:`BUSY_SLOT_SHARE` of the slots busy.
     """
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
-    work = LOADED_SHARE * LOADED_SECONDS * deployment.total_slots
+    work = BUSY_SLOT_SHARE * LOADED_SECONDS * deployment.total_slots
     count = max(4, round(work / (tasks_per_job * TASK_SECONDS)))
     return tuple(
         bench_arrivals.JobPlan(
--- a/src/agatepick/cmd/demo.py
+++ b/src/agatepick/cmd/demo.py
@@ -39,7 +39,7 @@
     workers=6,
 )
 LEAVING_ZONE = 'curico'
-SLOT_LOAD_SHARE = 0.4
+BUSY_SLOT_SHARE = 0.4
 """Share of all slots that the demo's jobs keep busy.  While a zone is out of
 service, the remaining two thirds of the workers can still handle this load."""
 LOAD_SEED = 7
@@ -106,7 +106,7 @@
             bench_plan.Pattern.STEADY,
             LOAD_SEED,
             self._seconds,
-            SLOT_LOAD_SHARE,
+            BUSY_SLOT_SHARE,
             DEPLOYMENT,
         )
         self._cluster = bench_cluster.Cluster(
--- a/tests/test_bench_ideal.py
+++ b/tests/test_bench_ideal.py
@@ -17,7 +17,10 @@
 
 def test_response_time_ends_with_the_last_task():
     jobs = [make_job(0, 1.0, 2.0, 3.0), make_job(1, 2.0, 1.0)]
-    assert bench_ideal.simulate(jobs, TWO_SLOTS).responses == {0: 3.0, 1: 2.0}
+    assert bench_ideal.simulate(jobs, TWO_SLOTS).response_seconds == {
+        0: 3.0,
+        1: 2.0,
+    }
 
 
 def test_no_task_starts_in_a_departed_zone_but_running_tasks_end():
