--- a/src/agatepick/bench/bench_report.py
+++ b/src/agatepick/bench/bench_report.py
@@ -12,7 +12,7 @@
 from agatepick.bench import bench_violations
 
 PLOT_DPI = 120
-WORK_BINS = 60
+WORK_BIN_COUNT = 60
 """Number of intervals for which the plot of work shows the busy slots."""
 
 Figure = float | int | str | None
@@ -53,7 +53,7 @@
 
 def summarize(
     evidence: bench_evidence.Evidence,
-    ideal: bench_ideal.Ideal,
+    ideal: bench_ideal.IdealSchedule,
     extra: collections.abc.Mapping[str, Figure] | None = None,
 ) -> Report:
     """Return the report with all figures of one run.
@@ -66,7 +66,7 @@
         'deployment': evidence.deployment.name,
         'seed': load.seed,
         'seconds': load.seconds,
-        'load': load.load,
+        'load': load.slot_share,
         'jobs': len(load.jobs),
         'tasks': sum(len(job.tasks) for job in load.jobs),
         **compute_response_figures(evidence, ideal),
@@ -76,18 +76,20 @@
         **compute_departure_figures(evidence, ideal),
         **(extra or {}),
     }
-    title = f'{load.pattern} seed={load.seed} load={load.load}'
+    title = f'{load.pattern} seed={load.seed} load={load.slot_share}'
     return Report(title, figures, compute_work_series(evidence, ideal))
 
 
 def compute_response_figures(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> dict[str, Figure]:
     """Return the figures of the completed jobs' response times."""
     times = bench_measures.compute_response_times(evidence)
-    responses = bench_measures.compare_to_ideal(times, ideal.responses)
+    responses = bench_measures.compare_to_ideal(times, ideal.response_seconds)
     figures: dict[str, Figure] = {
-        'fairness': bench_measures.compute_fairness(evidence, ideal.responses)
+        'fairness': bench_measures.compute_fairness(
+            evidence, ideal.response_seconds
+        )
     }
     if responses is not None:
         figures = {**dataclasses.asdict(responses), **figures}
@@ -140,7 +142,7 @@
 
 
 def compute_departure_figures(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> dict[str, Figure]:
     """Return the figures of the first zone taken out of service, if any."""
     if not evidence.departures:
@@ -160,13 +162,13 @@
 
 
 def compute_work_series(
-    evidence: bench_evidence.Evidence, ideal: bench_ideal.Ideal
+    evidence: bench_evidence.Evidence, ideal: bench_ideal.IdealSchedule
 ) -> tuple[tuple[float, float, float], ...]:
     """Return the busy slots over time, of the run and of the ideal scheduler.
 
     :returns: triples as in :attr:`Report.series`, one per bin.
     """
-    width = evidence.load.seconds / WORK_BINS
+    width = evidence.load.seconds / WORK_BIN_COUNT
     spans = [(run.start, run.end) for run in evidence.runs]
     return tuple(
         (
@@ -180,7 +182,7 @@
             )
             / width,
         )
-        for bin_index in range(WORK_BINS)
+        for bin_index in range(WORK_BIN_COUNT)
     )
 
 
--- a/src/agatepick/capacity/slopes_programs.py
+++ b/src/agatepick/capacity/slopes_programs.py
@@ -24,23 +24,23 @@
 from agatepick.net import clocks
 
 HOST = '127.0.0.1'
-SLOTS = 8
+SLOTS_PER_AGENT = 8
 SETTLE_SECONDS = 8.0
-WATCH_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 TASK_SECONDS = 0.02
 TASKS_PER_POINT = 5200
 """Tasks submitted for one point under load: 40 jobs of 130 tasks."""
 TASKS_PER_JOB = (1, 8, 32, 130)
-MEMORY_STEPS = 5
+MEMORY_POINT_COUNT = 5
 MAX_OPEN_TASKS = 260
 """Limit of tasks in submitted jobs that have no answer yet.  Further tasks
 would only wait in the entry's queue."""
 OPERATOR_TOKEN = 'slopes-operator-token'
 
-IDLE_BY_AGENTS = 'idle-by-agents'
-IDLE_BY_ENTRIES = 'idle-by-entries'
-LOADED = 'loaded'
-REMEMBERED = 'remembered'
+MODE_IDLE_BY_AGENTS = 'idle-by-agents'
+MODE_IDLE_BY_ENTRIES = 'idle-by-entries'
+MODE_LOADED = 'loaded'
+MODE_REMEMBERED = 'remembered'
 
 LINE_SPECS = (
     slopes.LineSpec(
@@ -202,19 +202,21 @@
         f'[worker]\nname = "worker-{number}"\n'
         f'listen = "{HOST}:{run_port}"\n'
         f'agent = "http://{HOST}:{announce_port}"\n'
-        f'kinds = ["short"]\nslots = {SLOTS}\n[log]\nlevel = "warning"\n'
+        f'kinds = ["short"]\nslots = {SLOTS_PER_AGENT}\n'
+        f'[log]\nlevel = "warning"\n'
     )
 
 
 def measure_points(directory: pathlib.Path, mode: str) -> list[Point]:
     """Measure the processes that the script has started.
 
-    :param mode: one of the constants :data:`IDLE_BY_AGENTS`,
-        :data:`IDLE_BY_ENTRIES`, :data:`LOADED` and :data:`REMEMBERED`.
+    :param mode: one of the constants :data:`MODE_IDLE_BY_AGENTS`,
+        :data:`MODE_IDLE_BY_ENTRIES`, :data:`MODE_LOADED` and
+        :data:`MODE_REMEMBERED`.
     """
     pids = _read_pids(directory)
     time.sleep(SETTLE_SECONDS)
-    if mode in (LOADED, REMEMBERED):
+    if mode in (MODE_LOADED, MODE_REMEMBERED):
         return asyncio.run(_measure_loaded(directory, pids, mode))
     return _measure_idle(pids, mode)
 
@@ -232,14 +234,14 @@
 
 
 def _measure_idle(pids: dict[str, list[int]], mode: str) -> list[Point]:
-    role = 'entry' if mode == IDLE_BY_AGENTS else 'agent'
+    role = 'entry' if mode == MODE_IDLE_BY_AGENTS else 'agent'
     size = len(pids['agent' if role == 'entry' else 'entry'])
     before = _take_samples(pids[role])
-    time.sleep(WATCH_SECONDS)
+    time.sleep(IDLE_SECONDS)
     after = _take_samples(pids[role])
     usage = slopes_process.compute_mean_usage(
         [
-            slopes_process.compute_usage(old, new, WATCH_SECONDS)
+            slopes_process.compute_usage(old, new, IDLE_SECONDS)
             for old, new in zip(before, after, strict=True)
         ]
     )
@@ -256,7 +258,7 @@
         self._urls = urls
         self._next = 0
 
-    def pick(self, avoid: str = '') -> str:
+    def pick(self, avoided_url: str = '') -> str:
         """Return the URL of the next entry."""
         self._next += 1
         return self._urls[self._next % len(self._urls)]
@@ -272,14 +274,14 @@
     )
     points: list[Point] = []
     try:
-        if mode == REMEMBERED:
+        if mode == MODE_REMEMBERED:
             line = 'entry_resident_by_tasks'
             return await _measure_memory(callers, pids, 130, line)
         points += await _measure_memory(
             callers, pids, 1, 'entry_resident_by_jobs'
         )
-        for tasks in TASKS_PER_JOB:
-            points += await _measure_cpu(callers, pids, tasks)
+        for tasks_per_job in TASKS_PER_JOB:
+            points += await _measure_cpu(callers, pids, tasks_per_job)
     finally:
         callers.close()
     return points
@@ -288,34 +290,36 @@
 async def _measure_memory(
     callers: bench_callers.Callers,
     pids: dict[str, list[int]],
-    tasks: int,
+    tasks_per_job: int,
     line: str,
 ) -> list[Point]:
     points = []
     sent = 0
-    for _ in range(MEMORY_STEPS):
-        sent += await _submit_jobs(callers, tasks)
+    for _ in range(MEMORY_POINT_COUNT):
+        sent += await _submit_jobs(callers, tasks_per_job)
         resident = slopes_process.compute_mean_usage(
             [
                 slopes_process.compute_usage(sample, sample, 1.0)
                 for sample in _take_samples(pids['entry'])
             ]
         ).resident_bytes
-        points.append(Point(line, sent * tasks, resident))
+        points.append(Point(line, sent * tasks_per_job, resident))
     return points
 
 
 async def _measure_cpu(
-    callers: bench_callers.Callers, pids: dict[str, list[int]], tasks: int
+    callers: bench_callers.Callers,
+    pids: dict[str, list[int]],
+    tasks_per_job: int,
 ) -> list[Point]:
     roles = ('entry', 'agent')
     before = {role: _take_samples(pids[role]) for role in roles}
-    jobs = await _submit_jobs(callers, tasks)
+    jobs = await _submit_jobs(callers, tasks_per_job)
     after = {role: _take_samples(pids[role]) for role in roles}
     return [
         Point(
             f'{role}_cpu_by_tasks',
-            tasks,
+            tasks_per_job,
             _sum_cpu_seconds(before[role], after[role]) / jobs,
         )
         for role in roles
@@ -331,18 +335,20 @@
     )
 
 
-async def _submit_jobs(callers: bench_callers.Callers, tasks: int) -> int:
+async def _submit_jobs(
+    callers: bench_callers.Callers, tasks_per_job: int
+) -> int:
     """Submit jobs of one size with bounded concurrency.
 
     :returns: the number of jobs.
     """
-    count = max(40, TASKS_PER_POINT // tasks)
+    count = max(40, TASKS_PER_POINT // tasks_per_job)
     plan = (bench_arrivals.TaskPlan('short', TASK_SECONDS, TASK_SECONDS),)
-    semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks))
+    semaphore = asyncio.Semaphore(max(1, MAX_OPEN_TASKS // tasks_per_job))
 
     async def submit_job(number: int) -> None:
         job = bench_arrivals.JobPlan(
-            number, 0.0, f'team-{number % 4}', plan * tasks
+            number, 0.0, f'team-{number % 4}', plan * tasks_per_job
         )
         async with semaphore:
             await callers.submit(job)
