--- a/src/agatepick/capacity/slopes_wire.py
+++ b/src/agatepick/capacity/slopes_wire.py
@@ -151,7 +151,7 @@
 
 
 def measure() -> tuple[slopes.Line, ...]:
-    """Measure all lines of this module in about three minutes."""
+    """Measure costs and return their fitted lines, in about three minutes."""
     points: Points = collections.defaultdict(list)
     for count in AGENT_COUNTS:
         asyncio.run(
--- a/src/agatepick/config/membership.py
+++ b/src/agatepick/config/membership.py
@@ -95,7 +95,7 @@
             else:
                 peer.last_message_at = now
                 peer.dead_at = 0.0
-                peer.grant = dataclasses.replace(peer.grant, dead=False)
+                peer.grant = dataclasses.replace(peer.grant, peer_died=False)
 
     def record_down(
         self, name: str, incarnation: int, dead: bool, now: float
--- a/src/agatepick/config/proposals.py
+++ b/src/agatepick/config/proposals.py
@@ -43,7 +43,7 @@
 
 
 class Stage(enum.Enum):
-    """Stage of the current attempt."""
+    """Stage of the current attempt to write a change."""
 
     IDLE = 'idle'
     READ = 'read'
--- a/src/agatepick/config/readlease.py
+++ b/src/agatepick/config/readlease.py
@@ -82,25 +82,29 @@
     :param uncertain: a change that the peer may have written.
     :param intent: the last change that the peer announced by an
         :class:`~agatepick.net.messages.Intent`, before it writes it.
-    :param dead: whether the peer died while the grant was valid, so that it
-        wrote no changes other than ``uncertain`` and ``intent``.
+    :param peer_died: whether the peer died while the grant was valid, so that
+        it wrote no changes other than ``uncertain`` and ``intent``.
     """
 
     version: int = 0
     sent: float = -math.inf
     uncertain: cluster.UncertainChange | None = None
     intent: cluster.UncertainChange | None = None
-    dead: bool = False
+    peer_died: bool = False
 
     def compute_lease_end(self, durations: LeaseDurations) -> float:
         """Return the end of the lease that this grant allows."""
-        return math.inf if self.dead else self.sent + durations.lease_duration
+        return (
+            math.inf
+            if self.peer_died
+            else self.sent + durations.lease_duration
+        )
 
     def mark_dead(self, now: float, durations: LeaseDurations) -> 'PeerGrant':
         """Return this grant after its sender was observed dead at ``now``."""
         if now > self.sent + durations.lease_duration:
             return self
-        return dataclasses.replace(self, dead=True)
+        return dataclasses.replace(self, peer_died=True)
 
     def uncertain_changes(self) -> tuple[cluster.UncertainChange, ...]:
         """Return the changes of this peer that may still take effect.
@@ -110,7 +114,7 @@
         a lease from an earlier grant ends before the change's
         ``in_force_at``.
         """
-        intent = self.intent if self.dead else None
+        intent = self.intent if self.peer_died else None
         return tuple(change for change in (self.uncertain, intent) if change)
 
 
--- a/src/agatepick/repeatable/list_requests.py
+++ b/src/agatepick/repeatable/list_requests.py
@@ -17,9 +17,12 @@
 from agatepick.decisions import backoff
 
 WAIT_SECONDS = 0.08
-"""Time for which a worker may delay its lists until a run ends; its lease is
-extended with each request, so as often.  Busy workers end a run every 30 ms,
-so longer delays would save nothing."""
+"""Time for which a worker may delay its lists until a run ends.
+
+Each request also extends the worker's lease, so the delay is also the interval
+of these extensions.  Busy workers end a run every 30 ms, so longer delays
+would save nothing.
+"""
 
 HEDGE_SECONDS = 0.02
 """Time beyond the allowed delay after which overdue lists are requested again:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -188,8 +188,9 @@
         self.post('agent', worker, settle)
 
     def act(self, move, which, number):
-        """Make a move, with an agent or its worker.
+        """Apply one event or fault to an agent, its worker or the messages.
 
+        :param move: name of the event or fault.
         :param which: index of the worker.
         """
         worker = self.workers[which]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,7 +16,7 @@
     return ledger.Ledger(600.0, 2.25, **limits)
 
 
-def test_a_task_without_a_record_is_neither_started_nor_not_run():
+def test_a_task_without_a_record_is_neither_started_nor_reported_as_not_run():
     """A copy of a start arrives after its record has been deleted.
 
     The task may have run, so the only correct outcome is "unknown".
